--- a/amaranthring/bench/cache.py
+++ b/amaranthring/bench/cache.py
@@ -154,7 +154,7 @@
             known = at.table.reports.get(name)
             loads[name] = max(running[name], known.running if known else 0)
         bound = self.fleet.config.preset.load_bound
-        most = bounds.most(bound, sum(loads.values()) + 1, len(names))
+        most = bounds.max_load(bound, sum(loads.values()) + 1, len(names))
         order = hashing.order(chat, names)
         name = bounds.first_with_room(order, loads.__getitem__, lambda _: most)
         target = at.table.get(name or order[0])
--- a/amaranthring/bench/fairness.py
+++ b/amaranthring/bench/fairness.py
@@ -101,9 +101,9 @@
     def _ask(self, account: str) -> None:
         key = ("r", next(self.order))
         self.accounts[key] = account
-        ask = admission.Ask(key, account, 1, str(key), DEADLINE)
+        ask = admission.Request(key, account, 1, str(key), DEADLINE)
         try:
-            placed = self.cell.ask(ask, admission.Policy(), self.now)
+            placed = self.cell.admit(ask, admission.Policy(), self.now)
         except errors.RefusedError:
             self._outcome(key).refused += 1
             return
@@ -111,7 +111,7 @@
             self._start(placed)
         self._settle()
 
-    def _start(self, placed: admission.Placed) -> None:
+    def _start(self, placed: admission.Grant) -> None:
         outcome = self._outcome(placed.key)
         if self.now > SECONDS / 3:
             outcome.waits.append(placed.queued_seconds)
@@ -123,7 +123,7 @@
         self._settle()
 
     def _settle(self) -> None:
-        placed, self.cell.placed = self.cell.placed, []
+        placed, self.cell.granted = self.cell.granted, []
         for each in placed:
             self._start(each)
         gone, self.cell.evicted = self.cell.evicted, []
--- a/amaranthring/bench/retries.py
+++ b/amaranthring/bench/retries.py
@@ -99,12 +99,12 @@
 
     def _attempt(self, account: str, excluded: set[str]):
         key = ("r", next(self.order))
-        ask = admission.Ask(
+        ask = admission.Request(
             key, account, 1, str(key), 0.0, excluded=frozenset(excluded)
         )
         ask.at_once = True
         try:
-            placed = self.cell.ask(ask, admission.Policy(), self.now)
+            placed = self.cell.admit(ask, admission.Policy(), self.now)
         except errors.RefusedError:
             return key, None
         return key, placed.target
@@ -114,7 +114,7 @@
 
     def _done(self, key, account: str) -> None:
         self.cell.release(key, self.now)
-        self.budget.succeeded(account)
+        self.budget.record_success(account)
 
 
 def run(seed: int = 1) -> report.Report:
--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        passage: records.Passage,
+        passage: records.RequestContext,
         target: messages.TargetRecord,
         dialect: records.Dialect,
         resume_after: str,
@@ -62,18 +62,18 @@
         trusts_kept: bool,
         may_send: t.Callable[[], None],
     ):
-        self.passage = passage
+        self.context = passage
         self.target = target
         self.dialect = dialect
         self.resume_after = resume_after
         self.connections = connections
         self.exchange = upstream.Exchange(target, CONNECT_SECONDS)
-        self.answer: records.Answer | None = None
+        self.answer: records.ResponseHead | None = None
         self.copy_from = copy_from
-        self.trusts_kept = trusts_kept
-        self.may_send = may_send
+        self.reuse_connection = trusts_kept
+        self.before_send = may_send
 
-    async def open(self, patience: float) -> records.Answer:
+    async def open(self, patience: float) -> records.ResponseHead:
         """Send the request and return the head of the answer.
 
         Parameters
@@ -87,12 +87,12 @@
             Without a usable head; its outcome says what is known.
         """
         await self._connect()
-        self.may_send()
-        left = self.passage.deadline - time.monotonic()
-        incoming = self.passage.incoming
-        sending = records.Sending(
+        self.before_send()
+        left = self.context.deadline - time.monotonic()
+        incoming = self.context.incoming
+        sending = records.AttemptInfo(
             self.target,
-            self.passage.account,
+            self.context.account,
             left,
             self.resume_after,
             self.copy_from,
@@ -111,8 +111,8 @@
 
     async def _connect(self) -> None:
         held = None
-        if self.trusts_kept:
-            idempotent = self.passage.route.idempotent
+        if self.reuse_connection:
+            idempotent = self.context.route.idempotent
             idle = KEPT_IDEMPOTENT_SECONDS if idempotent else KEPT_SECONDS
             held = await self.connections.take(self.target.id, idle)
         if held is not None:
@@ -125,7 +125,7 @@
         exchange = self.exchange
         for _ in range(1 + EXTRA_ANSWERS_MOST):
             await exchange.head()
-            self.answer = self.dialect.read_answer(
+            self.answer = self.dialect.read_response(
                 exchange.status, exchange.headers
             )
             if not exchange.kept or not self._is_of_another():
@@ -136,7 +136,7 @@
 
     def _is_of_another(self) -> bool:
         named = self.answer.request_id
-        return bool(named) and named != self.passage.incoming.request_id
+        return bool(named) and named != self.context.incoming.request_id
 
     def _check_head(self) -> None:
         answer = self.answer
@@ -154,11 +154,11 @@
         # An answer to another request can come late on a connection, and a
         # target that breaks writes what is no answer of its own. Either
         # would reach the caller as a success with foreign content.
-        if answer.request_id != self.passage.incoming.request_id:
+        if answer.request_id != self.context.incoming.request_id:
             raise errors.UpstreamError(
                 "an answer to another request",
                 given=answer.request_id,
-                expected=self.passage.incoming.request_id,
+                expected=self.context.incoming.request_id,
             )
         if not answer.signed or answer.encoded:
             raise errors.UpstreamError(
@@ -168,7 +168,7 @@
             )
 
     @property
-    def streams(self) -> bool:
+    def is_event_stream(self) -> bool:
         """Return whether the answer is a good event stream."""
         kind = self.exchange.headers.get("Content-Type", "")
         return self.answer.status == 200 and kind.startswith(EVENT_STREAM)
@@ -181,14 +181,14 @@
         errors.UpstreamError
             If it is not whole.
         """
-        left = self.passage.deadline - time.monotonic()
+        left = self.context.deadline - time.monotonic()
         self.exchange.allow(max(left, 0.0))
         return await self.exchange.whole(ANSWER_BYTES_MOST, unframed=True)
 
-    async def stream(
+    async def relay_events(
         self,
-        cutter: events.EventCutter,
-        reply: replies.Reply,
+        cutter: events.EventSplitter,
+        reply: replies.ResponseWriter,
         pause: float,
     ) -> None:
         """Pass the events of the answer on to its end.
@@ -208,7 +208,7 @@
         self.exchange.allow(pause)
         while data := await self.exchange.read():
             self.exchange.came(time.monotonic())
-            ready = cutter.take(data)
+            ready = cutter.feed(data)
             if not ready:
                 continue
             if reply.status:
@@ -216,14 +216,14 @@
             else:
                 answer = self.answer
                 await reply.begin(answer.status, answer.headers, ready)
-        if cutter.rest:
+        if cutter.partial:
             raise errors.TruncatedAnswerError(
                 "the stream ended within an event",
-                given=len(cutter.rest),
+                given=len(cutter.partial),
                 expected="whole events",
             )
 
-    def end(self, whole: bool) -> None:
+    def close(self, whole: bool) -> None:
         """End the attempt; keep its connection if all of it is in order.
 
         Parameters
--- a/amaranthring/forwarding/events.py
+++ b/amaranthring/forwarding/events.py
@@ -8,12 +8,12 @@
 
 from amaranthring import errors
 
-EVENT_BYTES_MOST = 256 * 1024
+MAX_EVENT_BYTES = 256 * 1024
 END_OF_EVENT = b"\n\n"
 NUMBER = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
 
 
-class EventCutter:
+class EventSplitter:
     """Passes on whole events of one answer, from one target or several.
 
     Attributes
@@ -26,13 +26,13 @@
 
     def __init__(self, last: int | None = None):
         self.last = last
-        self.rest = b""
+        self.partial = b""
 
-    def go_on(self) -> None:
+    def discard_partial(self) -> None:
         """Drop the begun event: another target sends it again."""
-        self.rest = b""
+        self.partial = b""
 
-    def take(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Return the events that `data` completes.
 
         An event that the caller has already is dropped.
@@ -44,25 +44,25 @@
         errors.UpstreamError
             If an event is above the bound.
         """
-        data = self.rest + data if self.rest else data
+        data = self.partial + data if self.partial else data
         end = data.rfind(END_OF_EVENT)
         if end < 0:
-            self.rest = data
+            self.partial = data
             self._check_rest()
             return b""
         end += len(END_OF_EVENT)
-        self.rest = data[end:]
+        self.partial = data[end:]
         self._check_rest()
         blocks = data[:end].split(END_OF_EVENT)[:-1]
         kept = [b for b in blocks if self._is_next(b)]
         return b"".join(block + END_OF_EVENT for block in kept)
 
     def _check_rest(self) -> None:
-        if len(self.rest) > EVENT_BYTES_MOST:
+        if len(self.partial) > MAX_EVENT_BYTES:
             raise errors.UpstreamError(
                 "an event above the bound",
-                given=len(self.rest),
-                expected=f"{EVENT_BYTES_MOST} bytes at most",
+                given=len(self.partial),
+                expected=f"{MAX_EVENT_BYTES} bytes at most",
             )
 
     def _is_next(self, block: bytes) -> bool:
--- a/amaranthring/forwarding/front.py
+++ b/amaranthring/forwarding/front.py
@@ -17,7 +17,7 @@
 
 log = logbook.Logger(__name__)
 
-Serve = t.Callable[[records.Incoming, replies.Reply], t.Awaitable[None]]
+Serve = t.Callable[[records.Incoming, replies.ResponseWriter], t.Awaitable[None]]
 
 # Bounds of the server itself, above any that a plan may set: the plan's own
 # are checked for each request and answered with their type.
@@ -28,7 +28,7 @@
 IDLE_SECONDS = 120.0
 
 
-class Front(tornado.httputil.HTTPServerConnectionDelegate):
+class Frontend(tornado.httputil.HTTPServerConnectionDelegate):
     """Takes requests from callers and hands each to `serve`.
 
     Parameters
@@ -65,10 +65,10 @@
         self.dialect = dialect
         self.serve = serve
         self.bounds = bounds
-        self.running = 0
+        self.in_flight = 0
         self.closing = False
-        self.ends_at = float("inf")
-        self.waiting = connections.Waiting()
+        self.shutdown_at = float("inf")
+        self.idle = connections.Waiting()
         self.server: tornado.httpserver.HTTPServer | None = None
         self.listener: listeners.Listener | None = None
 
@@ -85,14 +85,14 @@
 
     def start_request(self, server_conn, request_conn):
         """Return what takes in one request."""
-        self.waiting.add(server_conn)
+        self.idle.add(server_conn)
         return _Request(self, server_conn, request_conn)
 
     def on_close(self, server_conn):
         """Forget a connection that has closed."""
-        self.waiting.discard(server_conn)
+        self.idle.discard(server_conn)
 
-    async def end_requests(self, until: float) -> None:
+    async def drain(self, until: float) -> None:
         """Close connections as they get idle, until none has a request.
 
         Parameters
@@ -100,9 +100,9 @@
         until : float
             Monotonic seconds after which what still runs is left.
         """
-        await self.waiting.end(until, lambda: self.running)
+        await self.idle.end(until, lambda: self.in_flight)
 
-    def check_time(self, incoming: records.Incoming) -> None:
+    def check_deadline(self, incoming: records.Incoming) -> None:
         """Check that a request can end before this process does.
 
         Raises
@@ -110,24 +110,24 @@
         errors.ShuttingDownError
             If it may take longer.
         """
-        if incoming.arrived + incoming.patience > self.ends_at:
+        if incoming.arrived + incoming.timeout > self.shutdown_at:
             raise errors.ShuttingDownError(
                 "this router is being stopped", retry_after=0.0
             )
 
     def count(self, step: int) -> None:
         """Count a request in or out."""
-        self.running += step
+        self.in_flight += step
 
 
 class _Request(tornado.httputil.HTTPMessageDelegate):
     """One request while it is read, and then its task."""
 
-    def __init__(self, front: Front, server_conn, connection):
+    def __init__(self, front: Frontend, server_conn, connection):
         self.front = front
         self.server_conn = server_conn
         self.connection = connection
-        self.reply = replies.Reply(connection, lambda: front.closing)
+        self.reply = replies.ResponseWriter(connection, lambda: front.closing)
         self.incoming: records.Incoming | None = None
         self.fault: errors.AmaranthringError | None = None
         self.body: list[bytes] = []
@@ -136,7 +136,7 @@
 
     def headers_received(self, start_line, headers):
         """Read the head; a fault is answered when the body has come."""
-        self.front.waiting.discard(self.server_conn)
+        self.front.idle.discard(self.server_conn)
         try:
             self._check_headers(headers)
             self.incoming = self.front.dialect.read_request(
@@ -195,7 +195,7 @@
                 return
             self.incoming.body = b"".join(self.body)
             self.body.clear()
-            self.front.check_time(self.incoming)
+            self.front.check_deadline(self.incoming)
             await self.front.serve(self.incoming, self.reply)
         except errors.ShuttingDownError as error:
             await self._refuse(error)
--- a/amaranthring/forwarding/outcomes.py
+++ b/amaranthring/forwarding/outcomes.py
@@ -14,11 +14,11 @@
 log = logbook.Logger(__name__)
 
 
-def note(
+def record(
     metrics: metrics_module.Metrics,
     incoming: records.Incoming,
-    passage: records.Passage | None,
-    reply: replies.Reply,
+    passage: records.RequestContext | None,
+    reply: replies.ResponseWriter,
     fault: BaseException | None,
 ) -> None:
     """Log and count how a request ended.
@@ -44,7 +44,7 @@
         outcome=outcome,
         status=reply.status,
         ms=round(seconds * 1e3, 1),
-        first_ms=_milliseconds(incoming.arrived, reply.began_at),
+        first_ms=_milliseconds(incoming.arrived, reply.started_at),
         **_inputs(passage),
     )
 
@@ -57,7 +57,7 @@
     return "caller-gone"
 
 
-def _inputs(passage: records.Passage | None) -> dict[str, t.Any]:
+def _inputs(passage: records.RequestContext | None) -> dict[str, t.Any]:
     """Return what decided on the request."""
     if passage is None:
         return {}
--- a/amaranthring/forwarding/placing.py
+++ b/amaranthring/forwarding/placing.py
@@ -17,7 +17,7 @@
 # further failure in a row up to the most. The first is shorter than an
 # announcement's beat: most failures are over at once. The most bounds how
 # long after the end of a cut callers are still refused.
-AVOID_SECONDS = 0.5
+BACKOFF_SECONDS = 0.5
 AVOID_SECONDS_MOST = 2.0
 # A target that answered here within this time lives, whatever keepers heard.
 ANSWERED_SECONDS = 2.0
@@ -26,7 +26,7 @@
 # longer than the pause between two reports.
 DOUBTING_ROUTERS = 2
 TRUSTED_SECONDS = 0.5
-DOUBT_SECONDS = 0.6
+PEER_REPORT_SECONDS = 0.6
 # A target that broke an answer off so lately, at any router, gets what may
 # run only once if half of the targets are left. So one that often breaks off
 # is known to all after a few losses; each router by itself would have to lose
@@ -40,7 +40,7 @@
 CUT_TARGETS = 2
 # How long they then get requests only if there is no other target. The cut
 # is looked for again by one request each time.
-CUT_SECONDS = 1.0
+PARTITION_SECONDS = 1.0
 # A target that leaves without having drained goes on for two seconds or more,
 # and others can copy from it meanwhile. Whoever is to copy from one that has
 # ended waits for it in vain, and reads all the same.
@@ -72,12 +72,12 @@
         self.data_centres: dict[str, views.DataCentreView] = (
             collections.defaultdict(views.DataCentreView)
         )
-        self.prompts = prompts.PromptPlaces(clock)
+        self.prefixes = prompts.PrefixIndex(clock)
         self.views: dict[str, views.TargetView] = collections.defaultdict(
             views.TargetView
         )
 
-    def choose(self, passage: records.Passage) -> messages.TargetRecord | None:
+    def choose(self, passage: records.RequestContext) -> messages.TargetRecord | None:
         """Return the target for the next attempt, or None."""
         now = self.clock()
         able = self._able(passage)
@@ -106,13 +106,13 @@
         if passage.route.with_prompt and parts:
             holders = self._holders(passage)
             for one in candidates:
-                one.missing = self.prompts.missing(parts, one.id)
+                one.uncached_tokens = self.prefixes.uncached_tokens(parts, one.id)
                 copy = self._copy(passage, by_id[one.id], holders)
-                one.copied = copy.tokens if copy else 0
-                one.waiting = self.views[one.id].waiting
+                one.copied_tokens = copy.tokens if copy else 0
+                one.pending_tokens = self.views[one.id].waiting
             shared = parts[-2] if len(parts) > 1 else parts[-1]
             tokens = sum(part.tokens for part in parts)
-            found = affinity.with_prompt(candidates, shared.id, tokens)
+            found = affinity.choose_by_prefix(candidates, shared.id, tokens)
         else:
             found = affinity.least_loaded(candidates)
         return by_id[found.id] if found else None
@@ -133,7 +133,7 @@
 
     def _may_be_cut_off(
         self,
-        passage: records.Passage,
+        passage: records.RequestContext,
         record: messages.TargetRecord,
         now: float,
     ) -> bool:
@@ -144,12 +144,12 @@
         """
         if record.data_centre == self.data_centre:
             return False
-        if record.data_centre in passage.silent_in:
+        if record.data_centre in passage.silent_data_centres:
             return True
         return self._is_cut_off(record, now)
 
     def copy_for(
-        self, passage: records.Passage, target: messages.TargetRecord
+        self, passage: records.RequestContext, target: messages.TargetRecord
     ) -> copies.Copy | None:
         """Return what `target` should copy of the prompt, and from where.
 
@@ -157,13 +157,13 @@
         """
         return self._copy(passage, target, self._holders(passage))
 
-    def address_of(self, copy: copies.Copy | None) -> str:
+    def source_address(self, copy: copies.Copy | None) -> str:
         """Return the address that `copy` comes from; empty without one."""
         return self.table.entries[copy.source].record.address if copy else ""
 
     def _copy(
         self,
-        passage: records.Passage,
+        passage: records.RequestContext,
         target: messages.TargetRecord,
         holders: list[copies.Holder],
     ) -> copies.Copy | None:
@@ -174,11 +174,11 @@
         asked = copies.Holder(
             target.id,
             target.data_centre,
-            whole - self.prompts.missing(parts, target.id),
+            whole - self.prefixes.uncached_tokens(parts, target.id),
         )
-        return copies.best(holders, asked, passage.engine.copy_rate)
+        return copies.choose(holders, asked, passage.engine.copy_rate)
 
-    def _holders(self, passage: records.Passage) -> list[copies.Holder]:
+    def _holders(self, passage: records.RequestContext) -> list[copies.Holder]:
         """Return the targets from which the prompt can be copied."""
         if passage.engine is None or not passage.route.with_prompt:
             return []
@@ -188,7 +188,7 @@
             record = entry.record
             if record.service != passage.service:
                 continue
-            kept = self.prompts.kept(passage.incoming.parts, record.id)
+            kept = self.prefixes.copyable_tokens(passage.incoming.parts, record.id)
             if not kept or not self._may_copy_from(entry, now):
                 continue
             stays = record.state == messages.State.READY
@@ -210,12 +210,12 @@
         # targets that answer here all the while.
         if not record.silent:
             return True
-        return now - self.views[record.id].did_well_at < ANSWERED_SECONDS
+        return now - self.views[record.id].succeeded_at < ANSWERED_SECONDS
 
     def _is_out(self, record: messages.TargetRecord) -> bool:
-        return self.views[record.id].unreached
+        return self.views[record.id].unreachable
 
-    def _able(self, passage: records.Passage) -> list:
+    def _able(self, passage: records.RequestContext) -> list:
         return [
             record
             for record in self.table.current()
@@ -227,7 +227,7 @@
     def begin(
         self,
         target: messages.TargetRecord,
-        passage: records.Passage,
+        passage: records.RequestContext,
         copy: copies.Copy | None = None,
     ) -> None:
         """Count a request of this router at `target`.
@@ -238,29 +238,29 @@
             What the target copies of the prompt instead of reading it.
         """
         parts = passage.incoming.parts
-        passage.reading = self.prompts.missing(parts, target.id)
-        passage.reading -= copy.tokens if copy else 0
-        self.prompts.sent(parts, target.id)
+        passage.prefill_tokens = self.prefixes.uncached_tokens(parts, target.id)
+        passage.prefill_tokens -= copy.tokens if copy else 0
+        self.prefixes.record_sent(parts, target.id)
         view = self.views[target.id]
-        view.reading += passage.reading
+        view.reading += passage.prefill_tokens
         view.running += 1
         view.reported += 1
 
-    def has_read(
-        self, target: messages.TargetRecord, passage: records.Passage
+    def prefill_done(
+        self, target: messages.TargetRecord, passage: records.RequestContext
     ) -> None:
         """Note that the target has begun to answer."""
-        self.prompts.has_read(passage.incoming.parts, target.id)
+        self.prefixes.mark_cached(passage.incoming.parts, target.id)
         self._count_read(target, passage)
 
     def _count_read(
-        self, target: messages.TargetRecord, passage: records.Passage
+        self, target: messages.TargetRecord, passage: records.RequestContext
     ) -> None:
-        self.views[target.id].reading -= passage.reading
-        passage.reading = 0
+        self.views[target.id].reading -= passage.prefill_tokens
+        passage.prefill_tokens = 0
 
     def end(
-        self, target: messages.TargetRecord, passage: records.Passage
+        self, target: messages.TargetRecord, passage: records.RequestContext
     ) -> None:
         """Count it off again."""
         self._count_read(target, passage)
@@ -268,7 +268,7 @@
         view.running -= 1
         view.reported = max(0.0, view.reported - 1)
 
-    def reported(
+    def update_load(
         self, target: messages.TargetRecord, load: records.Load
     ) -> None:
         """Take what `target` said of its load."""
@@ -276,35 +276,35 @@
         view.reported = load.running + load.waiting
         view.reported_at = self.clock()
 
-    def did_well(self, target: messages.TargetRecord) -> None:
+    def record_success(self, target: messages.TargetRecord) -> None:
         """Note an answer that the target made."""
         view = self.views[target.id]
         view.failures = 0
         view.avoid_until = 0.0
-        view.unreached = False
-        view.did_well_at = self.clock()
-        self.reached(target)
+        view.unreachable = False
+        view.succeeded_at = self.clock()
+        self.record_contact(target)
 
-    def replaced(self, target: messages.TargetRecord) -> None:
+    def record_replaced(self, target: messages.TargetRecord) -> None:
         """Note that another target has the address of `target`."""
         self.table.leave(target.id)
-        self.views[target.id].unreached = True
+        self.views[target.id].unreachable = True
 
-    def is_doubtful(self, target: messages.TargetRecord) -> bool:
+    def failed_recently(self, target: messages.TargetRecord) -> bool:
         """Return whether the target failed last, here or at others."""
         view = self.views[target.id]
         return view.failures > 0 or view.avoid_until > self.clock()
 
-    def unreached(self) -> list[str]:
+    def unreachable_targets(self) -> list[str]:
         """Return the targets that this router could not reach last."""
         now = self.clock()
         return [
             name
             for name, view in self.views.items()
-            if view.unreached and view.avoid_until > now
+            if view.unreachable and view.avoid_until > now
         ]
 
-    def reached(self, target: messages.TargetRecord) -> None:
+    def record_contact(self, target: messages.TargetRecord) -> None:
         """Note that `target` said anything."""
         if target.data_centre in self.data_centres:
             del self.data_centres[target.data_centre]
@@ -313,15 +313,15 @@
         if target.data_centre == self.data_centre:
             return
         view = self.data_centres[target.data_centre]
-        view.unreached.add(target.id)
-        if len(view.unreached) >= CUT_TARGETS:
-            view.cut_until = self.clock() + CUT_SECONDS
+        view.unreachable.add(target.id)
+        if len(view.unreachable) >= CUT_TARGETS:
+            view.cut_until = self.clock() + PARTITION_SECONDS
 
     def _is_cut_off(self, target: messages.TargetRecord, now: float) -> bool:
         view = self.data_centres.get(target.data_centre)
         return view is not None and view.cut_until > now
 
-    def failed(self, target: messages.TargetRecord, reached: bool) -> None:
+    def record_failure(self, target: messages.TargetRecord, reached: bool) -> None:
         """Note an attempt that the target did not answer.
 
         Parameters
@@ -333,7 +333,7 @@
         """
         view = self.views[target.id]
         view.failures += 1
-        view.unreached = not reached
+        view.unreachable = not reached
         if reached:
             view.failed_at = self.clock()
         else:
@@ -341,23 +341,23 @@
         counted = view.failures - (1 if reached else 0)
         if counted < 1:
             return
-        seconds = AVOID_SECONDS * 2 ** (counted - 1)
+        seconds = BACKOFF_SECONDS * 2 ** (counted - 1)
         view.avoid_until = self.clock() + min(seconds, AVOID_SECONDS_MOST)
 
-    def counts(self) -> dict[str, int]:
+    def in_flight(self) -> dict[str, int]:
         """Return this router's requests by target."""
         views = self.views.items()
         return {name: view.running for name, view in views if view.running}
 
-    def readings(self) -> dict[str, int]:
+    def pending_tokens(self) -> dict[str, int]:
         """Return the tokens yet to be read for this router, by target."""
         views = self.views.items()
         return {name: view.reading for name, view in views if view.reading}
 
-    def others_said(self, others: sharing.Others) -> None:
+    def update_from_others(self, others: sharing.Others) -> None:
         """Take what the other routers do and have found."""
         self._doubt_with_others(others.unreached)
-        until = self.clock() + DOUBT_SECONDS
+        until = self.clock() + PEER_REPORT_SECONDS
         for name in set(others.failing) & set(self.table.entries):
             self.views[name].doubted_until = until
         named = set(others.counts) | set(others.reading)
@@ -365,21 +365,21 @@
             view = self.views[target_id]
             view.others = others.counts.get(target_id, 0)
             view.others_reading = others.reading.get(target_id, 0)
-        self.prompts.heard(others.places)
+        self.prefixes.merge(others.places)
 
     def report(self) -> sharing.Report:
         """Return what the other routers should know."""
-        tokens = self.prompts.tokens
+        tokens = self.prefixes.prefix_tokens
         return sharing.Report(
-            self.counts(),
-            [list(pair) for pair in self.prompts.take_news()],
-            self.unreached(),
-            self.readings(),
-            self.failing(),
+            self.in_flight(),
+            [list(pair) for pair in self.prefixes.take_updates()],
+            self.unreachable_targets(),
+            self.pending_tokens(),
+            self.failing_targets(),
             tokens=tokens,
         )
 
-    def failing(self) -> list[str]:
+    def failing_targets(self) -> list[str]:
         """Return the targets that broke an answer off here lately."""
         oldest = self.clock() - FAILING_SECONDS
         views = self.views.items()
@@ -393,12 +393,12 @@
             if routers < DOUBTING_ROUTERS or name not in self.table.entries:
                 continue
             view = self.views[name]
-            if now - view.did_well_at > TRUSTED_SECONDS:
-                view.avoid_until = max(view.avoid_until, now + DOUBT_SECONDS)
+            if now - view.succeeded_at > TRUSTED_SECONDS:
+                view.avoid_until = max(view.avoid_until, now + PEER_REPORT_SECONDS)
 
-    def forget_gone(self) -> None:
+    def prune(self) -> None:
         """Drop what was seen of targets that are gone, and what is old."""
-        self.prompts.forget(self.table.entries)
+        self.prefixes.prune(self.table.entries)
         for target_id in set(self.views) - set(self.table.entries):
             if not self.views[target_id].running:
                 del self.views[target_id]
--- a/amaranthring/forwarding/prompts.py
+++ b/amaranthring/forwarding/prompts.py
@@ -23,7 +23,7 @@
 PARTS_MOST = 20_000
 # An engine reads the longest prompts in about this time; before, another
 # engine would find nothing there to copy.
-READ_SECONDS = 0.25
+PREFILL_SECONDS = 0.25
 
 
 @dataclasses.dataclass
@@ -42,7 +42,7 @@
     read_at: float
 
 
-class PromptPlaces:
+class PrefixIndex:
     """Targets by part of a prompt.
 
     Parameters
@@ -61,14 +61,14 @@
 
     def __init__(self, clock: t.Callable[[], float] = time.monotonic):
         self.clock = clock
-        self.news: list[tuple[str, str]] = []
-        self.tokens: dict[str, int] = {}
+        self.updates: list[tuple[str, str]] = []
+        self.prefix_tokens: dict[str, int] = {}
         self._places: collections.OrderedDict[str, dict[str, Place]] = (
             collections.OrderedDict()
         )
         self._told: dict[tuple[str, str], float] = {}
 
-    def missing(self, parts: t.Sequence[records.Part], target_id: str) -> int:
+    def uncached_tokens(self, parts: t.Sequence[records.PromptPart], target_id: str) -> int:
         """Return how many tokens of `parts` the target would have to read.
 
         A part is found only if all parts before it are.
@@ -82,7 +82,7 @@
             left -= part.tokens
         return left
 
-    def kept(self, parts: t.Sequence[records.Part], target_id: str) -> int:
+    def copyable_tokens(self, parts: t.Sequence[records.PromptPart], target_id: str) -> int:
         """Return how many tokens of `parts` others can copy from the target.
 
         A part that it has yet to read cannot be copied.
@@ -98,8 +98,8 @@
             tokens += part.tokens
         return tokens
 
-    def has_read(
-        self, parts: t.Sequence[records.Part], target_id: str
+    def mark_cached(
+        self, parts: t.Sequence[records.PromptPart], target_id: str
     ) -> None:
         """Note that the target has read all of `parts`."""
         now = self.clock()
@@ -108,7 +108,7 @@
             if place is not None:
                 place.read_at = min(place.read_at, now)
 
-    def sent(self, parts: t.Sequence[records.Part], target_id: str) -> None:
+    def record_sent(self, parts: t.Sequence[records.PromptPart], target_id: str) -> None:
         """Note that a request with `parts` goes to a target."""
         now = self.clock()
         for part in parts:
@@ -119,11 +119,11 @@
             pair = (part.id, target_id)
             if now - self._told.get(pair, float("-inf")) > TELL_AGAIN_SECONDS:
                 self._told[pair] = now
-                self.news.append(pair)
-                known = self.tokens.get(part.id, 0)
-                self.tokens[part.id] = max(known, beginning)
+                self.updates.append(pair)
+                known = self.prefix_tokens.get(part.id, 0)
+                self.prefix_tokens[part.id] = max(known, beginning)
 
-    def heard(self, pairs: t.Iterable[t.Sequence[str]]) -> None:
+    def merge(self, pairs: t.Iterable[t.Sequence[str]]) -> None:
         """Take what another router told.
 
         It was told when the request left, and took the way of two messages:
@@ -135,13 +135,13 @@
             self._note(part_id, target_id, now)
             self._places[part_id][target_id].read_at = now
 
-    def take_news(self) -> list[tuple[str, str]]:
+    def take_updates(self) -> list[tuple[str, str]]:
         """Return what the other routers should hear of, once."""
-        news, self.news = self.news, []
-        self.tokens = {}
+        news, self.updates = self.updates, []
+        self.prefix_tokens = {}
         return news
 
-    def forget(self, live: t.Container[str]) -> None:
+    def prune(self, live: t.Container[str]) -> None:
         """Drop what is old, and all of targets that are not in `live`."""
         oldest = self.clock() - KEPT_SECONDS
         for part_id, places in list(self._places.items()):
@@ -159,7 +159,7 @@
         if target_id in places:
             places[target_id].used = now
         else:
-            places[target_id] = Place(now, now + READ_SECONDS)
+            places[target_id] = Place(now, now + PREFILL_SECONDS)
         self._places.move_to_end(part_id)
         if len(self._places) > PARTS_MOST:
             self._places.popitem(last=False)
--- a/amaranthring/forwarding/records.py
+++ b/amaranthring/forwarding/records.py
@@ -10,7 +10,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Part:
+class PromptPart:
     """One part of a prompt that other requests may share.
 
     Attributes
@@ -58,16 +58,16 @@
     host: str
     headers: tornado.httputil.HTTPHeaders
     arrived: float
-    patience: float = float("inf")
+    timeout: float = float("inf")
     key: str = ""
     resume_after: str = ""
-    parts: tuple[Part, ...] = ()
+    parts: tuple[PromptPart, ...] = ()
     output_tokens: int = 0
     body: bytes = b""
 
 
 @dataclasses.dataclass
-class Sending:
+class AttemptInfo:
     """What one attempt adds to the request for its target.
 
     Attributes
@@ -100,7 +100,7 @@
 
 
 @dataclasses.dataclass
-class Answer:
+class ResponseHead:
     """The head of a target's answer.
 
     Attributes
@@ -149,12 +149,12 @@
     """
 
     read_request: t.Callable[..., Incoming]
-    request_headers: t.Callable[[Incoming, Sending], t.Mapping[str, str]]
-    read_answer: t.Callable[[int, tornado.httputil.HTTPHeaders], Answer]
+    request_headers: t.Callable[[Incoming, AttemptInfo], t.Mapping[str, str]]
+    read_response: t.Callable[[int, tornado.httputil.HTTPHeaders], ResponseHead]
 
 
 @dataclasses.dataclass
-class Passage:
+class RequestContext:
     """What the router knows of one request on its way.
 
     Attributes
@@ -188,11 +188,11 @@
     deadline: float
     engine: plans.Engine | None = None
     sent: int = 0
-    reading: int = 0
+    prefill_tokens: int = 0
     tried: set[str] = dataclasses.field(default_factory=set)
     refused_by: list[messages.TargetRecord] = dataclasses.field(
         default_factory=list
     )
-    silent_in: set[str] = dataclasses.field(default_factory=set)
+    silent_data_centres: set[str] = dataclasses.field(default_factory=set)
     trail: list[str] = dataclasses.field(default_factory=list)
     copies: list[str] = dataclasses.field(default_factory=list)
--- a/amaranthring/forwarding/relay.py
+++ b/amaranthring/forwarding/relay.py
@@ -73,7 +73,7 @@
         routers: t.Callable[[], int],
         metrics: metrics_module.Metrics,
         connections: pool.Pool | None = None,
-        start: starting.Start | None = None,
+        start: starting.StartupGate | None = None,
     ):
         self.connections = connections or pool.Pool()
         self.dialect = dialect
@@ -82,15 +82,15 @@
         self.placer = placer
         self.routers = routers
         self.metrics = metrics
-        self.note = functools.partial(outcomes.note, metrics)
-        self.start = start or starting.Start(metrics)
-        self.answer_times = patience.AnswerTimes()
+        self.note = functools.partial(outcomes.record, metrics)
+        self.startup = start or starting.StartupGate(metrics)
+        self.response_times = patience.ResponseTimes()
         self.budgets: dict[str, budgets.WindowBudget] = (
             collections.defaultdict(budget)
         )
 
     async def serve(
-        self, incoming: records.Incoming, reply: replies.Reply
+        self, incoming: records.Incoming, reply: replies.ResponseWriter
     ) -> None:
         """Answer one request.
 
@@ -100,8 +100,8 @@
         passage = None
         fault: BaseException | None = None
         try:
-            await self.start.await_plan(incoming)
-            passage = self.enter(incoming)
+            await self.startup.wait_for_plan(incoming)
+            passage = self.resolve(incoming)
             # An answer that is there when this process wakes from a stall
             # is delivered, also after the deadline.
             async with timeouts.until(self._loop_time(passage.deadline)):
@@ -131,7 +131,7 @@
 
     # -- before the first attempt ------------------------------------
 
-    def enter(self, incoming: records.Incoming) -> records.Passage:
+    def resolve(self, incoming: records.Incoming) -> records.RequestContext:
         """Return the request with its route and account.
 
         Raises
@@ -143,7 +143,7 @@
         if table is None:
             raise errors.NoTargetError(
                 "this router has no plan yet",
-                retry_after=self.start.retry_after(),
+                retry_after=self.startup.retry_after(),
             )
         route = table.match(incoming.host, incoming.path)
         if route is None:
@@ -151,8 +151,8 @@
         account = self._account(table, route, incoming)
         service = route_tables.draw_service(route)
         self.budgets[service].count_request()
-        seconds = min(incoming.patience - ANSWER_MARGIN, route.timeout)
-        return records.Passage(
+        seconds = min(incoming.timeout - ANSWER_MARGIN, route.timeout)
+        return records.RequestContext(
             incoming,
             route,
             account.name if account else "",
@@ -182,16 +182,16 @@
             # quorum confirms the plan, it must not be trusted.
             raise errors.NoQuorumError(
                 "no keeper confirms the plan in force",
-                retry_after=self.start.retry_after(),
+                retry_after=self.startup.retry_after(),
             )
 
     # -- attempts ----------------------------------------------------
 
     async def _attempt_all(
-        self, passage: records.Passage, reply: replies.Reply
+        self, passage: records.RequestContext, reply: replies.ResponseWriter
     ) -> None:
         after = passage.incoming.resume_after
-        cutter = events.EventCutter(int(after) if after.isdigit() else None)
+        cutter = events.EventSplitter(int(after) if after.isdigit() else None)
         while True:
             target = self.placer.choose(passage)
             if target is None:
@@ -201,13 +201,13 @@
                 return
             except errors.UpstreamError as error:
                 passage.tried.add(target.id)
-                standing.learn(
+                standing.record(
                     self.placer, self.connections, passage, target, error
                 )
                 if not self._may_repeat(passage, error):
                     raise
                 self.metrics.count("request.repeated")
-                cutter.go_on()
+                cutter.discard_partial()
 
     async def _attempt(self, passage, target, cutter, reply) -> None:
         after = passage.incoming.resume_after
@@ -222,8 +222,8 @@
             self.dialect,
             after,
             self.connections,
-            copy_from=self.placer.address_of(copy),
-            trusts_kept=not self.placer.is_doubtful(target),
+            copy_from=self.placer.source_address(copy),
+            trusts_kept=not self.placer.failed_recently(target),
             may_send=functools.partial(self._may_send, passage),
         )
         whole = False
@@ -232,20 +232,20 @@
         self.placer.begin(target, passage, copy)
         try:
             answer = await self._open(passage, attempt)
-            self.placer.reached(target)
-            self.placer.has_read(target, passage)
+            self.placer.record_contact(target)
+            self.placer.prefill_done(target, passage)
             if answer.load is not None:
-                self.placer.reported(target, answer.load)
-            if attempt.streams:
-                await attempt.stream(cutter, reply, self._pause(passage))
+                self.placer.update_load(target, answer.load)
+            if attempt.is_event_stream:
+                await attempt.relay_events(cutter, reply, self._pause(passage))
                 if not reply.status:
                     await reply.begin(answer.status, answer.headers, b"")
                 reply.finish()
             else:
                 await self._pass_whole(passage, attempt, reply)
             whole = True
-            self.placer.did_well(target)
-            standing.learn_from_refusals(self.placer, passage)
+            self.placer.record_success(target)
+            standing.record_refusals(self.placer, passage)
             outcome = str(answer.status)
         except errors.TargetUnreachedError:
             outcome = UNREACHED
@@ -255,23 +255,23 @@
             raise
         finally:
             passage.trail.append(f"{target.id}:{outcome}")
-            attempt.end(whole)
+            attempt.close(whole)
             self.placer.end(target, passage)
             if attempt.exchange.sent and not _certainly_refused(attempt):
                 passage.sent += 1
 
     async def _open(
-        self, passage: records.Passage, attempt: attempts.Attempt
-    ) -> records.Answer:
+        self, passage: records.RequestContext, attempt: attempts.Attempt
+    ) -> records.ResponseHead:
         """Return the head of the answer, and learn how long it took."""
         began = time.monotonic()
-        asked = passage.service, passage.reading
+        asked = passage.service, passage.prefill_tokens
         try:
             answer = await attempt.open(self._patience(passage))
         except errors.UpstreamTimeoutError:
-            self.answer_times.expired(*asked, time.monotonic() - began)
+            self.response_times.record_timeout(*asked, time.monotonic() - began)
             raise
-        self.answer_times.answered(*asked, time.monotonic() - began)
+        self.response_times.record(*asked, time.monotonic() - began)
         return answer
 
     async def _pass_whole(self, passage, attempt, reply) -> None:
@@ -288,11 +288,11 @@
             raise errors.UpstreamError("no stream to go on with")
         await reply.whole(answer.status, answer.headers, body)
 
-    def _may_send(self, passage: records.Passage) -> None:
+    def _may_send(self, passage: records.RequestContext) -> None:
         if passage.account:
             self._check_lease()
 
-    def _patience(self, passage: records.Passage) -> float:
+    def _patience(self, passage: records.RequestContext) -> float:
         """Return how long to await the head of an answer, in seconds.
 
         Where the request may run elsewhere as well. Callers of streams were
@@ -304,26 +304,26 @@
             return float("inf")
         objective_at = passage.incoming.arrived + route.objective
         left = objective_at - time.monotonic()
-        learned = self.answer_times.seconds(
-            passage.service, passage.reading, left
+        learned = self.response_times.timeout(
+            passage.service, passage.prefill_tokens, left
         )
         if learned is not None:
             return learned
         safe = route.kind == plans.Kind.SAFE
         return route.objective * SAFE_PATIENCE if safe else float("inf")
 
-    def _pause(self, passage: records.Passage) -> float:
+    def _pause(self, passage: records.RequestContext) -> float:
         route = passage.route
         if not route.idempotent or self._attempts_left(passage) < 2:
             return passage.deadline - time.monotonic()
         longest = STREAM_PAUSES * route.pause_most
         return max(longest, STREAM_SECONDS_LEAST)
 
-    def _attempts_left(self, passage: records.Passage) -> int:
+    def _attempts_left(self, passage: records.RequestContext) -> int:
         return passage.route.attempts_most - passage.sent
 
     def _may_repeat(
-        self, passage: records.Passage, error: errors.UpstreamError
+        self, passage: records.RequestContext, error: errors.UpstreamError
     ) -> bool:
         if isinstance(error, errors.TargetFailedError):
             return True
@@ -336,7 +336,7 @@
             return False
         return self._takes_budget(passage)
 
-    def _takes_budget(self, passage: records.Passage) -> bool:
+    def _takes_budget(self, passage: records.RequestContext) -> bool:
         return self.budgets[passage.service].take(self.routers())
 
     # -- when it fails -----------------------------------------------
--- a/amaranthring/forwarding/replies.py
+++ b/amaranthring/forwarding/replies.py
@@ -13,7 +13,7 @@
 RETRY_AFTER_HEADER = "Retry-After"
 
 
-class Reply:
+class ResponseWriter:
     """Writes one answer.
 
     Parameters
@@ -44,8 +44,8 @@
         self.connection = connection
         self.stopping = stopping
         self.status = 0
-        self.began_at = 0.0
-        self.ended = False
+        self.started_at = 0.0
+        self.finished = False
         self.closing = False
 
     async def whole(
@@ -66,7 +66,7 @@
 
     async def _head(self, status, headers, data: bytes) -> None:
         self.status = status
-        self.began_at = time.monotonic()
+        self.started_at = time.monotonic()
         if self.closing or self.stopping():
             headers["Connection"] = "close"
         line = endpoints.start_line(status)
@@ -90,14 +90,14 @@
 
     def finish(self) -> None:
         """End the answer in good order."""
-        if not self.ended:
-            self.ended = True
+        if not self.finished:
+            self.finished = True
             self.connection.finish()
 
     def break_off(self) -> None:
         """Close the connection, so that the answer cannot pass for whole."""
-        if not self.ended:
-            self.ended = True
+        if not self.finished:
+            self.finished = True
             stream = getattr(self.connection, "stream", None)
             if stream is not None:
                 stream.close()
--- a/amaranthring/forwarding/standing.py
+++ b/amaranthring/forwarding/standing.py
@@ -12,31 +12,31 @@
 SILENT = (*UNREACHED, errors.UpstreamTimeoutError)
 
 
-def learn(
+def record(
     placer: placing.Placer,
     connections: pool.Pool,
-    passage: records.Passage,
+    passage: records.RequestContext,
     target: messages.TargetRecord,
     error: errors.UpstreamError,
 ) -> None:
     """Note what an attempt that failed says of its target."""
     if isinstance(error, SILENT):
-        passage.silent_in.add(target.data_centre)
+        passage.silent_data_centres.add(target.data_centre)
     if isinstance(error, errors.OtherTargetError):
-        placer.replaced(target)
+        placer.record_replaced(target)
     elif isinstance(error, errors.TargetRefusedError):
         # Nothing is learned before another target takes the request.
         passage.refused_by.append(target)
     elif isinstance(error, UNREACHED):
         # What is kept to it would take requests down with it.
         connections.drop(target.id)
-        placer.failed(target, reached=False)
+        placer.record_failure(target, reached=False)
     elif not isinstance(error, errors.TargetFailedError):
-        placer.failed(target, reached=True)
+        placer.record_failure(target, reached=True)
 
 
-def learn_from_refusals(
-    placer: placing.Placer, passage: records.Passage
+def record_refusals(
+    placer: placing.Placer, passage: records.RequestContext
 ) -> None:
     """Hold refusals against targets, now that another took the request.
 
@@ -47,5 +47,5 @@
     while all engines idled.
     """
     for target in passage.refused_by:
-        placer.failed(target, reached=True)
+        placer.record_failure(target, reached=True)
     passage.refused_by.clear()
--- a/amaranthring/forwarding/starting.py
+++ b/amaranthring/forwarding/starting.py
@@ -37,7 +37,7 @@
 RETRY_NO_PLAN = 2.0
 
 
-class Start:
+class StartupGate:
     """Holds requests back until there is a plan, and says when to return.
 
     Parameters
@@ -63,11 +63,11 @@
         self.metrics = metrics
         self.first_plan = first_plan
         self.cut_off = cut_off
-        self.began_at = time.monotonic()
+        self.started_at = time.monotonic()
 
     def seconds_left(self) -> float:
         """Return within which time the first plan is expected."""
-        return self.began_at + START_SECONDS - time.monotonic()
+        return self.started_at + START_SECONDS - time.monotonic()
 
     def _seconds_to_wait(self, patience: float) -> float:
         left = self.seconds_left()
@@ -76,11 +76,11 @@
             usual = 0.0
         return min(left, max(usual, patience * START_SHARE))
 
-    async def await_plan(self, incoming: records.Incoming) -> None:
+    async def wait_for_plan(self, incoming: records.Incoming) -> None:
         """Let a request wait for the plan of a router that has just begun."""
         if self.first_plan is None or self.first_plan.is_set():
             return
-        seconds = self._seconds_to_wait(incoming.patience)
+        seconds = self._seconds_to_wait(incoming.timeout)
         if seconds < START_WAIT_LEAST:
             return
         self.metrics.count("request.awaited-plan")
--- a/amaranthring/forwarding/views.py
+++ b/amaranthring/forwarding/views.py
@@ -15,7 +15,7 @@
     """
 
     def __init__(self):
-        self.unreached: set[str] = set()
+        self.unreachable: set[str] = set()
         self.cut_until = 0.0
 
 
@@ -48,8 +48,8 @@
         self.reported_at = float("-inf")
         self.failures = 0
         self.avoid_until = 0.0
-        self.unreached = False
-        self.did_well_at = float("-inf")
+        self.unreachable = False
+        self.succeeded_at = float("-inf")
         self.failed_at = float("-inf")
         self.doubted_until = float("-inf")
 
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -119,7 +119,7 @@
             self.subscriber.handlers,
             self.subscriber.home,
             self.placer.report,
-            self.placer.others_said,
+            self.placer.update_from_others,
         )
         self.relay = relays.Relay(
             dialect,
@@ -136,13 +136,13 @@
             lambda: self.subscriber.routers,
             self.metrics,
             pool.Pool(self.kept_most),
-            starting.Start(
+            starting.StartupGate(
                 self.metrics,
                 self.subscriber.first_confirmed,
                 self.subscriber.is_cut_off,
             ),
         )
-        self.front = fronts.Front(dialect, self.relay.serve, self.bounds)
+        self.front = fronts.Frontend(dialect, self.relay.serve, self.bounds)
         self.stopping = False
         self.started_at = time.monotonic()
         self.tasks: list[asyncio.Task] = []
@@ -209,7 +209,7 @@
     async def _forget(self) -> None:
         while True:
             await asyncio.sleep(FORGET_EVERY_SECONDS)
-            self.placer.forget_gone()
+            self.placer.prune()
 
     async def stop(self) -> None:
         """End in good order: no new callers, then all requests ended.
@@ -221,10 +221,10 @@
         self.stopping = True
         self.front.closing = True
         await asyncio.sleep(ROTATION_SECONDS)
-        self.front.ends_at = killed_at - END_SECONDS
-        await self.front.end_requests(killed_at - END_SECONDS)
+        self.front.shutdown_at = killed_at - END_SECONDS
+        await self.front.drain(killed_at - END_SECONDS)
         await self.front.listener.close()
-        await self.front.end_requests(killed_at - LAST_SECONDS)
-        if self.front.running:
-            logs.event(log, "router.cut-off", running=self.front.running)
+        await self.front.drain(killed_at - LAST_SECONDS)
+        if self.front.in_flight:
+            logs.event(log, "router.cut-off", running=self.front.in_flight)
         self.subscriber.stop()
--- a/amaranthring/platform/headers.py
+++ b/amaranthring/platform/headers.py
@@ -109,7 +109,7 @@
         host=hosts[0],
         headers=_without(headers, OF_CONNECTION | OURS),
         arrived=arrived,
-        patience=_patience(headers.get(DEADLINE)),
+        timeout=_patience(headers.get(DEADLINE)),
         key=_key(headers.get(AUTHORIZATION, "")),
         resume_after=headers.get(LAST_EVENT, ""),
         parts=_parts(headers.get(PROMPT_PARTS, "")),
@@ -143,7 +143,7 @@
     return value[len(SCHEME) :].strip()
 
 
-def _parts(value: str) -> tuple[records.Part, ...]:
+def _parts(value: str) -> tuple[records.PromptPart, ...]:
     parts = []
     for entry in filter(None, value.split(",")):
         part_id, _, tokens = entry.strip().partition(":")
@@ -151,7 +151,7 @@
             raise errors.BadRequestError(
                 PROMPT_PARTS, given=entry[:64], expected="ID:TOKENS"
             )
-        parts.append(records.Part(part_id, int(tokens)))
+        parts.append(records.PromptPart(part_id, int(tokens)))
     return tuple(parts)
 
 
@@ -161,7 +161,7 @@
 
 
 def request_headers(
-    incoming: records.Incoming, sending: records.Sending
+    incoming: records.Incoming, sending: records.AttemptInfo
 ) -> dict[str, str]:
     """Return the headers with which a request goes to its target."""
     headers = dict(incoming.headers.items())
@@ -180,9 +180,9 @@
 
 def read_answer(
     status: int, headers: tornado.httputil.HTTPHeaders
-) -> records.Answer:
+) -> records.ResponseHead:
     """Return the head of a target's answer."""
-    return records.Answer(
+    return records.ResponseHead(
         status=status,
         headers=_without(headers, OF_CONNECTION),
         request_id=headers.get(REQUEST_ID, ""),
--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass
-class Sibling:
+class SiblingLoad:
     """Last digest of another cell that serves the same."""
 
     in_flight: int
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass
-class Ask:
+class Request:
     """A request as the owner sees it; see the message ``Admit``."""
 
     key: counts.Key
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass
-class Placed:
+class Grant:
     """A grant that the cell has made.
 
     Attributes
@@ -90,7 +90,7 @@
     targets: int = 0
 
 
-def come_back(seconds: float) -> float:
+def clamp_retry_after(seconds: float) -> float:
     """Return `seconds` within the range that callers are told."""
     return min(max(seconds, RETRY_AFTER_SECONDS), RETRY_AFTER_MOST_SECONDS)
 
@@ -108,16 +108,16 @@
 
     def __init__(self, name: str, now: float):
         self.name = name
-        self.refreshed = now
+        self.refreshed_at = now
         self.targets: dict[str, records.Target] = {}
-        self.counts = counts.Counts()
-        self.siblings: dict[str, Sibling] = {}
+        self.counts = counts.LeaseTable()
+        self.siblings: dict[str, SiblingLoad] = {}
         self.queue = queues.FairQueue()
-        self.outages = outages.Outages()
+        self.breakers = outages.CircuitBreakers()
         self.bound = 1.25
         self.released = 0.0
         self.released_at = now
-        self.placed: list[Placed] = []
+        self.granted: list[Grant] = []
         self.evicted: list[queues.Waiter] = []
 
     # -- what is known --
@@ -131,26 +131,26 @@
         for name, old in before.items():
             new = self.targets.get(name)
             if new is None or new.incarnation != old.incarnation:
-                self.outages.forget(name)
+                self.breakers.forget(name)
 
     def loads(self) -> dict[str, int]:
         """Return the load of each target that may be granted."""
         return {name: self.counts.load[name] for name in self.targets}
 
-    def digest(self, now: float) -> Sibling:
+    def digest(self, now: float) -> SiblingLoad:
         """Return what siblings should know about this cell."""
         loads = self.loads()
         rooms = self._rooms(loads, now, alone=False)
         room = sum(max(0, rooms[name] - loads[name]) for name in loads)
-        return Sibling(
+        return SiblingLoad(
             sum(loads.values()), len(loads), room, len(self.queue), now
         )
 
-    def heard(self, name: str, sibling: Sibling) -> None:
+    def update_sibling(self, name: str, sibling: SiblingLoad) -> None:
         """Note the digest of sibling cell `name`."""
         self.siblings[name] = sibling
 
-    def elsewhere(self, ask: Ask, now: float) -> list[str]:
+    def cells_with_room(self, ask: Request, now: float) -> list[str]:
         """Return cells that `ask` should try, the roomiest first.
 
         A suspect waits for a target without a suspect, which says nothing
@@ -165,7 +165,7 @@
 
     # -- decisions --
 
-    def ask(self, ask: Ask, policy: Policy, now: float) -> Placed | None:
+    def admit(self, ask: Request, policy: Policy, now: float) -> Grant | None:
         """Grant at once, or return None.
 
         It is queued then, unless `elsewhere` names cells to be asked first.
@@ -185,13 +185,13 @@
                 retry_after=RETRY_AFTER_SECONDS,
             )
         others = self._others_first(ask)
-        target = None if others else self.place(ask, now)
+        target = None if others else self.choose_target(ask, now)
         if target is not None:
             self._grant(ask, target, now)
             return self._placed(ask.key, target)
         if ask.at_once:
-            raise self.full()
-        if not ask.alone and self.elsewhere(ask, now):
+            raise self.queue_full_error()
+        if not ask.alone and self.cells_with_room(ask, now):
             return None
         self._queue(ask, policy, now)
         if others:
@@ -200,12 +200,12 @@
             return self._taken(ask.key)
         return None
 
-    def place(self, ask: Ask, now: float) -> str | None:
+    def choose_target(self, ask: Request, now: float) -> str | None:
         """Return the best target with room for `ask`, or None."""
         loads = self.loads()
         # A cell that stands alone has no room elsewhere to point at, and
         # then nobody may wait here beside free targets.
-        alone = ask.alone or not self.elsewhere(ask, now)
+        alone = ask.alone or not self.cells_with_room(ask, now)
         barred = set(ask.excluded)
         if ask.suspect:
             barred.update(self.counts.suspects)
@@ -244,33 +244,33 @@
     def serve(self, now: float) -> None:
         """Grant waiting requests for which there is room, into `placed`."""
         while len(self.queue) and self.has_room(now):
-            found = self.queue.pop(lambda w: self.place(w.ask, now), now)
+            found = self.queue.pop(lambda w: self.choose_target(w.ask, now), now)
             if found is None:
                 break
             waiter, target = found
             self._grant(waiter.ask, target, now)
             waited = now - waiter.since
-            self.placed.append(self._placed(waiter.key, target, waited))
+            self.granted.append(self._placed(waiter.key, target, waited))
 
     def _placed(
         self, key: counts.Key, target: str, queued_seconds: float = 0.0
-    ) -> Placed:
+    ) -> Grant:
         load = self.counts.load
         total = sum(load[name] for name in self.targets)
-        return Placed(
+        return Grant(
             key, target, queued_seconds, load[target], total, len(self.targets)
         )
 
     # -- waiting --
 
-    def full(self) -> errors.QueueFullError:
+    def queue_full_error(self) -> errors.QueueFullError:
         """Return the error for a request that may not wait here."""
         wait = len(self.queue) * RATE_SECONDS / max(self.released, 1.0)
         return errors.QueueFullError(
-            "no room, and too many wait", retry_after=come_back(wait)
+            "no room, and too many wait", retry_after=clamp_retry_after(wait)
         )
 
-    def expected_wait(self, ask: Ask, now: float) -> float:
+    def expected_wait(self, ask: Request, now: float) -> float:
         """Return seconds until a new request would be served.
 
         Without a known rate this is 0: nobody is refused on a guess.
@@ -278,14 +278,14 @@
         released = self.released * self._fade(now)
         if released < 1:
             return 0.0
-        ahead = self.queue.ahead(ask.account, ask.priority)
+        ahead = self.queue.requests_ahead(ask.account, ask.priority)
         by_rate = (ahead + 1) * RATE_SECONDS / released
         by_turn = self.queue.virtual_wait(ask.account, ask.priority, now)
         return max(by_rate, by_turn)
 
     # -- leases --
 
-    def forget_others(
+    def release_unknown(
         self, router: str, next_serial: int, known: collections.abc.Container
     ) -> None:
         """End and withdraw what `router` does not know of any more."""
@@ -294,7 +294,7 @@
             if key[1] < next_serial and key[1] not in known:
                 self.queue.remove(key)
 
-    def lost_router(self, router: str, now: float) -> None:
+    def router_lost(self, router: str, now: float) -> None:
         """Let go soon of what a router holds that the mesh gave up."""
         self.counts.shorten(router, now)
         for key in [k for k in self.queue.waiters if k[0] == router]:
@@ -309,11 +309,11 @@
 
     def _judge(self, target, router, now, end: records.End) -> None:
         if end is records.End.DONE:
-            self.outages.succeeded(target, router)
+            self.breakers.record_success(target, router)
         if end is records.End.FAILED:
-            self.outages.faulted(target, self.targets, now)
+            self.breakers.record_error(target, self.targets, now)
         if end in (records.End.UNREACHABLE, records.End.TARGET_LOST):
-            self.outages.failed(target, router, self.targets, now)
+            self.breakers.record_unreachable(target, router, self.targets, now)
 
     def _rooms(
         self,
@@ -324,7 +324,7 @@
     ) -> dict[str, int]:
         most = self._most(loads, now, alone, barred)
         return {
-            name: self.outages.room(name, now, min(most, target.capacity))
+            name: self.breakers.limit(name, now, min(most, target.capacity))
             for name, target in self.targets.items()
         }
 
@@ -333,7 +333,7 @@
         # carries no share of the load; were it part of the mean, the others
         # would stand at the bound, and requests would wait beside free
         # targets.
-        out = barred | self.outages.by_target.keys()
+        out = barred | self.breakers.by_target.keys()
         well = [name for name in loads if name not in out]
         well = well or list(loads)
         total = sum(loads[name] for name in well)
@@ -342,34 +342,34 @@
             if not alone:
                 total += sibling.in_flight
                 count += sibling.targets
-        return bounds.most(self.bound, total + 1, count)
+        return bounds.max_load(self.bound, total + 1, count)
 
-    def _fresh(self, now: float) -> dict[str, Sibling]:
+    def _fresh(self, now: float) -> dict[str, SiblingLoad]:
         return {
             name: sibling
             for name, sibling in self.siblings.items()
             if now - sibling.heard < SIBLING_SECONDS
         }
 
-    def _taken(self, key: counts.Key) -> Placed | None:
-        for placed in self.placed:
+    def _taken(self, key: counts.Key) -> Grant | None:
+        for placed in self.granted:
             if placed.key == key:
-                self.placed.remove(placed)
+                self.granted.remove(placed)
                 return placed
         return None
 
-    def _others_first(self, ask: Ask) -> bool:
+    def _others_first(self, ask: Request) -> bool:
         level = self.queue.levels.get(ask.priority)
         return level is not None and level.length > 0
 
-    def _queue(self, ask: Ask, policy: Policy, now: float) -> None:
+    def _queue(self, ask: Request, policy: Policy, now: float) -> None:
         wait = self.expected_wait(ask, now)
         if wait > ask.wait_seconds:
             raise errors.DeadlineError(
                 "the deadline would pass while waiting",
                 given=f"{ask.wait_seconds:.2f} s",
                 expected=f"{wait:.2f} s or more",
-                retry_after=come_back(wait - ask.wait_seconds),
+                retry_after=clamp_retry_after(wait - ask.wait_seconds),
             )
         waiter = queues.Waiter(
             ask.key,
@@ -382,7 +382,7 @@
         )
         gone = self.queue.push(waiter, policy.queue_most)
         if gone is waiter:
-            raise self.full()
+            raise self.queue_full_error()
         if gone is not None:
             self.evicted.append(gone)
 
@@ -393,7 +393,7 @@
     def _fade(self, now: float) -> float:
         return math.exp(-(now - self.released_at) / RATE_SECONDS)
 
-    def _grant(self, ask: Ask, target: str, now: float) -> None:
+    def _grant(self, ask: Request, target: str, now: float) -> None:
         expires = now + counts.LEASE_SECONDS
-        held = counts.Held(target, expires, ask.suspect)
+        held = counts.Lease(target, expires, ask.suspect)
         self.counts.add(ask.key, held)
--- a/amaranthring/policy/affinity.py
+++ b/amaranthring/policy/affinity.py
@@ -76,13 +76,13 @@
     id: str
     load: float
     slots: int = 1
-    near: bool = True
-    missing: int = 0
-    waiting: int = 0
-    copied: int = 0
+    local: bool = True
+    uncached_tokens: int = 0
+    pending_tokens: int = 0
+    copied_tokens: int = 0
 
 
-def with_prompt(
+def choose_by_prefix(
     candidates: t.Sequence[Candidate],
     key: str,
     tokens: int,
@@ -107,16 +107,16 @@
     free = [one for one in candidates if one.load + 1 <= bound]
 
     def cost(one: Candidate) -> tuple[float, int]:
-        reading = (one.missing - one.copied) / 1000 * REQUESTS_PER_1000_TOKENS
-        reading += one.copied / 1000 * REQUESTS_PER_1000_COPIED
+        reading = (one.uncached_tokens - one.copied_tokens) / 1000 * REQUESTS_PER_1000_TOKENS
+        reading += one.copied_tokens / 1000 * REQUESTS_PER_1000_COPIED
         extra = max(0.0, one.load - mean - EVEN_LOAD)
-        extra += one.waiting / 1000 * REQUESTS_PER_1000_WAITING
+        extra += one.pending_tokens / 1000 * REQUESTS_PER_1000_WAITING
         return reading + extra, -hashing.weight(key, one.id)
 
     if not free:
         return min(candidates, key=lambda one: one.load)
     best = min(free, key=cost)
-    if best.missing == tokens:
+    if best.uncached_tokens == tokens:
         return best
     # Counts are old, so all routers would find the same one of several that
     # keep the prompt, and send it far more than its share until the next
@@ -126,8 +126,8 @@
     keeping = [
         one
         for one in free
-        if one.missing <= best.missing
-        and one.waiting <= best.waiting + SPREAD_WAITING
+        if one.uncached_tokens <= best.uncached_tokens
+        and one.pending_tokens <= best.pending_tokens + SPREAD_WAITING
         and cost(one)[0] <= most
     ]
     return _by_headroom(keeping, bound, draw)
@@ -162,7 +162,7 @@
         return None
 
     def work(one: Candidate) -> tuple[float, float]:
-        extra = 0.0 if one.near else ELSEWHERE_WORK
+        extra = 0.0 if one.local else ELSEWHERE_WORK
         return one.load / max(1, one.slots) + extra, draw()
 
     return min(candidates, key=work)
--- a/amaranthring/policy/bounds.py
+++ b/amaranthring/policy/bounds.py
@@ -11,7 +11,7 @@
 ROUNDING = 1e-9
 
 
-def most(bound: float, in_flight: int, targets: int) -> int:
+def max_load(bound: float, in_flight: int, targets: int) -> int:
     """Return how many requests one target may run.
 
     Parameters
--- a/amaranthring/policy/copies.py
+++ b/amaranthring/policy/copies.py
@@ -34,7 +34,7 @@
 
     id: str
     data_centre: str
-    kept: int
+    cached_tokens: int
     stays: bool = True
 
 
@@ -54,7 +54,7 @@
     tokens: int
 
 
-def pays(tokens: int, rate: float) -> bool:
+def is_worthwhile(tokens: int, rate: float) -> bool:
     """Return whether copying `tokens` is worth it.
 
     Parameters
@@ -68,7 +68,7 @@
     return copying <= TIME_SHARE * tokens / READ_RATE
 
 
-def best(
+def choose(
     holders: t.Iterable[Holder], asked: Holder, rate: float
 ) -> Copy | None:
     """Return the copy to make, or None if reading is as good.
@@ -86,10 +86,10 @@
 
     def order(one: Holder) -> tuple:
         near = one.data_centre == asked.data_centre
-        return one.kept, near, one.stays, one.id
+        return one.cached_tokens, near, one.stays, one.id
 
     others = [one for one in holders if one.id != asked.id]
     found = max(others, key=order, default=None)
-    if found is None or not pays(found.kept - asked.kept, rate):
+    if found is None or not is_worthwhile(found.cached_tokens - asked.cached_tokens, rate):
         return None
-    return Copy(found.id, found.kept - asked.kept)
+    return Copy(found.id, found.cached_tokens - asked.cached_tokens)
--- a/amaranthring/policy/counts.py
+++ b/amaranthring/policy/counts.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class Held:
+class Lease:
     """One grant in flight.
 
     Attributes
@@ -36,16 +36,16 @@
     suspect: bool = False
 
 
-class Counts:
+class LeaseTable:
     """Requests in flight by target."""
 
     def __init__(self):
-        self.held: dict[Key, Held] = {}
+        self.held: dict[Key, Lease] = {}
         self.serials: dict[str, set[int]] = {}
         self.load: collections.Counter[str] = collections.Counter()
         self.suspects: dict[str, Key] = {}
 
-    def add(self, key: Key, held: Held) -> None:
+    def add(self, key: Key, held: Lease) -> None:
         """Count a grant."""
         self.held[key] = held
         self.serials.setdefault(key[0], set()).add(key[1])
@@ -90,7 +90,7 @@
                 known.expires = now + LEASE_SECONDS
                 continue
             self.drop(key)
-            self.add(key, Held(target, now + LEASE_SECONDS, suspect))
+            self.add(key, Lease(target, now + LEASE_SECONDS, suspect))
 
     def keep_only(
         self, router: str, next_serial: int, known: collections.abc.Container
--- a/amaranthring/policy/estimates.py
+++ b/amaranthring/policy/estimates.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass
-class Estimate:
+class LoadEstimate:
     """What one router knows of a target's load.
 
     Attributes
@@ -34,10 +34,10 @@
         return max(self.own, self.reported)
 
 
-def choose(
+def choose_target(
     order: collections.abc.Iterable[str],
     members: dict[str, records.Target],
-    estimates: dict[str, Estimate],
+    estimates: dict[str, LoadEstimate],
     bound: float,
 ) -> str | None:
     """Return the first of `order` within the tighter bound, or None.
@@ -57,8 +57,8 @@
     count = len(members)
     own = sum(each.own for each in estimates.values())
     whole = sum(each.load for each in estimates.values())
-    own_most = bounds.most(tight, own + 1, count)
-    whole_most = bounds.most(tight, whole + 1, count)
+    own_most = bounds.max_load(tight, own + 1, count)
+    whole_most = bounds.max_load(tight, whole + 1, count)
 
     def room(name: str) -> int:
         if estimates[name].own >= own_most:
--- a/amaranthring/policy/flapping.py
+++ b/amaranthring/policy/flapping.py
@@ -42,14 +42,14 @@
     return history.penalty * 0.5 ** (elapsed / HALF_LIFE_SECONDS)
 
 
-def departed(history: History, now: float, orderly: bool) -> History:
+def record_departure(history: History, now: float, orderly: bool) -> History:
     """Return the history after one more departure at time `now`."""
     added = ORDERLY_PENALTY if orderly else CRASH_PENALTY
     total = min(PENALTY_MOST, penalty(history, now) + added)
     return History(total, now)
 
 
-def wait(history: History, now: float) -> float:
+def readmission_delay(history: History, now: float) -> float:
     """Return how many seconds a target that returns at `now` waits."""
     current = penalty(history, now)
     if current < THRESHOLD:
--- a/amaranthring/policy/limits.py
+++ b/amaranthring/policy/limits.py
@@ -16,9 +16,9 @@
     """
 
     tokens: float
-    filled: float
+    refilled_at: float
 
-    def fill(self, rate: float, burst: float, now: float) -> None:
+    def refill(self, rate: float, burst: float, now: float) -> None:
         """Add what came in since the last time.
 
         Parameters
@@ -30,9 +30,9 @@
         now : float
             Seconds on any steady clock.
         """
-        gained = max(0.0, now - self.filled) * rate
+        gained = max(0.0, now - self.refilled_at) * rate
         self.tokens = min(burst, self.tokens + gained)
-        self.filled = now
+        self.refilled_at = now
 
     def take(self, wanted: int) -> int:
         """Take up to `wanted` whole tokens and return how many."""
@@ -45,7 +45,7 @@
         return max(0.0, 1 - self.tokens) / rate
 
 
-def share_of(live: int, configured: int) -> float:
+def rate_share(live: int, configured: int) -> float:
     """Return the part of an account's rate that this side may give.
 
     With more than half of the routers in sight it is the whole rate;
--- a/amaranthring/policy/outages.py
+++ b/amaranthring/policy/outages.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class Outage:
+class OpenBreaker:
     """One target that could not be reached.
 
     Attributes
@@ -30,18 +30,18 @@
     """
 
     failures: int
-    closed_until: float
+    open_until: float
 
 
-class Outages:
+class CircuitBreakers:
     """Outages of the targets of one cell."""
 
     def __init__(self):
-        self.by_target: dict[str, Outage] = {}
+        self.by_target: dict[str, OpenBreaker] = {}
         self.witnesses: dict[str, dict[str, float]] = {}
         self.faults: dict[str, int] = {}
 
-    def faulted(
+    def record_error(
         self, target: str, targets: collections.abc.Collection[str], now: float
     ) -> bool:
         """Note that `target` took a request and failed it.
@@ -62,7 +62,7 @@
         in_a_row = self.faults.get(target, 0) + 1
         self.faults[target] = in_a_row
         known = self.by_target.get(target)
-        if known is not None and now < known.closed_until:
+        if known is not None and now < known.open_until:
             return False
         closed = len(self.by_target.keys() - {target})
         if in_a_row < FAULTS_IN_A_ROW or closed + 1 > len(targets) // 2:
@@ -70,7 +70,7 @@
         self._close(target, known, now)
         return True
 
-    def failed(
+    def record_unreachable(
         self,
         target: str,
         router: str,
@@ -96,14 +96,14 @@
         if alone and len(seen) > max(1, len(targets) // 2):
             return False
         known = self.by_target.get(target)
-        if known is not None and now < known.closed_until:
+        if known is not None and now < known.open_until:
             # Grants made before the first failure fail one after another;
             # they say nothing new.
             return False
         self._close(target, known, now)
         return True
 
-    def succeeded(self, target: str, router: str) -> None:
+    def record_success(self, target: str, router: str) -> None:
         """Note that `router` had an answer from `target`."""
         self.by_target.pop(target, None)
         self.faults.pop(target, None)
@@ -116,17 +116,17 @@
         for seen in self.witnesses.values():
             seen.pop(target, None)
 
-    def room(self, target: str, now: float, most: int) -> int:
+    def limit(self, target: str, now: float, most: int) -> int:
         """Return how many requests `target` may run, `most` if it is well."""
         outage = self.by_target.get(target)
         if outage is None:
             return most
-        return 0 if now < outage.closed_until else min(1, most)
+        return 0 if now < outage.open_until else min(1, most)
 
-    def _close(self, target: str, known: Outage | None, now: float) -> None:
+    def _close(self, target: str, known: OpenBreaker | None, now: float) -> None:
         failures = known.failures + 1 if known else 1
         wait = min(FIRST_SECONDS * 2 ** (failures - 1), MOST_SECONDS)
-        self.by_target[target] = Outage(failures, now + wait)
+        self.by_target[target] = OpenBreaker(failures, now + wait)
 
     def _witnessed(self, router: str, now: float) -> dict[str, float]:
         if len(self.witnesses) >= WITNESSES_MOST:
--- a/amaranthring/policy/patience.py
+++ b/amaranthring/policy/patience.py
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass
-class Estimate:
+class LatencyEstimate:
     """Time to the first word, in seconds."""
 
     samples: int = 0
@@ -55,23 +55,23 @@
         return self.mean + DEVIATIONS * self.deviation
 
 
-class AnswerTimes:
+class ResponseTimes:
     """Learned times to the first word, by service and tokens to read."""
 
     def __init__(self):
-        self.estimates: dict[tuple[str, int], Estimate] = (
-            collections.defaultdict(Estimate)
+        self.estimates: dict[tuple[str, int], LatencyEstimate] = (
+            collections.defaultdict(LatencyEstimate)
         )
 
-    def answered(self, service: str, reading: int, seconds: float) -> None:
+    def record(self, service: str, reading: int, seconds: float) -> None:
         """Note that a target began to answer after `seconds`."""
         self._estimate(service, reading).note(seconds)
 
-    def expired(self, service: str, reading: int, seconds: float) -> None:
+    def record_timeout(self, service: str, reading: int, seconds: float) -> None:
         """Note that an answer was awaited for `seconds` and did not come."""
         self._estimate(service, reading).note(seconds * EXPIRED_FACTOR)
 
-    def seconds(
+    def timeout(
         self, service: str, reading: int, objective_left: float
     ) -> float | None:
         """Return how long to await the first word; None if not known.
@@ -94,6 +94,6 @@
         second = estimate.bound + TURN_SECONDS
         return max(estimate.bound, objective_left - second)
 
-    def _estimate(self, service: str, reading: int) -> Estimate:
+    def _estimate(self, service: str, reading: int) -> LatencyEstimate:
         step = (max(0, reading) // READING_STEP_TOKENS).bit_length()
         return self.estimates[service, step]
--- a/amaranthring/policy/queues.py
+++ b/amaranthring/policy/queues.py
@@ -200,7 +200,7 @@
                 return waiter, target
         return None
 
-    def ahead(self, account: str, priority: int) -> float:
+    def requests_ahead(self, account: str, priority: int) -> float:
         """Return how many are served before a new request of `account`."""
         count = 0.0
         for each, level in self.levels.items():
--- a/amaranthring/policy/retries.py
+++ b/amaranthring/policy/retries.py
@@ -59,7 +59,7 @@
             collections.OrderedDict()
         )
 
-    def succeeded(self, account: str) -> None:
+    def record_success(self, account: str) -> None:
         """Note that a request of `account` succeeded."""
         for tally in self._tallies(account):
             tally.successes += 1
--- a/amaranthring/policy/suspects.py
+++ b/amaranthring/policy/suspects.py
@@ -47,7 +47,7 @@
             collections.OrderedDict()
         )
 
-    def note(
+    def record_crash(
         self, key: str, fingerprint: str, target: str, apart: bool, now: float
     ) -> Suspect:
         """Note that `target` died while `fingerprint` ran there.
@@ -94,7 +94,7 @@
         self.entries.setdefault(fingerprint, suspect)
 
 
-class Deaths:
+class RecentCrashes:
     """Recent deaths of targets, to tell a broken rack from a bad request."""
 
     def __init__(self):
@@ -106,7 +106,7 @@
         """Note that `target` died."""
         self.recent.append((now, target))
 
-    def together(self, now: float) -> bool:
+    def correlated(self, now: float) -> bool:
         """Return whether many targets died just now.
 
         A request brings down one target at a time; a rack, a switch or a
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -219,7 +219,7 @@
             is_quarantined=self.suspicion.is_quarantined,
             report_crash=self.suspicion.report_crash,
             may_retry=self.budget.may_retry,
-            succeeded=self.budget.succeeded,
+            succeeded=self.budget.record_success,
             when_lost=self.table.when_lost,
             note=self.ring.note,
             target=self.table.get,
--- a/amaranthring/routers/admission.py
+++ b/amaranthring/routers/admission.py
@@ -98,7 +98,7 @@
         if owner and ask.cell not in self.cells:
             self._ask_holdings(ask.cell, scope)
         cell = self._cell(ask.cell)
-        wanted = admission.Ask(
+        wanted = admission.Request(
             (ask.router, ask.serial),
             ask.account,
             ask.priority,
@@ -111,7 +111,7 @@
             ask.alone,
         )
         try:
-            placed = cell.ask(wanted, self._policy(ask), self.clock())
+            placed = cell.admit(wanted, self._policy(ask), self.clock())
         except errors.RefusedError as error:
             self.metrics.count(f"admission.refused.{error.code}")
             raise
@@ -124,7 +124,7 @@
             self.metrics.count("admission.queued")
             return messages.Queued()
         self.metrics.count("admission.elsewhere")
-        return messages.Elsewhere(cell.elsewhere(wanted, self.clock()))
+        return messages.Elsewhere(cell.cells_with_room(wanted, self.clock()))
 
     def on_release(self, _link, message: messages.Release) -> None:
         """Take a grant back or withdraw a waiting request."""
@@ -155,7 +155,7 @@
         cell.counts.renew(message.router, held, now)
         if not message.partial:
             known = waiting | set(held)
-            cell.forget_others(message.router, message.next_serial, known)
+            cell.release_unknown(message.router, message.next_serial, known)
             self._remind(cell, message.router, waiting)
         cell.serve(now)
         self._tell(cell)
@@ -181,14 +181,14 @@
         if self._other_owner(message.to, _scope(message.to)):
             return
         now = self.clock()
-        heard = admission.Sibling(
+        heard = admission.SiblingLoad(
             message.in_flight,
             message.targets,
             message.room,
             message.waiting,
             now,
         )
-        self._cell(message.to).heard(message.cell, heard)
+        self._cell(message.to).update_sibling(message.cell, heard)
         self.used[message.to] = now
 
     def on_describe(self, _link, message: messages.DescribeTarget):
@@ -224,7 +224,7 @@
         self.orders.clear()
         for router in self.known_live - live:
             for cell in self.cells.values():
-                cell.lost_router(router, now)
+                cell.router_lost(router, now)
         self.known_live = live
         for name in list(self.cells):
             owner = self._other_owner(name, _scope(name))
@@ -248,11 +248,11 @@
             for waiter in cell.expire(now):
                 error = errors.DeadlineError(
                     "the deadline passed while waiting",
-                    retry_after=cell.full().retry_after,
+                    retry_after=cell.queue_full_error().retry_after,
                 )
                 self.metrics.count("admission.expired")
                 self._drop(waiter.key, error)
-            if now - cell.refreshed >= REFRESH_SECONDS:
+            if now - cell.refreshed_at >= REFRESH_SECONDS:
                 # Damped and silent targets change by time alone.
                 self._refresh(cell)
             cell.serve(now)
@@ -347,7 +347,7 @@
 
     def _refresh(self, cell: admission.Cell) -> None:
         cell.set_targets(self._members(_scope(cell.name)))
-        cell.refreshed = self.clock()
+        cell.refreshed_at = self.clock()
 
     def _members(self, scope: cells.Scope):
         found = self.table.eligible(scope.kind, scope.serves[0])
@@ -391,15 +391,15 @@
         return found
 
     def _tell(self, cell: admission.Cell) -> None:
-        for placed in cell.placed:
+        for placed in cell.granted:
             router, serial = placed.key
             self.metrics.count("admission.granted")
             answer = _granted(cell.name, serial, placed)
             self._send(router, answer)
-        cell.placed.clear()
+        cell.granted.clear()
         for waiter in cell.evicted:
             self.metrics.count("admission.evicted")
-            self._drop(waiter.key, cell.full())
+            self._drop(waiter.key, cell.queue_full_error())
         cell.evicted.clear()
 
     def _drop(self, key: counts.Key, error) -> None:
--- a/amaranthring/routers/limits.py
+++ b/amaranthring/routers/limits.py
@@ -154,10 +154,10 @@
         rate = policy.rate_per_second
         if rate <= 0:
             return messages.TokensGiven(ask.wanted, LEASE_SECONDS)
-        share = limits.share_of(len(self.mesh.live()), self.configured())
+        share = limits.rate_share(len(self.mesh.live()), self.configured())
         bucket = self._bucket(ask.account, policy)
         burst = max(1.0, policy.burst * share)
-        bucket.fill(rate * share, burst, self.clock())
+        bucket.refill(rate * share, burst, self.clock())
         tokens = bucket.take(min(ask.wanted, math.ceil(burst)))
         wait = 0.0 if tokens else bucket.until_next(rate * share)
         return messages.TokensGiven(tokens, LEASE_SECONDS, wait)
@@ -211,7 +211,7 @@
         now = self.clock()
         if leased.own is None:
             leased.own = limits.Bucket(burst, now)
-        leased.own.fill(rate, burst, now)
+        leased.own.refill(rate, burst, now)
         tokens = leased.own.take(wanted)
         wait = 0.0 if tokens else leased.own.until_next(rate)
         return messages.TokensGiven(tokens, LEASE_SECONDS, wait)
--- a/amaranthring/routers/placing.py
+++ b/amaranthring/routers/placing.py
@@ -384,7 +384,7 @@
         order = known + hashing.order(search.chat, members)
         seen = {name: self._estimate(name) for name in members}
         bound = self.config().preset.load_bound
-        best = estimates.choose(order, members, seen, bound)
+        best = estimates.choose_target(order, members, seen, bound)
         if best is None:
             raise errors.QueueFullError(
                 "no owner answers and the estimates leave no room",
@@ -392,7 +392,7 @@
             )
         return self._hold(search, ask.cell, ask.serial, "", members[best])
 
-    def _estimate(self, name: str) -> estimates.Estimate:
+    def _estimate(self, name: str) -> estimates.LoadEstimate:
         report = self.table.report(name)
         reported = 0 if report is None else report.running + report.waiting
-        return estimates.Estimate(self.held.running[name], reported)
+        return estimates.LoadEstimate(self.held.running[name], reported)
--- a/amaranthring/routers/suspicion.py
+++ b/amaranthring/routers/suspicion.py
@@ -73,7 +73,7 @@
         self.clock = clock
         self.wall = wall
         self.table = suspects.SuspectTable()
-        self.lost = suspects.Deaths()
+        self.lost = suspects.RecentCrashes()
         self.apart: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
@@ -110,7 +110,7 @@
             # A second death condemns. A rack that goes shows in the table
             # within this time, and then nobody is to blame.
             await asyncio.sleep(self.confirm_seconds)
-        blamed = not self.lost.together(self.clock())
+        blamed = not self.lost.correlated(self.clock())
         logs.event(
             log,
             "request.crashed",
@@ -169,7 +169,7 @@
         """Note a death; answer whether it condemned the request."""
         before = self.of(message.fingerprint)
         already = before is not None and before.condemned
-        suspect = self.table.note(
+        suspect = self.table.record_crash(
             message.key,
             message.fingerprint,
             message.target,
--- a/amaranthring/targets/table.py
+++ b/amaranthring/targets/table.py
@@ -470,7 +470,7 @@
             if not old.lost:
                 self._departed(old, now)
             entry.history = old.history
-            entry.ready_at = now + flapping.wait(entry.history, now)
+            entry.ready_at = now + flapping.readmission_delay(entry.history, now)
         if record.leaving:
             entry.left = heard
         # A record whose evidence is already old comes from another router's
@@ -511,7 +511,7 @@
         if entry.lost and not self._ran_out(entry, now):
             entry.lost = False
             self._toggle(entry)
-            entry.ready_at = now + flapping.wait(entry.history, now)
+            entry.ready_at = now + flapping.readmission_delay(entry.history, now)
             self.metrics.count("targets.returned")
             logs.event(log, "target.returned", name=entry.target.name)
             self._tell(entry.target.name)
@@ -526,7 +526,7 @@
 
     def _departed(self, entry: entries.Entry, now: float) -> None:
         orderly = entry.version.leaving
-        entry.history = flapping.departed(entry.history, now, orderly)
+        entry.history = flapping.record_departure(entry.history, now, orderly)
         future = self._lost.pop(entry.target.name, None)
         if future is not None and not future.done():
             future.set_result(entry.target.name)
--- a/amaranthring/testing/scripted.py
+++ b/amaranthring/testing/scripted.py
@@ -54,11 +54,11 @@
         host=headers.get("Host", ""),
         headers=kept,
         arrived=arrived,
-        patience=float(headers.get(PATIENCE, "5")),
+        timeout=float(headers.get(PATIENCE, "5")),
         key=headers.get(KEY, ""),
         resume_after=headers.get(LAST, ""),
         parts=tuple(
-            records.Part(part.split(":")[0], int(part.split(":")[1]))
+            records.PromptPart(part.split(":")[0], int(part.split(":")[1]))
             for part in parts
         ),
     )
@@ -78,13 +78,13 @@
     return headers
 
 
-def read_answer(status, headers) -> records.Answer:
+def read_answer(status, headers) -> records.ResponseHead:
     """Read the head of an answer."""
     kept = tornado.httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name not in ("Connection", "Content-Length", "Transfer-Encoding"):
             kept.add(name, value)
-    return records.Answer(
+    return records.ResponseHead(
         status,
         kept,
         headers.get(ID, ""),
@@ -326,7 +326,7 @@
         self.targets = targets.TargetTable(time.monotonic, 0.0)
         self.placer = placing.Placer(self.targets, "here")
         counters = metrics.Metrics()
-        start = starting.Start(counters, self.first_plan, lambda: self.cut_off)
+        start = starting.StartupGate(counters, self.first_plan, lambda: self.cut_off)
         self.relay = relays.Relay(
             DIALECT,
             lambda: self.table,
@@ -337,7 +337,7 @@
             counters,
             start=start,
         )
-        self.front = fronts.Front(
+        self.front = fronts.Frontend(
             DIALECT, self.relay.serve, lambda: plan.bounds
         )
         sockets = tornado.netutil.bind_sockets(
--- a/tests/test_account_limits.py
+++ b/tests/test_account_limits.py
@@ -107,7 +107,7 @@
 
     def test_retries_are_a_share_of_successes(self):
         for _ in range(100):
-            self.budget.succeeded("a")
+            self.budget.record_success("a")
         allowed = sum(self.budget.may_retry("a") for _ in range(100))
         self.assertLessEqual(allowed, 11)
         self.assertGreaterEqual(allowed, 10)
@@ -115,7 +115,7 @@
     def test_one_account_does_not_spend_the_others_budget(self):
         for account in ("a", "b"):
             for _ in range(100):
-                self.budget.succeeded(account)
+                self.budget.record_success(account)
         for _ in range(100):
             self.budget.may_retry("a")
         self.assertTrue(self.budget.may_retry("b"))
@@ -124,5 +124,5 @@
         self.assertTrue(self.budget.may_retry("a"))
         self.assertFalse(self.budget.may_retry("a"))
         for _ in range(20):
-            self.budget.succeeded("a")
+            self.budget.record_success("a")
         self.assertTrue(self.budget.may_retry("a"))
--- a/tests/test_bench_retries.py
+++ b/tests/test_bench_retries.py
@@ -26,10 +26,10 @@
         # One account's malformed requests fail on every engine; believing
         # it of every engine would refuse all other accounts.
         names = [f"e{number}" for number in range(4)]
-        seen = outages.Outages()
+        seen = outages.CircuitBreakers()
         for turn in range(20):
             for name in names:
-                seen.faulted(name, names, turn / 10)
+                seen.record_error(name, names, turn / 10)
         self.assertLessEqual(len(seen.by_target), 2)
 
     def test_surge_of_two_accounts_leaves_the_others_their_time(self):
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -26,18 +26,18 @@
         self.serial += 1
         priority = fields.pop("priority", 1)
         key = (router, self.serial)
-        asked = admission.Ask(
+        asked = admission.Request(
             key, account, priority, str(self.serial), wait, **fields
         )
-        return self.cell.ask(asked, self.policy, now)
+        return self.cell.admit(asked, self.policy, now)
 
     def fill(self, count=4):
         return [self.ask().key for _ in range(count)]
 
     def served(self, key, now):
         self.cell.release(key, now)
-        placed = [each.key[1] for each in self.cell.placed]
-        self.cell.placed.clear()
+        placed = [each.key[1] for each in self.cell.granted]
+        self.cell.granted.clear()
         return placed
 
     def test_waiting_request_gets_the_first_free_target(self):
@@ -137,7 +137,7 @@
         self.ask(router="alive")
         self.cell.expire(counts.LEASE_SECONDS)
         self.cell.serve(counts.LEASE_SECONDS)
-        self.assertEqual(len(self.cell.placed), 1)
+        self.assertEqual(len(self.cell.granted), 1)
 
     def test_unreachable_target_is_no_part_of_the_mean(self):
         # Of two engines one died. The other stood at its bound at once, and
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -20,38 +20,38 @@
         whole = stream(1, 30)
         draw = random.Random(1)
         for _ in range(20):
-            cutter = events.EventCutter()
+            cutter = events.EventSplitter()
             got = b""
             at = 0
             while at < len(whole):
                 size = draw.randrange(1, 40)
-                got += cutter.take(whole[at : at + size])
+                got += cutter.feed(whole[at : at + size])
                 at += size
             self.assertEqual(whole, got)
             self.assertEqual(29, cutter.last)
 
     def test_begun_event_is_dropped_when_another_target_goes_on(self):
-        cutter = events.EventCutter()
-        self.assertEqual(stream(1, 3), cutter.take(stream(1, 3) + b"id: 3\nd"))
-        cutter.go_on()
-        self.assertEqual(stream(3, 5), cutter.take(stream(3, 5)))
+        cutter = events.EventSplitter()
+        self.assertEqual(stream(1, 3), cutter.feed(stream(1, 3) + b"id: 3\nd"))
+        cutter.discard_partial()
+        self.assertEqual(stream(3, 5), cutter.feed(stream(3, 5)))
 
     def test_events_that_the_caller_has_are_dropped(self):
-        cutter = events.EventCutter(3)
-        self.assertEqual(stream(4, 6), cutter.take(stream(2, 6)))
+        cutter = events.EventSplitter(3)
+        self.assertEqual(stream(4, 6), cutter.feed(stream(2, 6)))
 
     def test_gap_is_a_fault(self):
-        cutter = events.EventCutter(3)
+        cutter = events.EventSplitter(3)
         with self.assertRaises(errors.TruncatedAnswerError):
-            cutter.take(stream(5, 6))
+            cutter.feed(stream(5, 6))
 
     def test_first_lines_before_the_number_pass(self):
-        cutter = events.EventCutter()
+        cutter = events.EventSplitter()
         data = b"version: 3\nid: 7\ndata: x\n\n"
-        self.assertEqual(data, cutter.take(data))
+        self.assertEqual(data, cutter.feed(data))
         self.assertEqual(7, cutter.last)
 
     def test_event_without_end_is_bounded(self):
-        cutter = events.EventCutter()
+        cutter = events.EventSplitter()
         with self.assertRaises(errors.UpstreamError):
-            cutter.take(b"x" * (events.EVENT_BYTES_MOST + 1))
+            cutter.feed(b"x" * (events.MAX_EVENT_BYTES + 1))
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -14,8 +14,8 @@
         history = flapping.History()
         waits = []
         for number in range(12):
-            history = flapping.departed(history, float(number), False)
-            waits.append(flapping.wait(history, float(number)))
+            history = flapping.record_departure(history, float(number), False)
+            waits.append(flapping.readmission_delay(history, float(number)))
         self.assertEqual(waits[0], 0.0)
         self.assertGreater(waits[1], 0.0)
         self.assertEqual(waits, sorted(waits))
@@ -24,14 +24,14 @@
     def test_a_quiet_time_clears_it(self):
         history = flapping.History()
         for number in range(5):
-            history = flapping.departed(history, float(number), False)
+            history = flapping.record_departure(history, float(number), False)
         later = 5.0 + 4 * flapping.HALF_LIFE_SECONDS
-        self.assertEqual(flapping.wait(history, later), 0.0)
+        self.assertEqual(flapping.readmission_delay(history, later), 0.0)
 
     def test_orderly_departures_count_half(self):
-        history = flapping.departed(flapping.History(), 0.0, True)
-        history = flapping.departed(history, 0.0, True)
-        self.assertEqual(flapping.wait(history, 0.0), 0.0)
+        history = flapping.record_departure(flapping.History(), 0.0, True)
+        history = flapping.record_departure(history, 0.0, True)
+        self.assertEqual(flapping.readmission_delay(history, 0.0), 0.0)
 
 
 class TestLateness(unittest.TestCase):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -141,7 +141,7 @@
         to itself. They were answered 2.1 s later, by the other four.
         """
         await self.begin(scripted.whole())
-        self.router.relay.start.began_at -= starting.START_SECONDS
+        self.router.relay.startup.started_at -= starting.START_SECONDS
         self.router.fresh = False
         got = await self.ask("/e/x", Test_Key="key-1")
         self.assertEqual("2", got.headers["Retry-After"])
@@ -206,7 +206,7 @@
 
     async def test_nobody_waits_once_the_start_is_over(self):
         await self.begin_without_plan()
-        self.router.relay.start.began_at -= starting.START_SECONDS
+        self.router.relay.startup.started_at -= starting.START_SECONDS
         got = await self.ask("/d/x", "POST", Test_Patience="10")
         self.assertEqual(503, got.status)
         self.assertLess(got.seconds, 0.2)
@@ -216,9 +216,9 @@
         asked = asyncio.ensure_future(
             self.ask("/d/x", "POST", Test_Patience="10")
         )
-        await self.until(lambda: self.router.front.running)
+        await self.until(lambda: self.router.front.in_flight)
         asked.cancel()
-        await self.until(lambda: not self.router.front.running)
+        await self.until(lambda: not self.router.front.in_flight)
         self.router.table = table
         self.router.first_plan.set()
         self.assertEqual(0, self.ran())
@@ -301,7 +301,7 @@
             self.assertEqual(503, (await self.ask("/a/odd")).status)
             self.assertEqual(200, (await self.ask("/a/x")).status)
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
-        self.assertEqual([], self.router.placer.unreached())
+        self.assertEqual([], self.router.placer.unreachable_targets())
 
     async def test_target_that_refuses_what_others_take_is_left(self):
         """A booking replica refuses all though it has free places.
@@ -457,7 +457,7 @@
         # The second one is asked after 0.3 s, with 0.2 s to spare for a
         # machine on which other tests run.
         for _ in range(10):
-            self.router.relay.answer_times.answered("s", 0, 0.15)
+            self.router.relay.response_times.record("s", 0, 0.15)
         self.router.placer.views["t1"].running = 3
         got = await self.ask("/c/x", "POST")
         self.assertTrue(got.whole)
@@ -472,21 +472,21 @@
         """
         await self.begin()
         for _ in range(10):
-            self.router.relay.answer_times.answered("s", 0, 0.02)
+            self.router.relay.response_times.record("s", 0, 0.02)
         late = mock.Mock()
         late.open.side_effect = errors.UpstreamTimeoutError("too long")
-        passage = records.Passage(
+        passage = records.RequestContext(
             mock.Mock(), UNSAFE, "", "s", 1, time.monotonic()
         )
         with self.assertRaises(errors.UpstreamTimeoutError):
             await self.router.relay._open(passage, late)
-        learned = self.router.relay.answer_times.seconds("s", 0, 0.5)
+        learned = self.router.relay.response_times.timeout("s", 0, 0.5)
         self.assertLess(learned, 1.0)
 
     async def test_stream_that_runs_once_waits_for_its_target(self):
         await self.begin(scripted.mute(), scripted.events(3))
         for _ in range(10):
-            self.router.relay.answer_times.answered("s", 0, 0.02)
+            self.router.relay.response_times.record("s", 0, 0.02)
         self.router.placer.views["t1"].running = 3
         got = await self.ask("/d/x", "POST", Test_Patience="0.7")
         self.assertEqual(504, got.status)
@@ -604,7 +604,7 @@
         """
         await self.begin(scripted.whole())
         self.router.front.closing = True
-        self.router.front.ends_at = 0.0
+        self.router.front.shutdown_at = 0.0
         got = await self.ask("/b/x", "POST")
         self.assertEqual(503, got.status)
         self.assertEqual(0, self.ran())
@@ -617,9 +617,9 @@
         """
         await self.begin(scripted.whole())
         reader, writer = await asyncio.open_connection(*self.router.address)
-        await self.until(lambda: self.router.front.waiting)
+        await self.until(lambda: self.router.front.idle)
         writer.write(b"GET /a/x HTTP/1.1\r\nHost: h\r\nTest-Id: r\r\n\r\n")
-        (connection,) = self.router.front.waiting
+        (connection,) = self.router.front.idle
         stream = connection.stream
         original = stream._read_to_buffer
 
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -23,7 +23,7 @@
 
 
 def ask(serial, remembered="", router="r1"):
-    return admission.Ask(
+    return admission.Request(
         (router, serial), "a", 1, "chat", 10.0, remembered=(remembered,)
     )
 
@@ -39,7 +39,7 @@
     def grant(self, now, remembered="e1", router="r1"):
         self.serial += 1
         wanted = ask(self.serial, remembered, router)
-        placed = self.cell.ask(wanted, admission.Policy(bound=3.0), now)
+        placed = self.cell.admit(wanted, admission.Policy(bound=3.0), now)
         return placed.key, placed.target
 
     def test_dead_engine_costs_few_retries(self):
@@ -82,8 +82,8 @@
         Its callers fail everywhere. Believing its word about every engine
         would refuse all other callers of the cell with it.
         """
-        cell = outages.Outages()
+        cell = outages.CircuitBreakers()
         names = ("e1", "e2", "e3")
-        closed = [cell.failed(n, "broken", names, 0.0) for n in names]
+        closed = [cell.record_unreachable(n, "broken", names, 0.0) for n in names]
         self.assertEqual(closed.count(True), 1)
-        self.assertTrue(cell.failed("e2", "other", names, 0.1))
+        self.assertTrue(cell.record_unreachable("e2", "other", names, 0.1))
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -26,12 +26,12 @@
 
     def setUp(self):
         self.random = random.Random(5)
-        self.times = patience.AnswerTimes()
+        self.times = patience.ResponseTimes()
         for _ in range(200):
-            self.times.answered("s", 0, first_event(self.random))
+            self.times.record("s", 0, first_event(self.random))
 
     def wait(self, reading=0, left=OBJECTIVE):
-        return self.times.seconds("s", reading, left)
+        return self.times.timeout("s", reading, left)
 
     def test_second_target_is_asked_in_time_for_the_objective(self):
         """A data centre is cut off, and its targets answer nothing.
@@ -55,18 +55,18 @@
         for number in range(400):
             seconds, wait = 4 * first_event(self.random), self.wait()
             if seconds > wait:
-                self.times.expired("s", 0, wait)
+                self.times.record_timeout("s", 0, wait)
                 expired += number >= 100
             else:
-                self.times.answered("s", 0, seconds)
+                self.times.record("s", 0, seconds)
         self.assertLess(expired / 300, 0.05)
 
     def test_prompts_to_be_read_have_a_time_of_their_own(self):
         self.assertIsNone(self.wait(reading=10_000))
         for _ in range(patience.SAMPLES_LEAST):
-            self.times.answered("s", 9_000, 0.2)
+            self.times.record("s", 9_000, 0.2)
         self.assertGreater(self.wait(reading=10_000), 0.2)
         self.assertLess(self.wait(), 0.3)
 
     def test_nothing_is_known_at_first(self):
-        self.assertIsNone(patience.AnswerTimes().seconds("s", 0, 0.4))
+        self.assertIsNone(patience.ResponseTimes().timeout("s", 0, 0.4))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -219,8 +219,8 @@
             Last_Event_Id="12",
         )
         self.assertEqual(("r1", 1.5, "key"), (
-            found.request_id, found.patience, found.key))  # fmt: skip
-        self.assertEqual(records.Part("b2", 410), found.parts[1])
+            found.request_id, found.timeout, found.key))  # fmt: skip
+        self.assertEqual(records.PromptPart("b2", 410), found.parts[1])
         self.assertEqual(("12", 80), (found.resume_after, found.output_tokens))
         self.assertEqual("/a/x", found.path)
         self.assertEqual("/a/x?q=1", found.uri)
@@ -249,7 +249,7 @@
         )
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
         sent = headers.request_headers(
-            found, records.Sending(target, "t1", 0.9994, "3")
+            found, records.AttemptInfo(target, "t1", 0.9994, "3")
         )
         self.assertEqual("i-1", sent["Amaranthring-Expect-Replica"])
         self.assertEqual("t1", sent["Amaranthring-Tenant"])
@@ -287,20 +287,20 @@
         ):
             with self.subTest(name=name):
                 found = request(**{name.lower().replace("-", "_"): "9"})
-                sending = records.Sending(target, "", float("inf"))
+                sending = records.AttemptInfo(target, "", float("inf"))
                 sent = headers.request_headers(found, sending)
                 self.assertNotIn("9", sent.values())
 
     def test_target_is_told_where_to_copy_the_prompt_from(self):
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
-        sending = records.Sending(target, "t1", 1.0, copy_from="v:2")
+        sending = records.AttemptInfo(target, "t1", 1.0, copy_from="v:2")
         sent = headers.request_headers(request(), sending)
         self.assertEqual("v:2", sent["Kv-Fetch"])
 
     def test_account_is_not_forged_on_a_public_route(self):
         found = request(Amaranthring_Tenant="forged")
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
-        sent = headers.request_headers(found, records.Sending(target, "", 1.0))
+        sent = headers.request_headers(found, records.AttemptInfo(target, "", 1.0))
         self.assertNotIn("Amaranthring-Tenant", sent)
 
 
@@ -432,7 +432,7 @@
         first, second = self.hub.announced
         self.assertNotEqual(first.id, second.id)
         self.assertEqual(("i-1", "i-1"), (first.name, second.name))
-        sending = records.Sending(second, "", 1.0)
+        sending = records.AttemptInfo(second, "", 1.0)
         sent = headers.request_headers(request(), sending)
         self.assertEqual("i-1", sent["Amaranthring-Expect-Replica"])
         await self.call(
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -64,7 +64,7 @@
         self.copied = 0
         self.names = 0
         self.running: list[
-            tuple[float, messages.TargetRecord, records.Passage]
+            tuple[float, messages.TargetRecord, records.RequestContext]
         ] = []
 
     def add(self) -> None:
@@ -96,8 +96,8 @@
             shared = (f"long{self.random.randrange(16)}", 10_000)
         else:
             shared = (f"short{self.random.randrange(85)}", 1_000)
-        own = records.Part(f"own{self.random.random()}", 200)
-        return (records.Part(*shared), own)
+        own = records.PromptPart(f"own{self.random.random()}", 200)
+        return (records.PromptPart(*shared), own)
 
     def ask(self) -> None:
         """Place one request."""
@@ -105,7 +105,7 @@
         incoming = records.Incoming(
             "r", "POST", "/", "/", "h", None, self.now, parts=self.parts()
         )
-        passage = records.Passage(
+        passage = records.RequestContext(
             incoming, route(), "", "s", 1, self.now + 10, self.engine
         )
         target = self.placer.choose(passage)
@@ -130,7 +130,7 @@
         """End the requests whose time has come."""
         for ends, target, passage in list(self.running):
             if ends <= self.now:
-                self.placer.has_read(target, passage)
+                self.placer.prefill_done(target, passage)
                 self.placer.end(target, passage)
                 self.running.remove((ends, target, passage))
 
@@ -184,16 +184,16 @@
     """Copying against reading."""
 
     def test_long_parts_over_fast_links(self):
-        self.assertTrue(copies.pays(10_000, ENGINE.copy_rate))
-        self.assertTrue(copies.pays(500, ENGINE.copy_rate))
+        self.assertTrue(copies.is_worthwhile(10_000, ENGINE.copy_rate))
+        self.assertTrue(copies.is_worthwhile(500, ENGINE.copy_rate))
 
     def test_few_tokens_are_read_before_a_copy_begins(self):
-        self.assertFalse(copies.pays(100, ENGINE.copy_rate))
-        self.assertFalse(copies.pays(0, ENGINE.copy_rate))
+        self.assertFalse(copies.is_worthwhile(100, ENGINE.copy_rate))
+        self.assertFalse(copies.is_worthwhile(0, ENGINE.copy_rate))
 
     def test_slow_links_or_none(self):
-        self.assertFalse(copies.pays(10_000, SLOW_LINKS.copy_rate))
-        self.assertFalse(copies.pays(10_000, 0.0))
+        self.assertFalse(copies.is_worthwhile(10_000, SLOW_LINKS.copy_rate))
+        self.assertFalse(copies.is_worthwhile(10_000, 0.0))
         self.assertEqual(0.0, routing.Engine(64, 1000).copy_rate)
 
     def test_the_engine_that_keeps_most_then_a_near_one(self):
@@ -202,15 +202,15 @@
         near = copies.Holder("near", "here", 5_000)
         most = copies.Holder("most", "there", 9_000)
         rate = ENGINE.copy_rate
-        self.assertEqual("near", copies.best([far, near], asked, rate).source)
-        best = copies.best([far, most, near], asked, rate)
+        self.assertEqual("near", copies.choose([far, near], asked, rate).source)
+        best = copies.choose([far, most, near], asked, rate)
         self.assertEqual(copies.Copy("most", 9_000), best)
 
     def test_nobody_keeps_more(self):
         asked = copies.Holder("a", "here", 5_000)
         same = copies.Holder("b", "here", 5_000)
-        self.assertIsNone(copies.best([asked, same], asked, ENGINE.copy_rate))
-        self.assertIsNone(copies.best([], asked, ENGINE.copy_rate))
+        self.assertIsNone(copies.choose([asked, same], asked, ENGINE.copy_rate))
+        self.assertIsNone(copies.choose([], asked, ENGINE.copy_rate))
 
 
 class TestSources(unittest.TestCase):
@@ -224,16 +224,16 @@
                 messages.TargetRecord(name, "s", f"{name}:1", "here")
             )
         self.placer = placing.Placer(self.table, "here", lambda: self.now)
-        self.parts = (records.Part("a", 10_000), records.Part("own", 10))
+        self.parts = (records.PromptPart("a", 10_000), records.PromptPart("own", 10))
         self.old = self.table.entries["e0"].record
         self.new = self.table.entries["e1"].record
-        self.placer.prompts.sent(self.parts, "e0")
+        self.placer.prefixes.record_sent(self.parts, "e0")
 
     def passage(self, engine=ENGINE):
         incoming = records.Incoming(
             "r", "POST", "/", "/", "h", None, self.now, parts=self.parts
         )
-        return records.Passage(incoming, route(), "", "s", 1, 200.0, engine)
+        return records.RequestContext(incoming, route(), "", "s", 1, 200.0, engine)
 
     def copy(self, engine=ENGINE):
         return self.placer.copy_for(self.passage(engine), self.new)
@@ -245,15 +245,15 @@
         the prompt is read twice.
         """
         self.assertIsNone(self.copy())
-        self.now += prompts.READ_SECONDS
+        self.now += prompts.PREFILL_SECONDS
         self.assertEqual("e0", self.copy().source)
-        self.assertEqual("e0:1", self.placer.address_of(self.copy()))
+        self.assertEqual("e0:1", self.placer.source_address(self.copy()))
 
     def test_first_event_shows_that_it_was_read(self):
         self.placer.begin(self.old, passage := self.passage())
         self.placer.end(self.old, passage)
         self.assertIsNone(self.copy())
-        self.placer.has_read(self.old, passage)
+        self.placer.prefill_done(self.old, passage)
         self.assertEqual("e0", self.copy().source)
 
     def test_engine_that_drains_is_a_source_until_it_is_gone(self):
@@ -278,12 +278,12 @@
 
     def test_engine_whose_address_another_has_is_none(self):
         self.now += 1.0
-        self.placer.replaced(self.old)
+        self.placer.record_replaced(self.old)
         self.assertIsNone(self.copy())
 
     def test_engine_that_cannot_be_reached_is_none(self):
         self.now += 1.0
-        self.placer.failed(self.old, reached=False)
+        self.placer.record_failure(self.old, reached=False)
         self.assertIsNone(self.copy())
 
     def test_engines_that_do_not_copy(self):
--- a/tests/test_prompt_placing.py
+++ b/tests/test_prompt_placing.py
@@ -44,7 +44,7 @@
         self.random = random.Random(seed)
         self.hot_share = hot_share
         self.now = 1000.0
-        self.places = prompts.PromptPlaces(lambda: self.now)
+        self.places = prompts.PrefixIndex(lambda: self.now)
         self.running: list[tuple[float, float, str]] = []
         self.read: dict[str, set[str]] = collections.defaultdict(set)
         self.read_again = 0
@@ -68,8 +68,8 @@
             shared = (f"long{self.random.randrange(16)}", 10_000)
         else:
             shared = (f"short{self.random.randrange(85)}", 1_000)
-        own = records.Part(f"own{self.random.random()}", 200)
-        return (records.Part(*shared), own)
+        own = records.PromptPart(f"own{self.random.random()}", 200)
+        return (records.PromptPart(*shared), own)
 
     def count(self, parts, engine: str) -> None:
         """Account for a request at `engine`."""
@@ -82,7 +82,7 @@
             if holders and engine not in holders:
                 self.read_again += part.tokens
             holders.add(engine)
-        self.places.sent(parts, engine)
+        self.places.record_sent(parts, engine)
 
     def load(self, engine: str) -> int:
         """Return the requests at `engine` as a router knows them."""
@@ -110,12 +110,12 @@
             day.load(engine),
             64,
             True,
-            day.places.missing(parts, engine),
+            day.places.uncached_tokens(parts, engine),
         )
         for engine in ENGINES
     ]
     tokens = sum(part.tokens for part in parts)
-    return affinity.with_prompt(
+    return affinity.choose_by_prefix(
         candidates, parts[-2].id, tokens, day.random.random
     ).id
 
@@ -165,7 +165,7 @@
             affinity.Candidate("e0", 1, 64, True, missing[0], waiting[0]),
             affinity.Candidate("e1", 1, 64, True, missing[1], waiting[1]),
         ]
-        return affinity.with_prompt(candidates, "key", 10_000).id
+        return affinity.choose_by_prefix(candidates, "key", 10_000).id
 
     def test_cold_prompts_spread(self):
         """A day begins: no engine holds any of the long beginnings.
@@ -191,28 +191,28 @@
 
     def setUp(self):
         self.now = 1000.0
-        self.places = prompts.PromptPlaces(lambda: self.now)
+        self.places = prompts.PrefixIndex(lambda: self.now)
         self.parts = (
-            records.Part("a", 100),
-            records.Part("b", 1000),
-            records.Part("own", 10),
+            records.PromptPart("a", 100),
+            records.PromptPart("b", 1000),
+            records.PromptPart("own", 10),
         )
 
     def test_part_counts_only_behind_all_before_it(self):
-        self.places.heard([("b", "e0")])
-        self.assertEqual(1110, self.places.missing(self.parts, "e0"))
-        self.places.heard([("a", "e0")])
-        self.assertEqual(10, self.places.missing(self.parts, "e0"))
-        self.assertEqual(1110, self.places.missing(self.parts, "e1"))
+        self.places.merge([("b", "e0")])
+        self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e0"))
+        self.places.merge([("a", "e0")])
+        self.assertEqual(10, self.places.uncached_tokens(self.parts, "e0"))
+        self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e1"))
 
     def test_others_hear_of_shared_parts_once_in_a_while(self):
-        self.places.sent(self.parts, "e0")
-        self.places.sent(self.parts, "e0")
+        self.places.record_sent(self.parts, "e0")
+        self.places.record_sent(self.parts, "e0")
         told = [("a", "e0"), ("b", "e0")]
-        self.assertEqual(told, self.places.take_news())
+        self.assertEqual(told, self.places.take_updates())
         self.now += prompts.TELL_AGAIN_SECONDS + 1
-        self.places.sent(self.parts, "e0")
-        self.assertEqual(told, self.places.take_news())
+        self.places.record_sent(self.parts, "e0")
+        self.assertEqual(told, self.places.take_updates())
 
     def test_part_is_as_urgent_as_the_longest_beginning_that_it_is_in(self):
         """Routers hear of the most urgent parts first when they are behind.
@@ -220,22 +220,22 @@
         The short instructions that all prompts begin with came last, and no
         long part was found behind them.
         """
-        self.places.sent(self.parts, "e0")
-        self.places.sent([self.parts[0], self.parts[2]], "e0")
-        self.assertEqual({"a": 1100, "b": 1100}, self.places.tokens)
-        self.places.take_news()
-        self.assertEqual({}, self.places.tokens)
+        self.places.record_sent(self.parts, "e0")
+        self.places.record_sent([self.parts[0], self.parts[2]], "e0")
+        self.assertEqual({"a": 1100, "b": 1100}, self.places.prefix_tokens)
+        self.places.take_updates()
+        self.assertEqual({}, self.places.prefix_tokens)
 
     def test_what_is_not_used_is_forgotten(self):
-        self.places.sent(self.parts, "e0")
+        self.places.record_sent(self.parts, "e0")
         self.now += prompts.KEPT_SECONDS + 1
-        self.assertEqual(1110, self.places.missing(self.parts, "e0"))
-        self.places.forget({"e0"})
+        self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e0"))
+        self.places.prune({"e0"})
         self.assertEqual({}, dict(self.places._places))
 
     def test_number_of_parts_is_bounded(self):
         for number in range(prompts.PARTS_MOST + 10):
-            self.places.heard([(str(number), "e0")])
+            self.places.merge([(str(number), "e0")])
         self.assertEqual(prompts.PARTS_MOST, len(self.places._places))
 
 
@@ -251,7 +251,7 @@
 
     def test_nobody(self):
         self.assertIsNone(affinity.least_loaded([]))
-        self.assertIsNone(affinity.with_prompt([], "a", 1))
+        self.assertIsNone(affinity.choose_by_prefix([], "a", 1))
 
 
 class TestRetryBudget(unittest.TestCase):
@@ -294,7 +294,7 @@
         for name in ("e0", "e1"):
             table.merge(messages.TargetRecord(name, "s", f"{name}:1", "here"))
         self.placer = placing.Placer(table, "here", lambda: self.now)
-        self.parts = (records.Part("a", 10_000), records.Part("own", 10))
+        self.parts = (records.PromptPart("a", 10_000), records.PromptPart("own", 10))
         self.first = self.chosen()
 
     def chosen(self, idempotent=True):
@@ -305,20 +305,20 @@
             "r", "h", "/", routing.Kind.STREAM, 5.0, 0.5, 0, (),
             with_prompt=True, resumable=idempotent,
         )  # fmt: skip
-        passage = records.Passage(incoming, route, "", "s", 1, 200.0)
+        passage = records.RequestContext(incoming, route, "", "s", 1, 200.0)
         return self.placer.choose(passage)
 
     def hear(self, unreached):
-        self.placer.others_said(sharing.Others({}, [], unreached))
+        self.placer.update_from_others(sharing.Others({}, [], unreached))
 
     def test_one_broken_answer_moves_no_prompt(self):
         """Engines lose a few answers in a hundred for some seconds.
 
         Left at each of them, long prompts went round all engines.
         """
-        self.placer.failed(self.first, reached=True)
+        self.placer.record_failure(self.first, reached=True)
         self.assertEqual(self.first, self.chosen())
-        self.placer.failed(self.first, reached=True)
+        self.placer.record_failure(self.first, reached=True)
         self.assertNotEqual(self.first, self.chosen())
 
     def test_one_broken_answer_moves_what_runs_only_once(self):
@@ -329,11 +329,11 @@
         """
         other = self.chosen(idempotent=False)
         self.assertEqual(self.first, other)
-        self.placer.failed(self.first, reached=True)
+        self.placer.record_failure(self.first, reached=True)
         self.assertNotEqual(self.first, self.chosen(idempotent=False))
         self.now += placing.FAILING_SECONDS
         self.assertEqual(self.first, self.chosen(idempotent=False))
-        self.placer.others_said(
+        self.placer.update_from_others(
             sharing.Others({}, [], failing={self.first.id: 1})
         )
         self.assertNotEqual(self.first, self.chosen(idempotent=False))
@@ -341,19 +341,19 @@
 
     def test_engines_that_all_fail_share_the_load(self):
         every = dict.fromkeys(self.placer.table.entries, 1)
-        self.placer.others_said(sharing.Others({}, [], failing=every))
+        self.placer.update_from_others(sharing.Others({}, [], failing=every))
         self.assertEqual(self.first, self.chosen(idempotent=False))
 
     def test_target_that_is_not_there_is_left_at_once(self):
-        self.placer.failed(self.first, reached=False)
+        self.placer.record_failure(self.first, reached=False)
         self.assertNotEqual(self.first, self.chosen())
-        self.now += placing.AVOID_SECONDS
+        self.now += placing.BACKOFF_SECONDS
         self.assertEqual(self.first, self.chosen())
 
     def test_an_answer_makes_good(self):
-        self.placer.failed(self.first, reached=True)
-        self.placer.did_well(self.first)
-        self.placer.failed(self.first, reached=True)
+        self.placer.record_failure(self.first, reached=True)
+        self.placer.record_success(self.first)
+        self.placer.record_failure(self.first, reached=True)
         self.assertEqual(self.first, self.chosen())
 
     def test_target_that_others_cannot_reach_is_left_too(self):
@@ -365,19 +365,19 @@
         self.assertEqual(self.first, self.chosen())
         self.hear({self.first.id: 2})
         self.assertNotEqual(self.first, self.chosen())
-        self.assertTrue(self.placer.is_doubtful(self.first))
-        self.now += placing.DOUBT_SECONDS
+        self.assertTrue(self.placer.failed_recently(self.first))
+        self.now += placing.PEER_REPORT_SECONDS
         self.assertEqual(self.first, self.chosen())
 
     def test_word_of_others_does_not_count_against_own_answers(self):
-        self.placer.did_well(self.first)
+        self.placer.record_success(self.first)
         self.hear({self.first.id: 5})
         self.assertEqual(self.first, self.chosen())
 
     def test_if_all_fail_one_is_tried_still(self):
         for record in list(self.placer.table.current()):
-            self.placer.failed(record, reached=True)
-            self.placer.failed(record, reached=True)
+            self.placer.record_failure(record, reached=True)
+            self.placer.record_failure(record, reached=True)
         self.assertIsNotNone(self.chosen())
 
     def test_if_none_can_be_reached_the_caller_is_told_at_once(self):
@@ -387,9 +387,9 @@
         refused in the end, too late to go elsewhere.
         """
         for record in list(self.placer.table.current()):
-            self.placer.failed(record, reached=False)
+            self.placer.record_failure(record, reached=False)
         self.assertIsNone(self.chosen())
-        self.now += placing.AVOID_SECONDS
+        self.now += placing.BACKOFF_SECONDS
         self.assertIsNotNone(self.chosen())
 
     def test_silent_target_that_answers_keeps_its_prompts(self):
@@ -399,7 +399,7 @@
         targets would give their prompts away.
         """
         record = dataclasses.replace(self.first, silent=True)
-        self.placer.did_well(self.first)
+        self.placer.record_success(self.first)
         self.placer.table.merge(record)
         self.assertEqual(self.first.id, self.chosen().id)
         self.now += placing.ANSWERED_SECONDS
@@ -423,14 +423,14 @@
             name = f"e{number}"
             table.merge(messages.TargetRecord(name, "s", f"{name}:1", "here"))
         placer = placing.Placer(table, "here", lambda: now)
-        placer.did_well(table.entries["e0"].record)
+        placer.record_success(table.entries["e0"].record)
         unreached = dict.fromkeys(table.entries, 3)
-        placer.others_said(sharing.Others({}, [], unreached))
+        placer.update_from_others(sharing.Others({}, [], unreached))
         incoming = records.Incoming("r", "GET", "/", "/", "h", None, now)
         route = routing.Route(
             "r", "h", "/", routing.Kind.SAFE, 5.0, 0.5, 0, ()
         )  # fmt: skip
-        passage = records.Passage(incoming, route, "", "s", 1, 200.0)
+        passage = records.RequestContext(incoming, route, "", "s", 1, 200.0)
         sent = collections.Counter()
         for _ in range(60):
             target = placer.choose(passage)
@@ -462,9 +462,9 @@
         for number in range(40):
             incoming = records.Incoming(
                 "r", "POST", "/", "/", "h", None, self.now,
-                parts=(records.Part(f"p{number}", 10),),
+                parts=(records.PromptPart(f"p{number}", 10),),
             )  # fmt: skip
-            passage = records.Passage(incoming, route, "", "s", 1, 200.0)
+            passage = records.RequestContext(incoming, route, "", "s", 1, 200.0)
             found.add(self.placer.choose(passage).data_centre)
         return found
 
@@ -473,21 +473,21 @@
 
         Each request would wait for a connection to one after the other.
         """
-        self.placer.failed(self.records["e0"], reached=False)
+        self.placer.record_failure(self.records["e0"], reached=False)
         self.assertEqual({"here", "there"}, self.places())
-        self.placer.failed(self.records["e1"], reached=False)
+        self.placer.record_failure(self.records["e1"], reached=False)
         self.assertEqual({"here"}, self.places())
-        self.now += placing.CUT_SECONDS
+        self.now += placing.PARTITION_SECONDS
         self.assertEqual({"here", "there"}, self.places())
 
     def test_word_from_one_ends_it(self):
-        self.placer.failed(self.records["e0"], reached=False)
-        self.placer.failed(self.records["e1"], reached=False)
-        self.placer.reached(self.records["e2"])
+        self.placer.record_failure(self.records["e0"], reached=False)
+        self.placer.record_failure(self.records["e1"], reached=False)
+        self.placer.record_contact(self.records["e2"])
         self.assertEqual({"here", "there"}, self.places())
 
     def test_own_data_centre_is_never_left(self):
-        self.placer.failed(self.records["e4"], reached=False)
-        self.placer.failed(self.records["e5"], reached=False)
-        self.now += placing.AVOID_SECONDS
+        self.placer.record_failure(self.records["e4"], reached=False)
+        self.placer.record_failure(self.records["e5"], reached=False)
+        self.now += placing.BACKOFF_SECONDS
         self.assertEqual({"here", "there"}, self.places())
--- a/tests/test_prompt_spread.py
+++ b/tests/test_prompt_spread.py
@@ -106,10 +106,10 @@
         for engine in ENGINES:
             missing = 0 if engine in keeping else tokens
             one = affinity.Candidate(engine, loads[engine], 64, True, missing)
-            one.copied = missing if copied else 0
+            one.copied_tokens = missing if copied else 0
             candidates.append(one)
         draw = self.random.random
-        chosen = affinity.with_prompt(candidates, part, tokens, draw)
+        chosen = affinity.choose_by_prefix(candidates, part, tokens, draw)
         self.account(chosen, part, tokens, router)
 
     def account(self, chosen, part, tokens, router) -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -180,12 +180,12 @@
         placer = placing.Placer(self.table, "here", lambda: self.now)
         old = next(self.table.current())
         placer.views[old.id].running = 7
-        placer.prompts.heard([["part", old.id]])
+        placer.prefixes.merge([["part", old.id]])
         self.table.merge(self.start(self.NEW, 1))
         new = next(self.table.current())
         self.assertEqual(0, placer.views[new.id].load(self.now))
-        part = records.Part("part", 10)
-        self.assertEqual(10, placer.prompts.missing([part], new.id))
+        part = records.PromptPart("part", 10)
+        self.assertEqual(10, placer.prefixes.uncached_tokens([part], new.id))
 
     def test_leave_of_the_start_before_comes_late(self):
         self.table.merge(self.start(self.OLD, 40))
--- a/tests/test_router_parts.py
+++ b/tests/test_router_parts.py
@@ -41,7 +41,7 @@
         self.router.table.expired_at = self.router.table.clock()
         self.router.table.expire()
         suspicion = self.router.suspicion
-        self.assertTrue(suspicion.lost.together(suspicion.clock()))
+        self.assertTrue(suspicion.lost.correlated(suspicion.clock()))
 
     async def test_drain_reaches_the_admission_owner_at_once(self):
         self.announce(2)
