--- a/amaranthring/app.py
+++ b/amaranthring/app.py
@@ -97,7 +97,7 @@
     settings: settings_module.Settings, router: router_parts.Router
 ) -> listeners.Listener:
     """Serve callers and the balancer's health check."""
-    given = {"ready": router.not_ready_because}
+    given = {"ready": router.not_ready_reason}
     routes = [("/health", health.HealthHandler, given)]
     app = server.make_app(router.needs, settings.callers, routes)
     listen = settings.listen
--- a/amaranthring/bench/owner.py
+++ b/amaranthring/bench/owner.py
@@ -84,7 +84,7 @@
         [routers.target(f"engine-{n}", capacity=200) for n in range(engines)]
     )
     config = fleet.FleetConfig(presets={"ordinary": fleet.Preset("ordinary")})
-    owners = admission.Owners("r1", table, Mesh(), lambda: config)
+    owners = admission.Controller("r1", table, Mesh(), lambda: config)
     cell = next(iter(cells.group(table.targets.values())))
     held: collections.deque[int] = collections.deque(maxlen=in_flight + 1)
     for number in range(in_flight):
--- a/amaranthring/bench/revisions.py
+++ b/amaranthring/bench/revisions.py
@@ -117,7 +117,7 @@
     """
     digest = "0" * 32
     name = "router-0000"
-    number = revision_messages.Number(name, 100_000)
+    number = revision_messages.RunningRevision(name, 100_000)
     ask = commands.ConfigSince(100_000, revisions.WATCH_SECONDS)
     told = parts.Delta(100_000, 100_000, {}, [], digest)
     routers = {f"{name}-{n}": 100_000 for n in range(neighbours)}
--- a/amaranthring/monitoring/health.py
+++ b/amaranthring/monitoring/health.py
@@ -14,11 +14,11 @@
 
     def initialize(self, ready: collections.abc.Callable[[], str]):
         """Take the function that says why the router is not ready."""
-        self.not_ready_because = ready
+        self.not_ready_reason = ready
 
     def get(self):
         """Answer ready or say why not."""
-        reason = self.not_ready_because()
+        reason = self.not_ready_reason()
         self.set_status(503 if reason else 200)
         self.set_header("Cache-Control", "no-store")
         self.write({"ready": not reason, "reason": reason})
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass
-class RouterPlace:
+class RouterConfig:
     """Where and how a router runs.
 
     Attributes
@@ -96,12 +96,12 @@
 
     def __init__(
         self,
-        place: RouterPlace,
+        place: RouterConfig,
         keys: links.Keys,
         dialect: records.Dialect,
         decode: t.Callable[[bytes], routing.Plan],
     ):
-        self.place = place
+        self.config = place
         self.decode = decode
         self.metrics = metrics_module.Metrics()
         self.table: routing.RouteTable | None = None
@@ -115,7 +115,7 @@
             identity, keys, self.take_plan
         )
         self.placer = placing.Placer(self.subscriber.table, place.data_centre)
-        self.sharing = reporting.Reporter(
+        self.reporter = reporting.Reporter(
             self.subscriber.handlers,
             self.subscriber.home,
             self.placer.report,
@@ -168,10 +168,10 @@
 
     def may_admit(self) -> bool:
         """Return whether the keys of the plan may be trusted."""
-        lease = self.place.key_lease
+        lease = self.config.key_lease
         return not lease or self.subscriber.is_fresh(lease * LEASE_SHARE)
 
-    def not_ready_because(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why the balancer should not send callers, or nothing."""
         if self.stopping:
             return "stopping"
@@ -180,19 +180,19 @@
         if not self.may_admit():
             return "no keeper confirms the plan"
         waited = time.monotonic() - self.started_at
-        if not self.sharing.heard and waited < HEAR_SECONDS:
+        if not self.reporter.heard and waited < HEAR_SECONDS:
             return "no word of the other routers yet"
         return ""
 
     def start(self) -> None:
         """Listen and link to the keepers."""
-        self.front.listen(listeners.listening(self.place.callers))
-        endpoints.serve(self.place.health, self._health)
-        endpoints.serve(self.place.metrics, endpoints.figures(self.metrics))
-        self.subscriber.use_seeds(self.place.keepers)
+        self.front.listen(listeners.listening(self.config.callers))
+        endpoints.serve(self.config.health, self._health)
+        endpoints.serve(self.config.metrics, endpoints.figures(self.metrics))
+        self.subscriber.use_seeds(self.config.keepers)
         for work in (
             self._forget(),
-            self.sharing.run(),
+            self.reporter.run(),
             self.relay.connections.run(),
         ):
             self.tasks.append(asyncio.ensure_future(work))
@@ -202,7 +202,7 @@
         self.subscriber.use_seeds(addresses)
 
     async def _health(self, _call: endpoints.Call) -> endpoints.Result:
-        reason = self.not_ready_because()
+        reason = self.not_ready_reason()
         body = json.dumps({"ready": not reason, "reason": reason}).encode()
         return endpoints.Result(503 if reason else 200, body)
 
@@ -217,7 +217,7 @@
         Callers whom the balancer still sends are served until the end, or
         refused once they may take longer.
         """
-        killed_at = time.monotonic() + self.place.grace
+        killed_at = time.monotonic() + self.config.grace
         self.stopping = True
         self.front.closing = True
         await asyncio.sleep(ROTATION_SECONDS)
--- a/amaranthring/platform/router.py
+++ b/amaranthring/platform/router.py
@@ -9,7 +9,7 @@
 
 def make(node: nodes.Node) -> plan_router.PlanRouter:
     """Return the router of this VM."""
-    place = plan_router.RouterPlace(
+    place = plan_router.RouterConfig(
         name=node.name,
         data_centre=node.data_centre,
         callers=node.callers,
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -77,9 +77,9 @@
         self.identity = identity
         self.name = identity.name
         self.metrics = metrics.Metrics()
-        self.ring = decisions.Decisions()
+        self.decisions = decisions.Decisions()
         self.drain = drains.Drain()
-        self.operated = drains.Drain()
+        self.operator_drain = drains.Drain()
         self.stopping = False
         self.tasks: list[asyncio.Task] = []
         section = settings.fleet
@@ -105,7 +105,7 @@
             self.keys,
             self.handlers,
             on_link=self.mesh.accept,
-            on_gone=self.mesh.gone,
+            on_gone=self.mesh.remove_link,
         )
         self.keepers = keeper_client.KeeperClient(
             settings.fleet.group, settings.keepers(), self.identity, self.keys
@@ -127,12 +127,12 @@
             os.path.join(folder, REVISION_FILE) if folder else "",
         )
         self.table = table.TargetTable(place, self.config, self.metrics)
-        self.spread = spread.Spread(self.mesh, self.table, self.metrics)
+        self.target_sync = spread.TargetSync(self.mesh, self.table, self.metrics)
         self.readiness = readiness.Readiness(
-            self.mesh, self.table, self.spread
+            self.mesh, self.table, self.target_sync
         )
         self.table.subscribe(self._target_changed)
-        self.target_reports = target_reports.TargetReports(
+        self.target_reporter = target_reports.TargetReporter(
             place,
             self.keepers.query,
             lambda: self.revisions.is_relay,
@@ -146,7 +146,7 @@
         self.regions = regions.Regions(
             process.region, self.mesh, self.table.targets
         )
-        self.suspicion = suspicion.Suspicion(
+        self.suspicion = suspicion.CrashTracker(
             self.name,
             self.mesh,
             self.regions,
@@ -161,7 +161,7 @@
             self.suspicion,
             self.metrics,
         )
-        self.owners = admission.Owners(
+        self.owners = admission.Controller(
             self.name, self.table, self.mesh, self.config, self.metrics
         )
         self.revisions.subscribe(lambda _: self.owners.config_changed())
@@ -187,8 +187,8 @@
         self.budget = retries.RetryBudget(
             lambda: self.config().preset.retry_budget, time.monotonic
         )
-        self.explaining = explaining.Explaining(
-            self.name, self.mesh, self.ring
+        self.explainer = explaining.Explainer(
+            self.name, self.mesh, self.decisions
         )
         self.attempts = attempts.Attempts(
             self.name,
@@ -202,7 +202,7 @@
             self.owners,
             self.placer,
             self.limits,
-            self.explaining,
+            self.explainer,
         ):
             part.add_handlers(self.handlers)
 
@@ -221,7 +221,7 @@
             may_retry=self.budget.may_retry,
             succeeded=self.budget.record_success,
             when_lost=self.table.when_lost,
-            note=self.ring.note,
+            note=self.decisions.note,
             target=self.table.get,
             serves=self._serves,
             metrics=self.metrics,
@@ -249,7 +249,7 @@
         for target in near[:EXPLAINED_CANDIDATES]:
             report = self.table.report(target.name)
             loads[target.name] = report.running if report else None
-        self.ring.note(
+        self.decisions.note(
             request.request_id,
             "candidates",
             eligible=len(near),
@@ -335,10 +335,10 @@
                 peer.name: peer.data_centre for peer in self.settings.routers()
             },
             targets=self._target_rows,
-            explain=self.explaining.explain,
+            explain=self.explainer.explain,
             keepers=self._keepers_status,
             change_keepers=self._change_keepers,
-            drain=self.operated,
+            drain=self.operator_drain,
         )
 
     def _target_rows(self) -> list[dict[str, t.Any]]:
@@ -376,7 +376,7 @@
                 found[name] = answer
         return {"keepers": found}
 
-    def not_ready_because(self) -> str:
+    def not_ready_reason(self) -> str:
         """Return why the balancer should leave this router out, or empty."""
         if self.stopping:
             return "stopping"
@@ -391,14 +391,14 @@
         self.server.add_sockets(sockets)
         self.mesh.start()
         self.table.start()
-        self.spread.start()
+        self.target_sync.start()
         self.keepers.start()
         self.revisions.start()
         runs = [
             self.owners.run,
             self.placer.run,
             self.directory.run,
-            self.target_reports.run,
+            self.target_reporter.run,
         ]
         if self.settings.statsd.host:
             sender = figures.StatsdSender(self.metrics, self.settings.statsd)
@@ -430,14 +430,14 @@
         await self.drain.wait_idle(bounds.shutdown_seconds)
         await callers.server.waiting.end(time.monotonic() + END_SECONDS)
         await internal.close()
-        await self.operated.wait_idle(operators_base.COMMAND_SECONDS)
+        await self.operator_drain.wait_idle(operators_base.COMMAND_SECONDS)
         self.needs.settlements.stop()
         await self._stop_parts()
 
     async def _stop_parts(self) -> None:
         for task in self.tasks:
             task.cancel()
-        self.spread.stop()
+        self.target_sync.stop()
         self.table.stop()
         await self.revisions.stop()
         self.keepers.stop()
--- a/amaranthring/routers/admission.py
+++ b/amaranthring/routers/admission.py
@@ -29,7 +29,7 @@
 CELLS_MOST = 4096
 
 
-class Owners:
+class Controller:
     """All cells that this router owns.
 
     Parameters
@@ -76,7 +76,7 @@
         """Answer this module's messages from `handlers`."""
         handlers.add(messages.Admit, self.on_admit)
         handlers.add(messages.Release, self.on_release)
-        handlers.add(messages.Holdings, self.on_holdings)
+        handlers.add(messages.GrantReport, self.on_grant_report)
         handlers.add(messages.CellDigest, self.on_digest)
         handlers.add(messages.DescribeTarget, self.on_describe)
 
@@ -124,7 +124,7 @@
             self.metrics.count("admission.queued")
             return messages.Queued()
         self.metrics.count("admission.elsewhere")
-        return messages.Elsewhere(cell.cells_with_room(wanted, self.clock()))
+        return messages.CellFull(cell.cells_with_room(wanted, self.clock()))
 
     def on_release(self, _link, message: messages.Release) -> None:
         """Take a grant back or withdraw a waiting request."""
@@ -135,7 +135,7 @@
         cell.release(key, self.clock(), message.end)
         self._tell(cell)
 
-    def on_holdings(self, _link, message: messages.Holdings) -> None:
+    def on_grant_report(self, _link, message: messages.GrantReport) -> None:
         """Renew leases, take up grants, and heal what was lost."""
         scope = _scope(message.cell)
         owner = self._other_owner(message.cell, scope)
@@ -302,7 +302,7 @@
     def _ask_holdings(self, name: str, scope: cells.Scope) -> None:
         # A deputy that knows only what its first asker holds would grant
         # beyond the bound until every other router has noticed too.
-        message = messages.TellHoldings(name, self.name)
+        message = messages.GrantReportRequest(name, self.name)
         near = {target.data_centre for target in self._members(scope)}
         for centre in sorted(near):
             for router in self.mesh.live(centre):
@@ -321,7 +321,7 @@
             if held.suspect:
                 suspects.setdefault(router, []).append(back)
         for router, targets in by_router.items():
-            message = messages.Holdings(
+            message = messages.GrantReport(
                 cell.name,
                 router,
                 newest[router],
@@ -437,7 +437,7 @@
         ) from error
 
 
-def _held(message: messages.Holdings) -> dict[int, tuple[str, bool]]:
+def _held(message: messages.GrantReport) -> dict[int, tuple[str, bool]]:
     suspects = set(message.suspects)
     return {
         message.next_serial - back: (target, back in suspects)
--- a/amaranthring/routers/admission_messages.py
+++ b/amaranthring/routers/admission_messages.py
@@ -70,7 +70,7 @@
 
 
 @wire.message("elsewhere")
-class Elsewhere:
+class CellFull:
     """No room within the bound here; `cells` lately had room.
 
     The request is not queued. The entry router asks these at once, and if
@@ -113,7 +113,7 @@
 
 
 @wire.message("holdings", compact=True)
-class Holdings:
+class GrantReport:
     """Everything that `router` holds in `cell`: renews leases, heals losses.
 
     Attributes
@@ -144,7 +144,7 @@
 
 
 @wire.message("tell-holdings")
-class TellHoldings:
+class GrantReportRequest:
     """A deputy that stands in for an owner asks what runs in `cell`."""
 
     cell: str
@@ -178,7 +178,7 @@
 
 
 @wire.message("place-find", compact=True)
-class FindPlace:
+class FindLocations:
     """Asks a directory shard where `chat` ran last."""
 
     chat: str
@@ -186,7 +186,7 @@
 
 
 @wire.message("place-found", compact=True)
-class PlaceFound:
+class LocationsFound:
     """Targets that ran the chat, the last one first, and what is known.
 
     `deaths` names the targets that died while this very request ran there;
@@ -199,14 +199,14 @@
 
 
 @wire.message("place-remember", compact=True)
-class RememberPlaces:
+class StoreLocations:
     """Tells a directory shard where chats ran, the last place first."""
 
     places: dict[str, list[str]]
 
 
 @wire.message("crashed")
-class Crashed:
+class TargetCrashed:
     """The run of request `fingerprint` coincided with a target's death.
 
     `apart` tells that it ran as a suspect, apart from others.
@@ -219,14 +219,14 @@
 
 
 @wire.message("crash-noted")
-class CrashNoted:
+class CrashRecorded:
     """Whether this death condemned the request."""
 
     condemned: bool
 
 
 @wire.message("cleared")
-class Cleared:
+class SuspectCleared:
     """A suspect request ran to its end; its target lives."""
 
     key: str
@@ -251,7 +251,7 @@
 
 
 @wire.message("rate-ask")
-class AskTokens:
+class TokenRequest:
     """Asks the account's owner for request tokens."""
 
     account: str
@@ -260,7 +260,7 @@
 
 
 @wire.message("rate-given")
-class TokensGiven:
+class TokenGrant:
     """Tokens granted for `seconds`, or none until `retry_after`."""
 
     tokens: int
--- a/amaranthring/routers/directory.py
+++ b/amaranthring/routers/directory.py
@@ -49,11 +49,11 @@
         self.live = live
         self.holders: dict[int, list[str]] = {}
 
-    def changed(self) -> None:
+    def invalidate(self) -> None:
         """Forget what was worked out from an older list of routers."""
         self.holders.clear()
 
-    def of(self, key: str) -> list[str]:
+    def holders_of(self, key: str) -> list[str]:
         """Return the holder of `key` and its deputy."""
         number = bucket(key)
         found = self.holders.get(number)
@@ -95,7 +95,7 @@
         self.metrics = metrics or counters.Metrics()
         self.entries_most = bytes_most // ENTRY_BYTES
         self.shards = Shards(live)
-        self.places: collections.OrderedDict[str, list[str]] = (
+        self.locations: collections.OrderedDict[str, list[str]] = (
             collections.OrderedDict()
         )
         self.silent: dict[str, float] = {}
@@ -105,17 +105,17 @@
 
     def add_handlers(self, handlers) -> None:
         """Answer this module's messages from `handlers`."""
-        handlers.add(messages.FindPlace, self.on_find)
-        handlers.add(messages.RememberPlaces, self.on_remember)
+        handlers.add(messages.FindLocations, self.on_find)
+        handlers.add(messages.StoreLocations, self.on_remember)
 
     # -- towards other shards --
 
     async def find(
         self, key: str, fingerprint: str = ""
-    ) -> messages.PlaceFound:
+    ) -> messages.LocationsFound:
         """Return where `key` ran last; nothing if its shard is silent."""
-        ask = messages.FindPlace(key, fingerprint)
-        for holder in self.shards.of(key):
+        ask = messages.FindLocations(key, fingerprint)
+        for holder in self.shards.holders_of(key):
             if holder == self.name:
                 return self.on_find(None, ask)
             if self.silent.get(holder, 0.0) > self.clock():
@@ -125,11 +125,11 @@
             except errors.AmaranthringError:
                 self.metrics.count("directory.silent")
                 self.silent[holder] = self.clock() + SILENT_SECONDS
-        return messages.PlaceFound()
+        return messages.LocationsFound()
 
     def remember(self, key: str, target: str) -> None:
         """Tell the shard of `key` where it ran; never blocks or fails."""
-        for holder in self.shards.of(key)[:1]:
+        for holder in self.shards.holders_of(key)[:1]:
             if holder == self.name:
                 self._store(key, [target])
                 return
@@ -148,18 +148,18 @@
         """Send every batch."""
         batches, self.unsent = self.unsent, {}
         for holder, places in batches.items():
-            if not self.mesh.send(holder, messages.RememberPlaces(places)):
+            if not self.mesh.send(holder, messages.StoreLocations(places)):
                 self.metrics.count("directory.unsent", len(places))
 
     # -- this shard --
 
-    def on_find(self, _link, ask: messages.FindPlace) -> messages.PlaceFound:
+    def on_find(self, _link, ask: messages.FindLocations) -> messages.LocationsFound:
         """Answer from this shard."""
-        targets = self.places.get(ask.chat, [])
+        targets = self.locations.get(ask.chat, [])
         if targets:
-            self.places.move_to_end(ask.chat)
+            self.locations.move_to_end(ask.chat)
         self.metrics.count("directory.hit" if targets else "directory.miss")
-        found = messages.PlaceFound(targets)
+        found = messages.LocationsFound(targets)
         if self.suspicion is not None and ask.fingerprint:
             suspect = self.suspicion.of(ask.fingerprint)
             if suspect is not None:
@@ -167,28 +167,28 @@
                 found.condemned = suspect.condemned
         return found
 
-    def on_remember(self, _link, message: messages.RememberPlaces) -> None:
+    def on_remember(self, _link, message: messages.StoreLocations) -> None:
         """Store places in this shard."""
         for key, targets in message.places.items():
             self._store(key, targets)
 
     def _store(self, key: str, targets: list[str]) -> None:
-        known = self.places.get(key, [])
+        known = self.locations.get(key, [])
         # Names are shared among entries, so an entry costs two references.
         newest = [sys.intern(target) for target in targets]
         older = [target for target in known if target not in newest]
-        self.places[key] = (newest + older)[:PLACES_KEPT]
-        self.places.move_to_end(key)
-        while len(self.places) > self.entries_most:
-            self.places.popitem(last=False)
+        self.locations[key] = (newest + older)[:PLACES_KEPT]
+        self.locations.move_to_end(key)
+        while len(self.locations) > self.entries_most:
+            self.locations.popitem(last=False)
 
     # -- changes of the router list --
 
     def routers_changed(self) -> None:
         """Begin to move entries whose shard is another router now."""
-        self.shards.changed()
+        self.shards.invalidate()
         self.silent.clear()
-        self.moving = list(self.places)
+        self.moving = list(self.locations)
 
     def move_some(self) -> int:
         """Move one batch of entries to their new shards; return its size.
@@ -199,18 +199,18 @@
         batch = self.moving[-BATCH_ENTRIES:]
         del self.moving[-BATCH_ENTRIES:]
         for key in batch:
-            holder = next(iter(self.shards.of(key)), self.name)
-            if holder == self.name or key not in self.places:
+            holder = next(iter(self.shards.holders_of(key)), self.name)
+            if holder == self.name or key not in self.locations:
                 continue
             places = self.unsent.setdefault(holder, {})
-            places.setdefault(key, self.places.pop(key))
+            places.setdefault(key, self.locations.pop(key))
         return len(batch)
 
     def hand_over(self) -> None:
         """Move everything at once, on a graceful stop."""
         live = self.shards.live
         self.shards.live = lambda: [r for r in live() if r != self.name]
-        self.shards.changed()
-        self.moving = list(self.places)
+        self.shards.invalidate()
+        self.moving = list(self.locations)
         while self.move_some():
             self.flush()
--- a/amaranthring/routers/explaining.py
+++ b/amaranthring/routers/explaining.py
@@ -24,7 +24,7 @@
     text: str
 
 
-class Explaining:
+class Explainer:
     """Finds the decisions about a request wherever they are kept.
 
     Parameters
@@ -40,7 +40,7 @@
     def __init__(self, name: str, mesh, ring: decisions.Decisions):
         self.name = name
         self.mesh = mesh
-        self.ring = ring
+        self.decisions = ring
 
     def add_handlers(self, handlers) -> None:
         """Answer this module's messages from `handlers`."""
@@ -48,7 +48,7 @@
 
     def on_ask(self, _link, ask: AskDecisions) -> ToldDecisions:
         """Tell what this router decided."""
-        found = self.ring.explain(ask.request_id)
+        found = self.decisions.explain(ask.request_id)
         text = json.dumps(found, default=str) if found else ""
         return ToldDecisions(text)
 
--- a/amaranthring/routers/holdings.py
+++ b/amaranthring/routers/holdings.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class Holding:
+class HeldGrant:
     """A grant that this router holds.
 
     Attributes
@@ -55,14 +55,14 @@
         Returns the serial that will be used next.
     """
 
-    def __init__(self, name: str, calls: owner_calls.OwnerCalls, next_serial):
+    def __init__(self, name: str, calls: owner_calls.OwnerClient, next_serial):
         self.name = name
         self.calls = calls
         self.next_serial = next_serial
-        self.by_serial: dict[int, Holding] = {}
+        self.by_serial: dict[int, HeldGrant] = {}
         # The deputy of a silent owner grants as well as the owner only if it
         # knows what runs; it is told at the first sign.
-        calls.on_silent = self.renew_cell
+        calls.on_unresponsive = self.renew_cell
         self.running: collections.Counter[str] = collections.Counter()
 
     def add_handlers(self, handlers) -> None:
@@ -70,14 +70,14 @@
         handlers.add(messages.Granted, self.on_granted)
         handlers.add(messages.Dropped, self.on_dropped)
         handlers.add(messages.NotOwner, self.on_not_owner)
-        handlers.add(messages.TellHoldings, self.on_tell)
+        handlers.add(messages.GrantReportRequest, self.on_grant_report_request)
 
-    def add(self, serial: int, holding: Holding) -> None:
+    def add(self, serial: int, holding: HeldGrant) -> None:
         """Hold one more grant."""
         self.by_serial[serial] = holding
         self.running[holding.grant.target.name] += 1
 
-    def take(self, serial: int) -> Holding | None:
+    def remove(self, serial: int) -> HeldGrant | None:
         """Hold a grant no longer; return it if it was held."""
         holding = self.by_serial.pop(serial, None)
         if holding is not None:
@@ -101,7 +101,7 @@
 
     def renew_cell(self, cell: str, forced: bool = False) -> None:
         """Tell the owner of `cell` everything held there."""
-        first = self.calls.order(cell)[:1]
+        first = self.calls.owners_to_ask(cell)[:1]
         if not first:
             return
         owner = first[0]
@@ -123,7 +123,7 @@
         """Wake the request that waited; give back what nobody waits for."""
         waiting = self.calls.waiting.get(message.serial)
         if waiting is not None:
-            self.calls.answer(waiting, message)
+            self.calls.resolve(waiting, message)
         elif message.serial not in self.by_serial:
             self.calls.release(
                 link.peer.name,
@@ -136,18 +136,18 @@
         """Wake the request that waited, with what the owner says."""
         waiting = self.calls.waiting.get(message.serial)
         if waiting is not None:
-            self.calls.answer(waiting, message)
+            self.calls.resolve(waiting, message)
 
     def on_not_owner(self, _link, message: messages.NotOwner) -> None:
         """Tell what is held to whom the asked router points."""
-        asked = self.calls.order(message.cell)[:1]
-        pointed = bool(self.calls.pointed_at(message.cell))
-        followed = self.calls.follow(message.asked, message)
+        asked = self.calls.owners_to_ask(message.cell)[:1]
+        pointed = bool(self.calls.redirect_for(message.cell))
+        followed = self.calls.follow_redirect(message.asked, message)
         # Two routers may point at each other; then the second must take it.
         forced = pointed or asked == [followed]
         self.renew_cell(message.cell, forced)
 
-    def on_tell(self, _link, message: messages.TellHoldings) -> None:
+    def on_grant_report_request(self, _link, message: messages.GrantReportRequest) -> None:
         """Tell a deputy what is held, and stay with the owner."""
         cell = message.cell
         here = {s: h for s, h in self.by_serial.items() if h.cell == cell}
@@ -157,8 +157,8 @@
             told.partial = True
             self.calls.mesh.send(message.deputy, told)
 
-    def _told(self, cell: str, here: dict[int, Holding]) -> messages.Holdings:
-        told = messages.Holdings(cell, self.name, self.next_serial(), {})
+    def _told(self, cell: str, here: dict[int, HeldGrant]) -> messages.GrantReport:
+        told = messages.GrantReport(cell, self.name, self.next_serial(), {})
         for serial, holding in here.items():
             self._note(told, serial, holding)
         return told
@@ -166,11 +166,11 @@
     def _leave(self, cell: str, owner: str) -> None:
         # Two owners that both count a grant grant too little for a while,
         # and unevenly; an owner that can be reached forgets it at once.
-        nothing = messages.Holdings(cell, self.name, self.next_serial(), {})
+        nothing = messages.GrantReport(cell, self.name, self.next_serial(), {})
         nothing.forced = True
         self.calls.mesh.send(owner, nothing)
 
-    def _note(self, told, serial: int, holding: Holding) -> None:
+    def _note(self, told, serial: int, holding: HeldGrant) -> None:
         back = told.next_serial - serial
         target = holding.grant.target.name
         told.held.setdefault(target, []).append(back)
--- a/amaranthring/routers/lateness.py
+++ b/amaranthring/routers/lateness.py
@@ -20,7 +20,7 @@
         self.older: float | None = None
         self.newer: float | None = None
 
-    def of(self, sent: float, now: float) -> float:
+    def measure(self, sent: float, now: float) -> float:
         """Return the lateness, in seconds, of a message.
 
         Parameters
--- a/amaranthring/routers/limits.py
+++ b/amaranthring/routers/limits.py
@@ -117,7 +117,7 @@
 
     def add_handlers(self, handlers) -> None:
         """Answer this module's messages from `handlers`."""
-        handlers.add(messages.AskTokens, self.on_ask)
+        handlers.add(messages.TokenRequest, self.on_ask)
 
     async def check_limits(self, request: records.Request) -> None:
         """Let `request` pass or refuse it by its account's rate.
@@ -148,19 +148,19 @@
             retry_after=max(left, 1 / policy.rate_per_second),
         )
 
-    def on_ask(self, _link, ask: messages.AskTokens) -> messages.TokensGiven:
+    def on_ask(self, _link, ask: messages.TokenRequest) -> messages.TokenGrant:
         """Give tokens of an account that this router owns."""
         policy = self.config().preset.account_policy(ask.account)
         rate = policy.rate_per_second
         if rate <= 0:
-            return messages.TokensGiven(ask.wanted, LEASE_SECONDS)
+            return messages.TokenGrant(ask.wanted, LEASE_SECONDS)
         share = limits.rate_share(len(self.mesh.live()), self.configured())
         bucket = self._bucket(ask.account, policy)
         burst = max(1.0, policy.burst * share)
         bucket.refill(rate * share, burst, self.clock())
         tokens = bucket.take(min(ask.wanted, math.ceil(burst)))
         wait = 0.0 if tokens else bucket.until_next(rate * share)
-        return messages.TokensGiven(tokens, LEASE_SECONDS, wait)
+        return messages.TokenGrant(tokens, LEASE_SECONDS, wait)
 
     def routers_changed(self) -> None:
         """Forget who owned what."""
@@ -189,8 +189,8 @@
             wait = max(given.retry_after, PAUSE_SECONDS)
             leased.closed_until = now + wait
 
-    async def _answer(self, account, leased, wanted) -> messages.TokensGiven:
-        ask = messages.AskTokens(account, self.name, wanted)
+    async def _answer(self, account, leased, wanted) -> messages.TokenGrant:
+        ask = messages.TokenRequest(account, self.name, wanted)
         owner = self._owner(account)
         self.metrics.count("limits.asked")
         if owner == self.name:
@@ -203,7 +203,7 @@
                 self.silent[owner] = self.clock() + SILENT_SECONDS
         return self._own_fraction(account, leased, wanted)
 
-    def _own_fraction(self, account, leased, wanted) -> messages.TokensGiven:
+    def _own_fraction(self, account, leased, wanted) -> messages.TokenGrant:
         policy = self.config().preset.account_policy(account)
         routers = max(len(self.mesh.live()), self.configured(), 1)
         rate = policy.rate_per_second / routers
@@ -214,7 +214,7 @@
         leased.own.refill(rate, burst, now)
         tokens = leased.own.take(wanted)
         wait = 0.0 if tokens else leased.own.until_next(rate)
-        return messages.TokensGiven(tokens, LEASE_SECONDS, wait)
+        return messages.TokenGrant(tokens, LEASE_SECONDS, wait)
 
     def _owner(self, account: str) -> str:
         owner = self.owners.get(account)
--- a/amaranthring/routers/member_messages.py
+++ b/amaranthring/routers/member_messages.py
@@ -6,7 +6,7 @@
 from amaranthring.targets import entries
 
 
-class Beat(t.NamedTuple):
+class TargetHeartbeat(t.NamedTuple):
     """Evidence that a target lives, with its last report.
 
     Attributes
@@ -32,7 +32,7 @@
     kv_percent: int = 0
 
 
-class Known(t.NamedTuple):
+class KnownVersion(t.NamedTuple):
     """Name and version of a record that the asker has."""
 
     name: str
@@ -42,7 +42,7 @@
     fingerprint: int
 
 
-class Passed(t.NamedTuple):
+class RelayedDigest(t.NamedTuple):
     """Word of another data centre, passed on by a relay; see Digest."""
 
     data_centre: str
@@ -72,9 +72,9 @@
 
     clock_ms: int
     mark: int
-    beats: list[Beat]
+    beats: list[TargetHeartbeat]
     records: list[entries.Record]
-    passed: list[Passed]
+    passed: list[RelayedDigest]
 
 
 @wire.message("sd", compact=True)
@@ -110,11 +110,11 @@
     """Asks for every record of `data_centre` that is newer than `known`."""
 
     data_centre: str
-    known: list[Known]
+    known: list[KnownVersion]
 
 
 @wire.message("spread-pulled")
-class Pulled:
+class PullReply:
     """Answer to a pull: newer records, ages of the rest, live routers.
 
     Attributes
@@ -126,5 +126,5 @@
     clock_ms: int
     age_ms: int
     records: list[entries.Record]
-    beats: list[Beat]
+    beats: list[TargetHeartbeat]
     routers: list[str]
--- a/amaranthring/routers/mesh.py
+++ b/amaranthring/routers/mesh.py
@@ -93,7 +93,7 @@
         }
         places = {peer.data_centre for peer in self.peers.values()}
         self._places = sorted(places | {identity.data_centre})
-        self.foreign: dict[str, list[str]] = {}
+        self.remote_routers: dict[str, list[str]] = {}
         self.task: asyncio.Task | None = None
         self.pauses = pauses.Pauses(clock, PAUSE_SECONDS)
         self._callbacks: list[t.Callable[[], None]] = []
@@ -142,7 +142,7 @@
             self._deliver(message)
             return True
         peer = self._peer(name)
-        peer.used = self.clock()
+        peer.used_at = self.clock()
         if peer.link is None:
             self._dial(peer)
             return False
@@ -166,7 +166,7 @@
         if name == self.identity.name:
             return await self._call_self(message, timeout)
         peer = self._peer(name)
-        peer.used = self.clock()
+        peer.used_at = self.clock()
         if peer.link is None and peer.data_centre != self.data_centre:
             began = self.clock()
             await self._wait_for_link(peer, timeout)
@@ -252,7 +252,7 @@
             return
         self._take_link(link, ours=False)
 
-    def gone(self, link: links.Link) -> None:
+    def remove_link(self, link: links.Link) -> None:
         """Forget a link that ended."""
         peer = self.peers.get(link.peer.name)
         if peer is not None and peer.link is link:
@@ -260,7 +260,7 @@
             peer.linked.clear()
             self._changed()
 
-    def set_foreign(self, data_centre: str, names: list[str]) -> None:
+    def set_remote_routers(self, data_centre: str, names: list[str]) -> None:
         """Take the live list of another data centre from its relay."""
         known = [
             name
@@ -268,8 +268,8 @@
             if name in self.peers
             and self.peers[name].data_centre == data_centre
         ]
-        if self.foreign.get(data_centre, []) != known:
-            self.foreign[data_centre] = known
+        if self.remote_routers.get(data_centre, []) != known:
+            self.remote_routers[data_centre] = known
             self._changed()
 
     def start(self) -> None:
@@ -313,8 +313,8 @@
                 for name in self._find_live(place)
             ]
         if data_centre != self.data_centre:
-            return self.foreign.get(data_centre, [])
-        found = [peer.name for peer in self.neighbours() if peer.lives]
+            return self.remote_routers.get(data_centre, [])
+        found = [peer.name for peer in self.neighbours() if peer.is_live]
         if not self.leaving:
             found.append(self.identity.name)
         return found
@@ -333,7 +333,7 @@
             for peer in self.peers.values()
             if peer.data_centre == data_centre
         ]
-        names = relays.worth_dialling(there, self.clock())
+        names = relays.dial_candidates(there, self.clock())
         return relays.choose(names, data_centre, other)
 
     def _peer(self, name: str) -> peers_module.Peer:
@@ -347,14 +347,14 @@
     def _dial(self, peer: peers_module.Peer) -> None:
         if peer.dialler is not None:
             return
-        peer.dialled = self.clock()
+        peer.dialled_at = self.clock()
         peer.dialler = links.Dialler(
             peer.address,
             self.identity,
             self.keys,
             self.handlers,
             on_link=self._take_link,
-            on_gone=self.gone,
+            on_gone=self.remove_link,
         )
         peer.dialler.start()
 
@@ -365,7 +365,7 @@
 
     def _holds(self, peer: peers_module.Peer, link: links.Link) -> bool:
         """Return whether a link of our own stays before `link`."""
-        if peer.link is None or not peer.ours:
+        if peer.link is None or not peer.dialled_here:
             return False
         return link.peer.incarnation == peer.incarnation
 
@@ -392,12 +392,12 @@
             return
         peer.incarnation = link.peer.incarnation
         old, peer.link = peer.link, link
-        peer.ours = ours
+        peer.dialled_here = ours
         peer.linked.set()
-        peer.heard = self.clock()
-        peer.received = 0
-        peer.sent = 0
-        peer.spoke = peer.heard
+        peer.received_at = self.clock()
+        peer.received_bytes = 0
+        peer.sent_bytes = 0
+        peer.sent_at = peer.received_at
         if old is not None:
             old.close()
         logs.event(log, "router.linked", name=peer.name)
@@ -430,28 +430,28 @@
         self, peer: peers_module.Peer, now: float, paused: bool
     ) -> None:
         link = peer.link
-        if link.received_bytes != peer.received or paused:
+        if link.received_bytes != peer.received_bytes or paused:
             # After an own pause what the peers sent still waits in the
             # sockets; they must not be taken for dead by that.
-            peer.received = link.received_bytes
-            peer.heard = now
-        if now - peer.heard > DEAD_SECONDS:
+            peer.received_bytes = link.received_bytes
+            peer.received_at = now
+        if now - peer.received_at > DEAD_SECONDS:
             self.metrics.count("mesh.peers_silent")
             logs.event(log, "router.silent", name=peer.name)
             link.close()
-            self.gone(link)
+            self.remove_link(link)
             return
-        if link.sent_bytes != peer.sent:
-            peer.sent = link.sent_bytes
-            peer.spoke = now
-        elif now - peer.spoke > HEARTBEAT_SECONDS:
+        if link.sent_bytes != peer.sent_bytes:
+            peer.sent_bytes = link.sent_bytes
+            peer.sent_at = now
+        elif now - peer.sent_at > HEARTBEAT_SECONDS:
             self._write(link, _HEARTBEAT, _HEARTBEAT_TAG)
         self._drop_idle(peer, now)
 
     def _drop_idle(self, peer: peers_module.Peer, now: float) -> None:
         if peer.data_centre == self.data_centre or peer.dialler is None:
             return
-        if now - peer.used > IDLE_SECONDS:
+        if now - peer.used_at > IDLE_SECONDS:
             self._hang_up(peer)
 
     def _keep_relays(self, now: float) -> None:
@@ -462,8 +462,8 @@
                 continue
             for name in self._relays(place, self.data_centre):
                 peer = self.peers[name]
-                peer.used = now
-                if relays.tried_enough(peer, now):
+                peer.used_at = now
+                if relays.should_redial(peer, now):
                     self._hang_up(peer)
                 self._dial(peer)
 
@@ -503,7 +503,7 @@
         peer = self.peers.get(link.peer.name)
         if peer is None or peer.incarnation != message.incarnation:
             return
-        peer.left = message.incarnation
+        peer.leaving_incarnation = message.incarnation
         logs.event(log, "router.leaving", name=peer.name)
         self._changed()
 
--- a/amaranthring/routers/owner_calls.py
+++ b/amaranthring/routers/owner_calls.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass
-class Waiting:
+class PendingAdmission:
     """A request that an owner was asked for and that is not settled.
 
     Attributes
@@ -43,7 +43,7 @@
     answer: asyncio.Future
 
 
-class OwnerCalls:
+class OwnerClient:
     """Asks owners and keeps what waits at them.
 
     Parameters
@@ -69,11 +69,11 @@
         self.mesh = mesh
         self.metrics = metrics
         self.clock = clock
-        self.waiting: dict[int, Waiting] = {}
+        self.waiting: dict[int, PendingAdmission] = {}
         self.silent: dict[str, float] = {}
         self.orders: dict[str, list[str]] = {}
         self.pointed: dict[str, tuple[str, float]] = {}
-        self.on_silent: collections.abc.Callable[[str], None] = _nothing
+        self.on_unresponsive: collections.abc.Callable[[str], None] = _nothing
         table.subscribe(self.target_changed)
 
     # -- whom to ask --
@@ -97,11 +97,11 @@
         self.orders[cell] = order[:OWNERS_KEPT]
         return self.orders[cell]
 
-    def order(self, cell: str) -> list[str]:
+    def owners_to_ask(self, cell: str) -> list[str]:
         """Return whom to ask about `cell`, silent ones last."""
         now = self.clock()
         order = self.natural_order(cell)
-        pointed = self.pointed_at(cell)
+        pointed = self.redirect_for(cell)
         if pointed:
             order = [pointed, *(r for r in order if r != pointed)]
         return sorted(order, key=lambda r: self.silent.get(r, 0.0) > now)
@@ -110,7 +110,7 @@
         """Return whether `owner` is the owner by this router's lists."""
         return self.natural_order(cell)[:1] == [owner]
 
-    def pointed_at(self, cell: str) -> str:
+    def redirect_for(self, cell: str) -> str:
         """Return the owner that an asked router lately named, or empty."""
         owner, until = self.pointed.get(cell, ("", 0.0))
         return owner if until > self.clock() else ""
@@ -133,7 +133,7 @@
         self.silent = {r: at for r, at in self.silent.items() if r in live}
         for waiting in self.waiting.values():
             if waiting.owner not in live:
-                self.answer(waiting, messages.Dropped(0, moved=True))
+                self.resolve(waiting, messages.Dropped(0, moved=True))
 
     # -- asking --
 
@@ -155,7 +155,7 @@
             As the owner refused.
         """
         now = self.clock()
-        for owner in self.order(ask.cell)[:OWNERS_ASKED]:
+        for owner in self.owners_to_ask(ask.cell)[:OWNERS_ASKED]:
             if self.silent.get(owner, 0.0) > now:
                 continue
             ask.forced = not self.is_natural(ask.cell, owner)
@@ -164,7 +164,7 @@
             except errors.LinkError:
                 self.metrics.count("placing.owner-silent")
                 self.silent[owner] = self.clock() + SILENT_SECONDS
-                self.on_silent(ask.cell)
+                self.on_unresponsive(ask.cell)
                 # It may have granted and only its answer is lost.
                 self.release(owner, ask.cell, ask.serial, records.End.NOT_SENT)
         return "", None
@@ -191,7 +191,7 @@
             # The next holdings message leaves it out, which ends it.
             self.metrics.count("placing.release-unsent")
 
-    def answer(self, waiting: Waiting, message: t.Any) -> None:
+    def resolve(self, waiting: PendingAdmission, message: t.Any) -> None:
         """Wake the request that waits, unless it is awake."""
         if not waiting.answer.done():
             waiting.answer.set_result(message)
@@ -201,11 +201,11 @@
         if isinstance(answer, messages.NotOwner):
             # Whom it points at may point back: that one has to decide.
             ask.forced = True
-            owner = self.follow(owner, answer)
+            owner = self.follow_redirect(owner, answer)
             answer = await self._call(owner, ask)
         return owner, answer
 
-    def follow(self, asked: str, answer: messages.NotOwner) -> str:
+    def follow_redirect(self, asked: str, answer: messages.NotOwner) -> str:
         """Return whom to tell or ask next, after `asked` pointed on.
 
         A router that this one knows to be gone or leaving is not followed:
@@ -220,7 +220,7 @@
         future = asyncio.get_running_loop().create_future()
         # Noted before the call: holdings sent meanwhile must not make the
         # owner believe that this request was given up.
-        self.waiting[ask.serial] = Waiting(ask.cell, owner, future)
+        self.waiting[ask.serial] = PendingAdmission(ask.cell, owner, future)
         answer = None
         try:
             answer = await self.mesh.call(owner, ask, ASK_SECONDS)
--- a/amaranthring/routers/peers.py
+++ b/amaranthring/routers/peers.py
@@ -49,19 +49,19 @@
     data_centre: str
     address: str
     link: links.Link | None = None
-    ours: bool = False
+    dialled_here: bool = False
     dialler: links.Dialler | None = None
-    heard: float = 0.0
-    used: float = 0.0
-    dialled: float = 0.0
+    received_at: float = 0.0
+    used_at: float = 0.0
+    dialled_at: float = 0.0
     incarnation: int = 0
-    left: int = -1
-    received: int = 0
-    sent: int = 0
-    spoke: float = 0.0
+    leaving_incarnation: int = -1
+    received_bytes: int = 0
+    sent_bytes: int = 0
+    sent_at: float = 0.0
     linked: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     @property
-    def lives(self) -> bool:
+    def is_live(self) -> bool:
         """Return whether it is linked and did not say that it goes."""
-        return self.link is not None and self.left != self.incarnation
+        return self.link is not None and self.leaving_incarnation != self.incarnation
--- a/amaranthring/routers/placing.py
+++ b/amaranthring/routers/placing.py
@@ -105,7 +105,7 @@
         # Grows over restarts, so that an owner never takes a grant of this
         # process for one of its predecessor.
         self.serial = int(time.time() * SERIAL_PER_SECOND)
-        self.calls = owner_calls.OwnerCalls(
+        self.calls = owner_calls.OwnerClient(
             name, data_centre, table, mesh, self.metrics, clock
         )
         self.held = holdings.HeldGrants(
@@ -165,7 +165,7 @@
     def release(self, grant: records.Grant, end: records.End) -> None:
         """Give `grant` back; never blocks. A second release does nothing."""
         serial = int(grant.grant_id.rpartition(":")[2])
-        holding = self.held.take(serial)
+        holding = self.held.remove(serial)
         if holding is None:
             return
         if holding.owner:
@@ -248,7 +248,7 @@
         """Ask one cell; return None if it has to be asked again."""
         ask = self._message(search, cell)
         owner, answer = await self.calls.ask(ask)
-        if isinstance(answer, messages.Elsewhere):
+        if isinstance(answer, messages.CellFull):
             grant = await self._elsewhere(search, cell, answer.cells)
             if grant is not None:
                 return grant
@@ -353,7 +353,7 @@
             import_from=self._import_from(search, target),
             cell=cell,
         )
-        held = holdings.Holding(
+        held = holdings.HeldGrant(
             cell, owner, grant, search.request, search.suspect
         )
         self.held.add(serial, held)
--- a/amaranthring/routers/relays.py
+++ b/amaranthring/routers/relays.py
@@ -23,7 +23,7 @@
     return hashing.order(key, names)[:RELAYS]
 
 
-def worth_dialling(there: list[peers.Peer], now: float) -> list[str]:
+def dial_candidates(there: list[peers.Peer], now: float) -> list[str]:
     """Return routers of a data centre of which nothing is known yet.
 
     One that was dialled for :data:`DIAL_SECONDS` without a link is passed
@@ -32,13 +32,13 @@
     """
     fine = []
     for peer in there:
-        waited = now - peer.dialled
-        failed = peer.dialled and DIAL_SECONDS < waited < SKIP_SECONDS
+        waited = now - peer.dialled_at
+        failed = peer.dialled_at and DIAL_SECONDS < waited < SKIP_SECONDS
         if peer.link is not None or not failed:
             fine.append(peer.name)
     return fine or [peer.name for peer in there]
 
 
-def tried_enough(peer: peers.Peer, now: float) -> bool:
+def should_redial(peer: peers.Peer, now: float) -> bool:
     """Return whether dialling `peer` failed so long that it starts anew."""
-    return peer.link is None and now - peer.dialled > SKIP_SECONDS
+    return peer.link is None and now - peer.dialled_at > SKIP_SECONDS
--- a/amaranthring/routers/revision_messages.py
+++ b/amaranthring/routers/revision_messages.py
@@ -4,7 +4,7 @@
 
 
 @wire.message("revision-number")
-class Number:
+class RunningRevision:
     """The revision that a router runs, and whether it is ready.
 
     Sent once a second to a relay, which answers with its own.
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -108,7 +108,7 @@
         self.whole_wanted = False
         handlers.add(parts.Delta, self._on_delta)
         handlers.add(commands.ConfigSince, self._on_config_since)
-        handlers.add(revision_messages.Number, self._on_number)
+        handlers.add(revision_messages.RunningRevision, self._on_number)
 
     def subscribe(self, callback: Callback) -> None:
         """Call `callback` with each new revision, after it took hold."""
@@ -149,7 +149,7 @@
         live = self.mesh.live(self.data_centre)
         return hashing.order(RELAY_KEY + self.data_centre, live)[:RELAYS]
 
-    def take(self, delta: parts.Delta, source: str) -> bool:
+    def apply_delta(self, delta: parts.Delta, source: str) -> bool:
         """Apply `delta` if it leads upward; return whether it did."""
         try:
             moved = self.parts.apply(delta)
@@ -205,7 +205,7 @@
         ask = commands.ConfigSince(revision, WATCH_SECONDS)
         self.whole_wanted = False
         delta = await self.query(ask, WATCH_SECONDS + PULL_SECONDS)
-        if self.take(delta, KEEPERS):
+        if self.apply_delta(delta, KEEPERS):
             self.mesh.broadcast(delta)
         elif delta.revision > self.parts.revision:
             # Refused; asking on and on would load the leader.
@@ -279,7 +279,7 @@
         return found
 
     async def _compare_with(self, name: str) -> None:
-        ours = revision_messages.Number(self.name, self.parts.revision)
+        ours = revision_messages.RunningRevision(self.name, self.parts.revision)
         theirs = await self.mesh.call(name, ours, PULL_SECONDS)
         if theirs.revision > self.parts.revision:
             self._pull(name, self.parts.revision)
@@ -289,7 +289,7 @@
             self.heard[message.router] = (message.revision, time.monotonic())
         if message.revision > self.parts.revision:
             self._pull(message.router, self.parts.revision)
-        return revision_messages.Number(self.name, self.parts.revision)
+        return revision_messages.RunningRevision(self.name, self.parts.revision)
 
     def _on_config_since(self, _link, message):
         return self.parts.since(message.revision)
@@ -300,7 +300,7 @@
             # A change before this one was lost on its way.
             self._pull(source, self.parts.revision)
             return
-        self.take(delta, source)
+        self.apply_delta(delta, source)
 
     def _pull(self, name: str, revision: int) -> None:
         if name in self.pulls or name == KEEPERS:
@@ -317,7 +317,7 @@
             self.metrics.count("revisions.pull-failed")
             return
         self.metrics.count("revisions.pulled")
-        if self.take(delta, name) and self.is_relay:
+        if self.apply_delta(delta, name) and self.is_relay:
             self.mesh.broadcast(delta)
 
     # -- readiness -----------------------------------------------------------
@@ -349,7 +349,7 @@
             delta = await self.query(ask, PULL_SECONDS)
         except errors.AmaranthringError:
             return
-        self.take(delta, KEEPERS)
+        self.apply_delta(delta, KEEPERS)
         self._confirm_highest(delta.revision)
 
     async def _ask_neighbours(self) -> int:
@@ -365,7 +365,7 @@
             delta = await self.mesh.call(name, ask, PULL_SECONDS)
         except errors.AmaranthringError:
             return False
-        self.take(delta, name)
+        self.apply_delta(delta, name)
         return True
 
 
--- a/amaranthring/routers/spread.py
+++ b/amaranthring/routers/spread.py
@@ -52,7 +52,7 @@
     return int(hashing.digest(*sorted(names))[:16], 16)
 
 
-class Spread:
+class TargetSync:
     """Sends what this router's table learns and merges what others send.
 
     Parameters
@@ -148,7 +148,7 @@
                 continue
             self._send_digest(place, now)
             if now - self.heard_of.get(place, now) > CUT_OFF_SECONDS:
-                self.mesh.set_foreign(place, [])
+                self.mesh.set_remote_routers(place, [])
 
     # -- sending --
 
@@ -160,7 +160,7 @@
             n: left - 1 for n, left in self._repeat.items() if left
         }
         passed = [
-            messages.Passed(place, int((now - heard) * 1000), *word)
+            messages.RelayedDigest(place, int((now - heard) * 1000), *word)
             for place, (heard, *word) in self._passing.items()
         ]
         self._passing.clear()
@@ -176,7 +176,7 @@
         known = self.table.entries
         return [known[n].record(now) for n in names if n in known]
 
-    def _beat(self, name: str, now: float) -> messages.Beat | None:
+    def _beat(self, name: str, now: float) -> messages.TargetHeartbeat | None:
         entry = self.table.entries.get(name)
         if entry is None:
             return None
@@ -184,8 +184,8 @@
         key = entries.key_of(entry.target)
         report = entry.report
         if report is None:
-            return messages.Beat(key, age_ms, entry.spoken)
-        return messages.Beat(
+            return messages.TargetHeartbeat(key, age_ms, entry.spoken)
+        return messages.TargetHeartbeat(
             key,
             age_ms,
             entry.spoken,
@@ -237,7 +237,7 @@
             found = [beat for beat in beats if beat]
             self.mesh.broadcast(self._message(now, found, near))
         if beyond:
-            for name in self.far_links():
+            for name in self.remote_links():
                 self.mesh.send(name, self._message(now, [], beyond))
 
     def _chosen_links(self) -> set[str]:
@@ -248,7 +248,7 @@
                 found.update(self.mesh.relays(place))
         return found
 
-    def far_links(self) -> list[str]:
+    def remote_links(self) -> list[str]:
         """Return linked routers elsewhere, chosen or that chose this one."""
         now = self.clock()
         known = self.mesh.peers
@@ -262,7 +262,7 @@
 
     def _send_digest(self, place: str, now: float) -> None:
         known = self.mesh.peers
-        names = [n for n in self.far_links() if known[n].data_centre == place]
+        names = [n for n in self.remote_links() if known[n].data_centre == place]
         if not names:
             return
         here = self.mesh.data_centre
@@ -298,7 +298,7 @@
     def _sent_at(self, name: str, clock_ms: int, now: float) -> float:
         """Return when `name` sent a message, on this router's clock."""
         known = self._lateness.setdefault(name, lateness.Lateness())
-        return now - known.of(clock_ms / 1000, now)
+        return now - known.measure(clock_ms / 1000, now)
 
     def _merge(self, source: str, sent: float, beats, changed) -> None:
         self._source = source
@@ -356,7 +356,7 @@
             self.table.vouch(place, heard, word.stale)
         else:
             self._later(place, name)
-        routers = self.mesh.foreign.get(place, [])
+        routers = self.mesh.remote_routers.get(place, [])
         if mark_of(routers) != word.routers_mark:
             self._later(place, name)
 
@@ -418,7 +418,7 @@
         self._pulled_at[place] = self.clock()
         self.metrics.count("spread.pulls")
         known = [
-            messages.Known(entry.target.name, *entry.version)
+            messages.KnownVersion(entry.target.name, *entry.version)
             for entry in self.table.of(place)
         ]
         try:
@@ -432,7 +432,7 @@
         sent = self._sent_at(name, answer.clock_ms, now)
         self._merge(name, sent, answer.beats, answer.records)
         if place != self.mesh.data_centre:
-            self.mesh.set_foreign(place, answer.routers)
+            self.mesh.set_remote_routers(place, answer.routers)
             self.table.vouched[place] = sent - answer.age_ms / 1000
 
     def _ended(self, place: str, name: str) -> bool:
@@ -441,7 +441,7 @@
             return False
         return self.marks.get(name) == self.table.digests.get(place, 0)
 
-    def _answer_pull(self, link, pull: messages.Pull) -> messages.Pulled:
+    def _answer_pull(self, link, pull: messages.Pull) -> messages.PullReply:
         now = self.clock()
         place = pull.data_centre
         known = {one.name: entries.Version(*one[1:]) for one in pull.known}
@@ -458,7 +458,7 @@
         if self._behind(known):
             # The asker knows what every message to this router lost.
             self._later(place, link.peer.name, sure=True)
-        return messages.Pulled(
+        return messages.PullReply(
             int(now * 1000),
             int(age * 1000),
             newer,
@@ -476,7 +476,7 @@
 
 
 def _report(
-    target: records.Target, beat: messages.Beat
+    target: records.Target, beat: messages.TargetHeartbeat
 ) -> records.Report | None:
     if not beat.sequence:
         return None
--- a/amaranthring/routers/suspicion.py
+++ b/amaranthring/routers/suspicion.py
@@ -30,7 +30,7 @@
 BATCH_ENTRIES = 500
 
 
-class Suspicion:
+class CrashTracker:
     """The shard of suspects of this router, and its way to the others.
 
     Parameters
@@ -73,7 +73,7 @@
         self.clock = clock
         self.wall = wall
         self.table = suspects.SuspectTable()
-        self.lost = suspects.RecentCrashes()
+        self.recent_deaths = suspects.RecentCrashes()
         self.apart: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
@@ -83,8 +83,8 @@
 
     def add_handlers(self, handlers) -> None:
         """Answer this module's messages from `handlers`."""
-        handlers.add(messages.Crashed, self.on_crashed)
-        handlers.add(messages.Cleared, self.on_cleared)
+        handlers.add(messages.TargetCrashed, self.on_crashed)
+        handlers.add(messages.SuspectCleared, self.on_cleared)
         handlers.add(messages.Suspects, self.on_suspects)
 
     # -- the contract with the way --
@@ -110,7 +110,7 @@
             # A second death condemns. A rack that goes shows in the table
             # within this time, and then nobody is to blame.
             await asyncio.sleep(self.confirm_seconds)
-        blamed = not self.lost.correlated(self.clock())
+        blamed = not self.recent_deaths.correlated(self.clock())
         logs.event(
             log,
             "request.crashed",
@@ -124,7 +124,7 @@
             self.metrics.count("suspects.many-deaths")
             return
         self.metrics.count("suspects.reported")
-        message = messages.Crashed(
+        message = messages.TargetCrashed(
             _key(request), request.body_digest, target.name, apart
         )
         noted = await asyncio.gather(
@@ -149,13 +149,13 @@
         """Clear `request`: its run ended and its target lives."""
         self.apart.pop(request.body_digest, None)
         self.metrics.count("suspects.cleared")
-        message = messages.Cleared(_key(request), request.body_digest)
+        message = messages.SuspectCleared(_key(request), request.body_digest)
         for holder in self._all(message):
             self.mesh.send(holder, message)
 
     def target_lost(self, name: str) -> None:
         """Note the death of target `name`, as the table tells it."""
-        self.lost.note(name, self.clock())
+        self.recent_deaths.note(name, self.clock())
 
     # -- this shard --
 
@@ -164,8 +164,8 @@
         return self.table.get(fingerprint, self.clock())
 
     def on_crashed(
-        self, _link, message: messages.Crashed
-    ) -> messages.CrashNoted:
+        self, _link, message: messages.TargetCrashed
+    ) -> messages.CrashRecorded:
         """Note a death; answer whether it condemned the request."""
         before = self.of(message.fingerprint)
         already = before is not None and before.condemned
@@ -176,9 +176,9 @@
             message.apart,
             self.clock(),
         )
-        return messages.CrashNoted(suspect.condemned and not already)
+        return messages.CrashRecorded(suspect.condemned and not already)
 
-    def on_cleared(self, _link, message: messages.Cleared) -> None:
+    def on_cleared(self, _link, message: messages.SuspectCleared) -> None:
         """Forget a suspect that ran to its end."""
         self.table.clear(message.fingerprint)
 
@@ -199,7 +199,7 @@
             entry = messages.SuspectEntry(
                 suspect.key, fingerprint, suspect.deaths, suspect.condemned
             )
-            for holder in shards.of(suspect.key):
+            for holder in shards.holders_of(suspect.key):
                 if holder != self.name:
                     moved.setdefault(holder, []).append(entry)
         for holder, entries in moved.items():
@@ -213,10 +213,10 @@
         found = []
         for live in [self.regions.own(), *self.regions.others()]:
             shards = directory.Shards(lambda live=live: live)
-            found.extend(shards.of(message.key))
+            found.extend(shards.holders_of(message.key))
         return found
 
-    async def _report(self, holder: str, message: messages.Crashed) -> bool:
+    async def _report(self, holder: str, message: messages.TargetCrashed) -> bool:
         try:
             answer = await self.mesh.call(holder, message, REPORT_SECONDS)
         except errors.AmaranthringError:
--- a/amaranthring/routers/target_reports.py
+++ b/amaranthring/routers/target_reports.py
@@ -18,7 +18,7 @@
 QUERY_SECONDS = 2.0
 
 
-class TargetReports:
+class TargetReporter:
     """Reports on change, and now and then without one.
 
     Parameters
--- a/amaranthring/testing/assembled.py
+++ b/amaranthring/testing/assembled.py
@@ -32,10 +32,10 @@
     name: str
     mesh: fakes.Mesh
     table: fakes.Table
-    owners: admission.Owners
+    owners: admission.Controller
     directory: directory.Directory
     placer: placing.Placer
-    suspicion: suspicion.Suspicion
+    suspicion: suspicion.CrashTracker
     limits: limits.AccountLimits
 
 
@@ -79,11 +79,11 @@
     def _router(self, name):
         mesh = self.net.meshes[name]
         table = fakes.Table(self.targets)
-        owners = admission.Owners(
+        owners = admission.Controller(
             name, table, mesh, lambda: self.config, clock=self.clock
         )
         near = regions.Regions("north", mesh, table.all)
-        held = suspicion.Suspicion(
+        held = suspicion.CrashTracker(
             name,
             mesh,
             near,
--- a/amaranthring/testing/members.py
+++ b/amaranthring/testing/members.py
@@ -66,13 +66,13 @@
             identity, peers, KEYS, self.handlers, self.metrics
         )
         self.table = table.TargetTable(peer.data_centre, config, self.metrics)
-        self.spread = spread.Spread(self.mesh, self.table, self.metrics)
+        self.target_sync = spread.TargetSync(self.mesh, self.table, self.metrics)
         self.server = links.LinkServer(
             identity,
             KEYS,
             self.handlers,
             on_link=self.mesh.accept,
-            on_gone=self.mesh.gone,
+            on_gone=self.mesh.remove_link,
         )
         self.server.add_sockets(socks)
 
@@ -80,11 +80,11 @@
         """Start every task."""
         self.mesh.start()
         self.table.start()
-        self.spread.start()
+        self.target_sync.start()
 
     def stop(self) -> None:
         """End as a killed process does: without a word."""
-        self.spread.stop()
+        self.target_sync.stop()
         self.table.stop()
         self.mesh.stop()
         self.server.close_all()
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -43,6 +43,6 @@
         for second in range(100):
             delay = rng.uniform(0.001, 0.005)
             sent = 1e6 + second * 1.0001
-            late = known.of(sent, second + delay)
+            late = known.measure(sent, second + delay)
             self.assertLess(late, 0.01)
-        self.assertAlmostEqual(known.of(1e6 + 99.0, 107.0), 8.0, delta=0.1)
+        self.assertAlmostEqual(known.measure(1e6 + 99.0, 107.0), 8.0, delta=0.1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -140,7 +140,7 @@
         await self.until_eligible(["e1"])
         self.fleet.silence("e1")
         for member in self.all:
-            member.spread.task.cancel()
+            member.target_sync.task.cancel()
         await asyncio.sleep(table.MOVED_SECONDS + 0.1)
         self.all[2].table.renew("e1", 1)
         await self.until_eligible(["e1"], [0, 1])
@@ -311,7 +311,7 @@
         await members.until(lambda: one.mesh.send(other.name, answer))
         await members.until(lambda: other.mesh.peers[one.name].link)
         await asyncio.sleep(0.2)
-        self.assertNotIn(one.name, other.spread.far_links())
+        self.assertNotIn(one.name, other.target_sync.remote_links())
 
     async def test_routers_that_dial_each_other_keep_one_link(self):
         """Links across flap for ever and calls over them fail at random.
--- a/tests/test_router_parts.py
+++ b/tests/test_router_parts.py
@@ -41,7 +41,7 @@
         self.router.table.expired_at = self.router.table.clock()
         self.router.table.expire()
         suspicion = self.router.suspicion
-        self.assertTrue(suspicion.lost.correlated(suspicion.clock()))
+        self.assertTrue(suspicion.recent_deaths.correlated(suspicion.clock()))
 
     async def test_drain_reaches_the_admission_owner_at_once(self):
         self.announce(2)
@@ -52,6 +52,6 @@
         self.assertEqual(told, [True])
 
     async def test_not_ready_without_a_revision_or_when_stopping(self):
-        self.assertIn("revision", self.router.not_ready_because())
+        self.assertIn("revision", self.router.not_ready_reason())
         self.router.stopping = True
-        self.assertEqual(self.router.not_ready_because(), "stopping")
+        self.assertEqual(self.router.not_ready_reason(), "stopping")
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -127,7 +127,7 @@
     async def asyncSetUp(self):
         ports = local_fleet.free_ports(3)
         addresses = [f"127.0.0.1:{port}" for port in ports]
-        place = plan_router.RouterPlace(
+        place = plan_router.RouterConfig(
             "r1", "here", *addresses, [], 0.0, 2.0, 0.2, 10.0, 10.0
         )
         keys = links.Keys({"k": b"secret"})
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -55,7 +55,7 @@
     async def test_suspicion_outlives_the_loss_of_a_router(self):
         first = await self.admit("bad", "r0")
         await self.crash(first.target.name)
-        holder = self.fleet.routers[0].directory.shards.of("bad")[0]
+        holder = self.fleet.routers[0].directory.shards.holders_of("bad")[0]
         self.fleet.stop(holder)
         at = self.fleet.live()[0].name
         second = await self.admit("bad", at)
--- a/tests/test_target_reports.py
+++ b/tests/test_target_reports.py
@@ -25,7 +25,7 @@
         async def query(message, timeout):
             sent.append([target.name for target in message.targets])
 
-        reports = target_reports.TargetReports(
+        reports = target_reports.TargetReporter(
             "a",
             query,
             lambda: relay[0],
