--- a/amaranthring/bench/control_worker.py
+++ b/amaranthring/bench/control_worker.py
@@ -76,12 +76,12 @@
     count = control.TARGETS // control.DATA_CENTRES
     now = time.monotonic()
     # They did not come through this router: it has nobody to tell.
-    changes, member.table.changes = member.table.changes, []
+    changes, member.table.change_callbacks = member.table.change_callbacks, []
     for place in places:
         for number in range(count):
             far = members.target(f"engine-{place}-{number}", place)
-            member.table.adopt(entries.Record(far, 1, False), now)
-    member.table.changes = changes
+            member.table.merge_record(entries.Record(far, 1, False), now)
+    member.table.change_callbacks = changes
     while True:
         now = time.monotonic()
         for place in places:
--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -68,7 +68,7 @@
 
     sink: Sink
     started: float
-    events: sse.Events | None = None
+    events: sse.EventRewriter | None = None
     begun: bool = False
     opened: bool = False
     first_token: float = 0.0
@@ -78,9 +78,9 @@
     def follow(self, name: str, shown: str) -> None:
         """Take the next events from stream `name`."""
         if self.events is None:
-            self.events = sse.Events(name, shown)
+            self.events = sse.EventRewriter(name, shown)
         else:
-            self.events.follow(name, shown)
+            self.events.switch_to(name, shown)
 
 
 async def stream(
@@ -279,8 +279,8 @@
                 exchange.came(delivery.last)
         if events.ended:
             return
-        if events.fault:
-            raise events.fault
+        if events.error:
+            raise events.error
 
 
 def _note_time(delivery: Delivery) -> None:
@@ -301,8 +301,8 @@
     record("between-tokens-worst", delivery.worst_gap, account, cls)
     record("whole", time.monotonic() - delivery.started, account, cls)
     needs.metrics.count("way.streamed")
-    if delivery.events.dropped:
-        needs.metrics.count("way.repeated-events", delivery.events.dropped)
+    if delivery.events.duplicates:
+        needs.metrics.count("way.repeated-events", delivery.events.duplicates)
 
 
 def _token(needs, request, target: records.Target, name: str) -> str:
@@ -317,7 +317,7 @@
     return tokens.sign(place, needs.keys)
 
 
-def continued_body(body: bytes, events: sse.Events) -> bytes | None:
+def continued_body(body: bytes, events: sse.EventRewriter) -> bytes | None:
     """Return the body that asks to continue what was sent, or None."""
     text = events.text()
     if text is None:
@@ -367,7 +367,7 @@
         raise _stream_gone(place, "an engine that is gone")
     shown = _token(needs, request, target, place.stream)
     delivery = Delivery(sink, time.monotonic())
-    delivery.events = sse.Events(place.stream, shown, number)
+    delivery.events = sse.EventRewriter(place.stream, shown, number)
     failed = None
     for _ in range(RESUMES_MOST):
         try:
@@ -427,7 +427,7 @@
             try:
                 await exchange.open(call, left)
                 check_head(exchange, name)
-                body = await exchange.whole(way.ANSWER_BYTES_MOST)
+                body = await exchange.read_all(way.ANSWER_BYTES_MOST)
             finally:
                 attempt.sent = exchange.sent
     except errors.TruncatedAnswerError:
--- a/amaranthring/callers/services.py
+++ b/amaranthring/callers/services.py
@@ -79,7 +79,7 @@
         with way.Breaker(needs, exchange):
             try:
                 await exchange.open(sent, left)
-                body = await exchange.whole(way.ANSWER_BYTES_MOST)
+                body = await exchange.read_all(way.ANSWER_BYTES_MOST)
             finally:
                 attempt.sent = attempt.sent or exchange.sent
     except errors.TruncatedAnswerError:
--- a/amaranthring/callers/way.py
+++ b/amaranthring/callers/way.py
@@ -353,7 +353,7 @@
         self.exchange.close()
 
     def _break(self, _) -> None:
-        self.exchange.break_off(
+        self.exchange.abort(
             errors.UpstreamError(
                 "the target was lost",
                 given=self.exchange.target.name,
@@ -386,5 +386,5 @@
     A broken connection alone is no death: a process that crashed refuses
     the next connection, one that only dropped this one does not.
     """
-    if not attempt.lost and not await upstream.reachable(attempt.target):
+    if not attempt.lost and not await upstream.is_reachable(attempt.target):
         attempt.lost = True
--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -102,9 +102,9 @@
             incoming.uri,
             self.dialect.request_headers(incoming, sending),
             incoming.body,
-            keep=True,
+            keep_alive=True,
         )
-        self.exchange.hand_over(call, min(patience, max(left, 0.0)))
+        self.exchange.write_call(call, min(patience, max(left, 0.0)))
         await self._read_head()
         self._check_head()
         return self.answer
@@ -114,25 +114,25 @@
         if self.reuse_connection:
             idempotent = self.context.route.idempotent
             idle = KEPT_IDEMPOTENT_SECONDS if idempotent else KEPT_SECONDS
-            held = await self.connections.take(self.target.id, idle)
+            held = await self.connections.acquire(self.target.id, idle)
         if held is not None:
-            self.exchange.use(*held)
+            self.exchange.reuse(*held)
             return
-        await self.exchange.connect_first()
-        pool.limit_silence(self.exchange.writer)
+        await self.exchange.connect()
+        pool.set_ack_timeout(self.exchange.writer)
 
     async def _read_head(self) -> None:
         exchange = self.exchange
         for _ in range(1 + EXTRA_ANSWERS_MOST):
-            await exchange.head()
+            await exchange.read_head()
             self.answer = self.dialect.read_response(
                 exchange.status, exchange.headers
             )
-            if not exchange.kept or not self._is_of_another():
+            if not exchange.reused or not self._is_of_another():
                 return
             # A target that answered the call before twice: its second
             # answer stands before ours.
-            await exchange.skip(ANSWER_BYTES_MOST)
+            await exchange.skip_body(ANSWER_BYTES_MOST)
 
     def _is_of_another(self) -> bool:
         named = self.answer.request_id
@@ -182,8 +182,8 @@
             If it is not whole.
         """
         left = self.context.deadline - time.monotonic()
-        self.exchange.allow(max(left, 0.0))
-        return await self.exchange.whole(ANSWER_BYTES_MOST, unframed=True)
+        self.exchange.set_timeout(max(left, 0.0))
+        return await self.exchange.read_all(ANSWER_BYTES_MOST, unframed=True)
 
     async def relay_events(
         self,
@@ -205,9 +205,9 @@
         errors.CallerGoneError
             If the caller has closed.
         """
-        self.exchange.allow(pause)
+        self.exchange.set_timeout(pause)
         while data := await self.exchange.read():
-            self.exchange.came(time.monotonic())
+            self.exchange.note_progress(time.monotonic())
             ready = cutter.feed(data)
             if not ready:
                 continue
@@ -238,4 +238,4 @@
             return
         stated = KEEP_ALIVE.search(self.exchange.headers.get("Keep-Alive", ""))
         seconds = float(stated[1]) if stated else None
-        self.connections.give(self.target.id, *held, seconds)
+        self.connections.release(self.target.id, *held, seconds)
--- a/amaranthring/forwarding/placing.py
+++ b/amaranthring/forwarding/placing.py
@@ -202,7 +202,7 @@
         if self._is_out(record) or self._is_cut_off(record, now):
             return False
         if entry.gone_at:
-            return entry.goes_on and now - entry.gone_at < LINGER_SECONDS
+            return entry.still_serving and now - entry.gone_at < LINGER_SECONDS
         return self.table.holds_address(record) and self._is_heard(record, now)
 
     def _is_heard(self, record: messages.TargetRecord, now: float) -> bool:
@@ -218,7 +218,7 @@
     def _able(self, passage: records.RequestContext) -> list:
         return [
             record
-            for record in self.table.current()
+            for record in self.table.active()
             if record.service == passage.service
             and record.state == messages.State.READY
             and record.id not in passage.tried
@@ -287,7 +287,7 @@
 
     def record_replaced(self, target: messages.TargetRecord) -> None:
         """Note that another target has the address of `target`."""
-        self.table.leave(target.id)
+        self.table.mark_gone(target.id)
         self.views[target.id].unreachable = True
 
     def failed_recently(self, target: messages.TargetRecord) -> bool:
--- a/amaranthring/forwarding/prompts.py
+++ b/amaranthring/forwarding/prompts.py
@@ -16,7 +16,7 @@
 # Engines here keep about 40 prompts of 10,000 tokens; at the usual rates a
 # part that nobody asked for in this time may have yielded to others.
 # Keepers remember pairs for as long.
-KEPT_SECONDS = sharing.KEPT_SECONDS
+KEPT_SECONDS = sharing.RETENTION_SECONDS
 # A pair that is in use is told again this often, so that the others do not
 # forget it.
 TELL_AGAIN_SECONDS = 10.0
--- a/amaranthring/keepers/reconciler.py
+++ b/amaranthring/keepers/reconciler.py
@@ -126,7 +126,7 @@
         self.wanted_since: dict[planner.Step, float] = {}
         self.sending: dict[int, asyncio.Task] = {}
         # Ends that the log did not take yet.
-        self.ended: dict[int, target_orders.Sent] = {}
+        self.ended: dict[int, target_orders.Result] = {}
         self.task: asyncio.Task | None = None
         self.led_at = 0.0
 
@@ -175,7 +175,7 @@
             if target is None or target.incarnation != order.incarnation:
                 await self._end(
                     order.fencing,
-                    target_orders.Sent(False, "the target is gone"),
+                    target_orders.Result(False, "the target is gone"),
                 )
                 continue
             step = planner.Step(
@@ -184,7 +184,7 @@
             if self._still_wanted(step):
                 await self._begin(step, order.fencing)
             else:
-                sent = target_orders.Sent(False, "no longer wanted")
+                sent = target_orders.Result(False, "no longer wanted")
                 await self._end(order.fencing, sent)
 
     def _has_ended(self, order: orders.Order) -> bool:
@@ -327,7 +327,7 @@
                 step.target, body, self._check, self.options.order_seconds
             )
         except errors.NotLeaderError as error:
-            sent = target_orders.Sent(False, f"not sent: {error.detail}")
+            sent = target_orders.Result(False, f"not sent: {error.detail}")
         event = "order.done" if sent.done else "order.failed"
         logs.event(log, event, detail=sent.detail, **fields)
         await self._end(fencing, sent)
@@ -336,11 +336,11 @@
         if not self.has_lease():
             raise errors.NotLeaderError("the lease ran out")
 
-    async def _end(self, fencing: int, sent: target_orders.Sent) -> None:
+    async def _end(self, fencing: int, sent: target_orders.Result) -> None:
         self.ended[fencing] = sent
         quiet = self.options.order_seconds if sent.unknown else 0.0
         end = commands.EndOrder(
-            fencing, sent.done, sent.detail, quiet, sent.seen
+            fencing, sent.done, sent.detail, quiet, sent.newer_fencing
         )
         try:
             await self.propose(end, PROPOSE_SECONDS)
--- a/amaranthring/plan_keeper.py
+++ b/amaranthring/plan_keeper.py
@@ -43,7 +43,7 @@
 
     def __init__(
         self,
-        place: keepers.Place,
+        place: keepers.Config,
         control: str,
         metrics_address: str,
         keys: links.Keys,
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -117,7 +117,7 @@
         self.placer = placing.Placer(self.subscriber.table, place.data_centre)
         self.reporter = reporting.Reporter(
             self.subscriber.handlers,
-            self.subscriber.home,
+            self.subscriber.home_link,
             self.placer.report,
             self.placer.update_from_others,
         )
@@ -180,7 +180,7 @@
         if not self.may_admit():
             return "no keeper confirms the plan"
         waited = time.monotonic() - self.started_at
-        if not self.reporter.heard and waited < HEAR_SECONDS:
+        if not self.reporter.has_heard and waited < HEAR_SECONDS:
             return "no word of the other routers yet"
         return ""
 
--- a/amaranthring/platform/control.py
+++ b/amaranthring/platform/control.py
@@ -172,7 +172,7 @@
         raise ValueError("no id")
     return {
         # The platform's id may be the same after a start.
-        "id": messages.start_id(target_id, born),
+        "id": messages.incarnation_id(target_id, born),
         "name": target_id,
         "born": born,
         # The platform's back end is our service.
--- a/amaranthring/platform/keeper.py
+++ b/amaranthring/platform/keeper.py
@@ -12,13 +12,13 @@
 
 def make(node: nodes.Node) -> plan_keeper.KeeperProcess:
     """Return the keeper of this VM."""
-    place = keepers.Place(
+    place = keepers.Config(
         address=f"{node.ip}:{node.fleet_port}",
         data_centre=node.data_centre,
         seeds=node.keepers(),
         may_begin=node.first_start,
         folder=node.data_folder,
-        beat_seconds=node.beat,
+        announce_seconds=node.beat,
         link_rate=node.link_rate,
         began_at=clocks.STARTED_AT,
     )
--- a/amaranthring/registry/backlogs.py
+++ b/amaranthring/registry/backlogs.py
@@ -3,7 +3,7 @@
 import typing as t
 
 # News beyond so many are dropped, the least urgent first.
-NEWS_MOST = 20_000
+MAX_UPDATES = 20_000
 
 
 class Backlog:
@@ -24,20 +24,20 @@
     """
 
     def __init__(self, rank: t.Callable[[str], int], known: list[list[str]]):
-        self.rank = rank
-        self.known = known
-        self.left = len(known)
-        self.news: dict[int, list[list[str]]] = {}
+        self.priority = rank
+        self.initial = known
+        self.remaining = len(known)
+        self.updates: dict[int, list[list[str]]] = {}
 
     def __len__(self) -> int:
-        return self.left + sum(map(len, self.news.values()))
+        return self.remaining + sum(map(len, self.updates.values()))
 
     def add(self, pairs: dict[int, list[list[str]]]) -> None:
         """Add pairs that are new, by rank."""
         for rank, ranked in pairs.items():
-            self.news.setdefault(rank, []).extend(ranked)
-        if sum(map(len, self.news.values())) > NEWS_MOST:
-            del self.news[min(self.news)]
+            self.updates.setdefault(rank, []).extend(ranked)
+        if sum(map(len, self.updates.values())) > MAX_UPDATES:
+            del self.updates[min(self.updates)]
 
     def take(self, most: int) -> list[list[str]]:
         """Remove and return up to `most` pairs, the most urgent last.
@@ -52,25 +52,25 @@
 
     def _take_rank(self, most: int) -> list[list[str]]:
         """Remove and return up to `most` pairs of the highest rank."""
-        rank = max(self.news, default=-1)
-        if self.left and self.rank(self.known[self.left - 1][0]) > rank:
+        rank = max(self.updates, default=-1)
+        if self.remaining and self.priority(self.initial[self.remaining - 1][0]) > rank:
             return self._take_known(most, rank)
-        held = self.news[rank]
+        held = self.updates[rank]
         taken = held[-most:]
         del held[-most:]
         if not held:
-            del self.news[rank]
+            del self.updates[rank]
         return taken
 
     def _take_known(self, most: int, above: int) -> list[list[str]]:
         """Remove and return up to `most` known pairs above a rank."""
-        last = self.left
+        last = self.remaining
         first = max(0, last - most)
-        while self.left > first and (
-            self.rank(self.known[self.left - 1][0]) > above
+        while self.remaining > first and (
+            self.priority(self.initial[self.remaining - 1][0]) > above
         ):
-            self.left -= 1
-        return self.known[self.left : last]
+            self.remaining -= 1
+        return self.initial[self.remaining : last]
 
 
 def fair_shares(wanted: dict[t.Any, int], room: int) -> dict[t.Any, int]:
--- a/amaranthring/registry/bodies.py
+++ b/amaranthring/registry/bodies.py
@@ -10,10 +10,10 @@
 
 # Routers that are so many versions behind get a whole plan. A storm of
 # changes puts two to five a second in force.
-PAST_MOST = 8
+MAX_HISTORY = 8
 
 
-class Bodies:
+class PlanSource:
     """Plans as they are sent to routers.
 
     Parameters
@@ -28,34 +28,34 @@
     def __init__(self, machine: plans.PlanMachine, pacer: pacing.Pacer):
         self.machine = machine
         self.pacer = pacer
-        self.past: collections.OrderedDict[int, bytes] = (
+        self.history: collections.OrderedDict[int, bytes] = (
             collections.OrderedDict()
         )
         self.made: dict[tuple[int, int], bytes] = {}
-        self.held: dict[links.Link, int] = {}
-        self.note()
+        self.held_versions: dict[links.Link, int] = {}
+        self.record_version()
 
-    def note(self) -> None:
+    def record_version(self) -> None:
         """Keep the document in force, for deltas from it."""
         version = self.machine.version
-        if version < 0 or version in self.past:
+        if version < 0 or version in self.history:
             return
-        self.past[version] = self.machine.document
+        self.history[version] = self.machine.document
         self.made.clear()
-        while len(self.past) > PAST_MOST:
-            self.past.popitem(last=False)
+        while len(self.history) > MAX_HISTORY:
+            self.history.popitem(last=False)
 
     def body_for(self, held: int) -> messages.PlanBody:
         """Return the newest plan for a router that holds version `held`."""
         version = self.machine.version
-        old, new = self.past.get(held), self.past.get(version)
+        old, new = self.history.get(held), self.history.get(version)
         if old is None or new is None or held >= version:
             return messages.PlanBody(version, self.machine.body)
         if (held, version) not in self.made:
             self.made[held, version] = deltas.make(old, new)
         return messages.PlanBody(version, self.made[held, version], held)
 
-    async def send(
+    async def fetch(
         self, held: int, router: links.Link | None = None
     ) -> messages.PlanBody:
         """Return a plan once the link has time for it.
@@ -72,14 +72,14 @@
         await self.pacer.turn()
         # A newer one may have come meanwhile.
         version = self.machine.version
-        if self.held.get(router, -1) >= version:
+        if self.held_versions.get(router, -1) >= version:
             return messages.PlanBody(version, b"")
         return self.body_for(held)
 
     def note_held(self, router: links.Link, version: int) -> None:
         """Note that `router` holds `version`."""
-        self.held[router] = version
+        self.held_versions[router] = version
 
     def forget(self, router: links.Link) -> None:
         """Forget a router whose link has ended."""
-        self.held.pop(router, None)
+        self.held_versions.pop(router, None)
--- a/amaranthring/registry/fetching.py
+++ b/amaranthring/registry/fetching.py
@@ -58,10 +58,10 @@
         take: t.Callable[[messages.PlanBody], None],
     ):
         self.name = name
-        self.held = held
-        self.base = base
-        self.linked = linked
-        self.take = take
+        self.held_version = held
+        self.base_version = base
+        self.open_links = linked
+        self.on_plan = take
         self.offers: dict[links.Link, int] = {}
         self._work: asyncio.Task | None = None
         self._calls: set[asyncio.Task] = set()
@@ -70,7 +70,7 @@
     def offer(self, link: links.Link, version: int) -> None:
         """Note that the keeper at `link` has `version`; fetch if newer."""
         self.offers[link] = max(version, self.offers.get(link, -1))
-        if version <= self.held():
+        if version <= self.held_version():
             return
         if self._work is None or self._work.done():
             self._work = asyncio.ensure_future(self._run())
@@ -82,7 +82,7 @@
                 task.cancel()
 
     async def _run(self) -> None:
-        if self.held() >= 0 and not self._first_offers():
+        if self.held_version() >= 0 and not self._first_offers():
             await asyncio.sleep(SPREAD_SECONDS)
         asked: dict[links.Link, int] = {}
         while (link := self._next(asked)) is not None:
@@ -101,8 +101,8 @@
         return hashing.weight(self.name, link.peer.name)
 
     def _first_offers(self) -> bool:
-        first = max(self.linked(), key=self._order, default=None)
-        return self.offers.get(first, -1) > self.held()
+        first = max(self.open_links(), key=self._order, default=None)
+        return self.offers.get(first, -1) > self.held_version()
 
     def _next(self, asked: dict[links.Link, int]) -> links.Link | None:
         """Return the keeper to ask next, None if nobody has more."""
@@ -114,14 +114,14 @@
         newer = [
             link
             for link, version in self.offers.items()
-            if version > max(self.held(), asked.get(link, -1))
+            if version > max(self.held_version(), asked.get(link, -1))
             and link not in self._asked
         ]
         return max(newer, key=self._order, default=None)
 
     async def _fetch(self, link: links.Link) -> None:
         try:
-            ask = messages.FetchPlan(held=self.base())
+            ask = messages.FetchPlan(held=self.base_version())
             plan = await link.call(ask, FETCH_SECONDS)
         except errors.AmaranthringError as error:
             log.warning(
@@ -130,14 +130,14 @@
             return
         finally:
             self._asked.discard(link)
-        if plan.version > self.held():
-            self.take(plan)
+        if plan.version > self.held_version():
+            self.on_plan(plan)
             self._tell_others()
 
     def _tell_others(self) -> None:
         for link in self._asked:
             try:
-                link.send(messages.PlanTaken(self.held()))
+                link.send(messages.PlanTaken(self.held_version()))
             except errors.LinkError:
                 # Then nothing comes from there in any case.
                 continue
--- a/amaranthring/registry/hint_file.py
+++ b/amaranthring/registry/hint_file.py
@@ -33,7 +33,7 @@
 REWRITE_SECONDS = 10.0
 # Targets in an older file have mostly been replaced. By the time of day,
 # which may have been set meanwhile: a wrong guess costs what no file does.
-TARGETS_SECONDS = 30.0
+MAX_TARGETS_AGE_SECONDS = 30.0
 
 
 @wire.message("registry-hints")
@@ -107,10 +107,10 @@
         except (OSError, ValueError, TypeError, errors.AmaranthringError) as e:
             log.warning("hints.unreadable fault={}", e)
             return
-        self.exchange.learn_tokens(found.tokens)
-        self.exchange.keep(found.places)
+        self.exchange.merge_tokens(found.tokens)
+        self.exchange.store_locations(found.places)
         age = self.wall() - found.written_at
-        known = found.targets if abs(age) <= TARGETS_SECONDS else []
+        known = found.targets if abs(age) <= MAX_TARGETS_AGE_SECONDS else []
         self.table.restore(known, self.trusted_age)
         logs.event(
             log,
@@ -136,8 +136,8 @@
                 self.written, self.written_at = held, hints.written_at
 
     def _hints(self) -> Hints:
-        heard = [one for one in self.table.current() if not one.silent]
-        places = self.exchange.all_kept()
+        heard = [one for one in self.table.active() if not one.silent]
+        places = self.exchange.recent_locations()
         tokens = self.exchange.tokens_of(places)
         return Hints(self.wall(), places, heard, tokens)
 
--- a/amaranthring/registry/hub.py
+++ b/amaranthring/registry/hub.py
@@ -23,12 +23,12 @@
 
 # Targets announce themselves about every beat; one lost or late beat is
 # ordinary, so silence begins after three.
-SILENT_BEATS = 3.5
-FRESH_BEATS = 1.5
+SILENT_INTERVALS = 3.5
+FRESH_INTERVALS = 1.5
 # Keepers tell each other this often whom they heard.
-TELL_SECONDS = 0.4
+GOSSIP_SECONDS = 0.4
 # Longer than a beat held up by a cut is likely to be late.
-FORGET_SECONDS = 60.0
+RETENTION_SECONDS = 60.0
 # An operator gives a keeper one second for an answer and then asks another.
 ANSWER_SECONDS = 0.9
 RETRY_SECONDS = 0.05
@@ -69,8 +69,8 @@
     ):
         self.group = group
         self.machine = machine
-        self.beat_seconds = beat_seconds
-        self.table = targets.TargetTable(clock, FRESH_BEATS * beat_seconds)
+        self.announce_seconds = beat_seconds
+        self.table = targets.TargetTable(clock, FRESH_INTERVALS * beat_seconds)
         self.routers: dict[links.Link, str] = {}
         self.exchange = sharing.Exchange(
             handlers,
@@ -79,11 +79,11 @@
             pacer,
         )
         self.tasks: list[asyncio.Task] = []
-        self.bodies = bodies.Bodies(machine, pacer)
-        self.news = news.TargetNews(
+        self.plan_source = bodies.PlanSource(machine, pacer)
+        self.publisher = news.TargetPublisher(
             lambda: self.routers, self.table.records, pacer
         )
-        self.told_version = machine.version
+        self.notified_version = machine.version
         self.notice_due = False
         group.on_applied.append(self._applied)
         group.on_leader.append(self._leads)
@@ -96,7 +96,7 @@
 
     def start(self) -> None:
         """Start telling the other keepers whom this one heard."""
-        for work in (self._run(), self.exchange.run(), self.news.run()):
+        for work in (self._run(), self.exchange.run(), self.publisher.run()):
             self.tasks.append(asyncio.ensure_future(work))
 
     def stop(self) -> None:
@@ -143,7 +143,7 @@
             As :meth:`announce`.
         """
         self._require_connected()
-        record = self.table.leave_named(name, born)
+        record = self.table.mark_gone_by_name(name, born)
         if record is not None:
             logs.event(log, "target.left", target=record.id)
             self._tell([record])
@@ -157,7 +157,7 @@
             )
 
     def _tell(self, records: list[messages.TargetRecord]) -> None:
-        self.news.add(records)
+        self.publisher.publish(records)
         message = messages.Targets(records)
         for peer in self.group.peers.values():
             peer.dialler.send(message)
@@ -179,29 +179,29 @@
             if self.table.merge(record)
         ]
         if changed:
-            self.news.add(changed)
+            self.publisher.publish(changed)
 
     def _on_heard(self, link: links.Link, message: messages.Heard) -> None:
         _require_keeper(link)
         for target_id, sequence in message.sequences.items():
-            if self.table.hear(target_id, sequence):
+            if self.table.record_heartbeat(target_id, sequence):
                 self._tell([self.table.entries[target_id].record])
 
     async def _run(self) -> None:
         told: dict[str, int] = {}
         linked: set[str] = set()
         while True:
-            await asyncio.sleep(TELL_SECONDS)
+            await asyncio.sleep(GOSSIP_SECONDS)
             told = self._tell_heard(told)
             linked = self._greet_new_peers(linked)
             if self.group.leader():
-                silent = SILENT_BEATS * self.beat_seconds
-                marked = self.table.silence(silent)
+                silent = SILENT_INTERVALS * self.announce_seconds
+                marked = self.table.mark_silent(silent)
                 if marked:
                     for record in marked:
                         logs.event(log, "target.silent", target=record.id)
                     self._tell(marked)
-            self.table.forget(FORGET_SECONDS)
+            self.table.remove_expired(RETENTION_SECONDS)
 
     def _tell_heard(self, told: dict[str, int]) -> dict[str, int]:
         now = {r.id: r.sequence for r in self.table.records()}
@@ -221,7 +221,7 @@
         records = self.table.records()
         for name in now - linked:
             dialler = self.group.peers[name].dialler
-            self.exchange.greet(dialler)
+            self.exchange.sync_keeper(dialler)
             if records:
                 dialler.send(messages.pack_targets(records))
         return now
@@ -300,10 +300,10 @@
         raise fault
 
     def _applied(self, _index: int) -> None:
-        if self.machine.version <= self.told_version:
+        if self.machine.version <= self.notified_version:
             return
-        self.told_version = self.machine.version
-        self.bodies.note()
+        self.notified_version = self.machine.version
+        self.plan_source.record_version()
         if not self.notice_due:
             # A follower that catches up applies many plans in one go.
             self.notice_due = True
@@ -317,7 +317,7 @@
     def _notify(self) -> None:
         self.notice_due = False
         notice = messages.PlanNotice(self.machine.version, self.group.leading)
-        news.tell_all(self.routers, notice)
+        news.broadcast(self.routers, notice)
 
     # -- routers -----------------------------------------------------
 
@@ -327,11 +327,11 @@
             return
         logs.event(log, "router.linked", router=link.peer.name)
         self.routers[link] = link.peer.name
-        self.news.welcome(link)
+        self.publisher.add_router(link)
 
-    def on_gone(self, link: links.Link) -> None:
+    def on_unlink(self, link: links.Link) -> None:
         """Forget a router whose link has ended."""
-        self.bodies.forget(link)
+        self.plan_source.forget(link)
         if self.routers.pop(link, None) is not None:
             logs.event(log, "router.unlinked", router=link.peer.name)
 
@@ -356,10 +356,10 @@
     async def _on_fetch(self, link, message: messages.FetchPlan):
         if message.newest:
             return await self._read_here(ANSWER_SECONDS)
-        return await self.bodies.send(message.held, link)
+        return await self.plan_source.fetch(message.held, link)
 
     def _on_held(self, link: links.Link, message: messages.PlanTaken) -> None:
-        self.bodies.note_held(link, message.version)
+        self.plan_source.note_held(link, message.version)
 
 
 def _require_keeper(link: links.Link) -> None:
--- a/amaranthring/registry/keeper.py
+++ b/amaranthring/registry/keeper.py
@@ -25,7 +25,7 @@
 # announced itself again after so many beats, counts as silent: one beat, and
 # three quarters of one for a late one. It may have left meanwhile, and the
 # word of it may have been lost with the power.
-RESTORED_BEATS = 1.75
+RESTORED_INTERVALS = 1.75
 # A plan with hundreds of routes takes some tens of kilobytes: snapshots
 # keep the log short, and a follower that missed a few changes still gets
 # them one by one.
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass
-class Place:
+class Config:
     """Where and as whom a keeper runs.
 
     Attributes
@@ -65,7 +65,7 @@
     seeds: list[str]
     may_begin: bool
     folder: str
-    beat_seconds: float
+    announce_seconds: float
     link_rate: float = 0.0
     began_at: float | None = None
 
@@ -85,13 +85,13 @@
 
     def __init__(
         self,
-        place: Place,
+        place: Config,
         keys: links.Keys,
         metrics: metrics_module.Metrics,
         options: options_module.Options | None = None,
         files: disk.Files | None = None,
     ):
-        self.place = place
+        self.config = place
         self.metrics = metrics
         self.machine = plans.PlanMachine()
         self.handlers = links.Handlers()
@@ -125,16 +125,16 @@
             self.group,
             self.machine,
             self.handlers,
-            place.beat_seconds,
+            place.announce_seconds,
             clocks.monotonic,
             self.pacer,
         )
-        unheard = hubs.SILENT_BEATS - RESTORED_BEATS
+        unheard = hubs.SILENT_INTERVALS - RESTORED_INTERVALS
         self.hints = hint_file.HintFile(
             pathlib.Path(place.folder) / HINTS,
             self.hub.exchange,
             self.hub.table,
-            unheard * place.beat_seconds,
+            unheard * place.announce_seconds,
         )
         self.watching: asyncio.Task | None = None
         self.writing: asyncio.Task | None = None
@@ -143,7 +143,7 @@
             keys,
             self.handlers,
             self.hub.on_link,
-            self.hub.on_gone,
+            self.hub.on_unlink,
         )
 
     def options(self) -> options_module.Options:
@@ -155,15 +155,15 @@
             kept_entries=KEPT_ENTRIES,
             may_begin=self._may_begin(),
             admits=True,
-            began_at=self.place.began_at,
+            began_at=self.config.began_at,
         )
 
     def _may_begin(self) -> bool:
         # With more keepers than seeds, the others join what the seeds begin.
-        return self.place.may_begin and self.place.address in self.place.seeds
+        return self.config.may_begin and self.config.address in self.config.seeds
 
     def _everyone(self) -> list[str]:
-        return sorted({*self.place.seeds, self.place.address})
+        return sorted({*self.config.seeds, self.config.address})
 
     def start(self, sockets: list) -> None:
         """Serve streams on the listening `sockets`, and take part."""
@@ -174,7 +174,7 @@
         self.writing = asyncio.ensure_future(self.hints.run())
         self.watching = asyncio.ensure_future(
             pressure.watch(
-                self.group, self.handlers, self.links, self.place.link_rate
+                self.group, self.handlers, self.links, self.config.link_rate
             )
         )
 
@@ -186,7 +186,7 @@
     def use_seeds(self, addresses: list[str]) -> None:
         """Also ask the keepers at `addresses` to be taken in."""
         for address in addresses:
-            if address != self.place.address:
+            if address != self.config.address:
                 self.group.add_peer(address, address, "")
 
     async def stop(self) -> None:
--- a/amaranthring/registry/messages.py
+++ b/amaranthring/registry/messages.py
@@ -20,7 +20,7 @@
     GONE = "gone"
 
 
-RANK = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}
+STATE_ORDER = {State.READY: 0, State.DRAINING: 1, State.GONE: 2}
 
 
 @dataclasses.dataclass
@@ -73,7 +73,7 @@
         self.name = self.name or self.id
 
 
-def start_id(name: str, born: int) -> str:
+def incarnation_id(name: str, born: int) -> str:
     """Return the id of one start of the target `name`.
 
     What is known of a target (its requests, the prompts that it keeps, its
--- a/amaranthring/registry/news.py
+++ b/amaranthring/registry/news.py
@@ -14,7 +14,7 @@
 PACKED_FROM = 3
 
 
-class TargetNews:
+class TargetPublisher:
     """The latest record of each target that routers have not been told.
 
     Records wait while the link has no room and then go together: a keeper
@@ -41,18 +41,18 @@
         self.routers = routers
         self.table = table
         self.pacer = pacer
-        self.waiting: dict[str, messages.TargetRecord] = {}
-        self.newcomers: collections.deque[links.Link] = collections.deque()
+        self.pending: dict[str, messages.TargetRecord] = {}
+        self.new_routers: collections.deque[links.Link] = collections.deque()
         self.due = asyncio.Event()
 
-    def add(self, records: list[messages.TargetRecord]) -> None:
+    def publish(self, records: list[messages.TargetRecord]) -> None:
         """Tell all routers of `records` as soon as there is room."""
-        self.waiting.update((record.id, record) for record in records)
+        self.pending.update((record.id, record) for record in records)
         self.due.set()
 
-    def welcome(self, router: links.Link) -> None:
+    def add_router(self, router: links.Link) -> None:
         """Tell `router` of all targets as soon as there is room."""
-        self.newcomers.append(router)
+        self.new_routers.append(router)
         self.due.set()
 
     async def run(self) -> None:
@@ -60,30 +60,30 @@
         while True:
             await self.due.wait()
             await self.pacer.turn()
-            if self.waiting:
+            if self.pending:
                 self._tell_changes()
-            elif self.newcomers:
+            elif self.new_routers:
                 self._tell_newcomers()
             else:
                 self.due.clear()
 
     def _tell_changes(self) -> None:
-        records, self.waiting = list(self.waiting.values()), {}
+        records, self.pending = list(self.pending.values()), {}
         message: t.Any = messages.Targets(records)
         if len(records) >= PACKED_FROM:
             message = messages.pack_targets(records)
-        tell_all(self.routers(), message)
+        broadcast(self.routers(), message)
 
     def _tell_newcomers(self) -> None:
         message = messages.pack_targets(self.table())
         frame = wire.encode(wire.ONE_WAY, 0, message)
-        while self.newcomers:
-            _send(self.newcomers.popleft(), frame, type(message))
+        while self.new_routers:
+            _send(self.new_routers.popleft(), frame, type(message))
             if not self.pacer.room():
                 return
 
 
-def tell_all(routers: t.Iterable[links.Link], message: t.Any) -> None:
+def broadcast(routers: t.Iterable[links.Link], message: t.Any) -> None:
     """Send `message` to all `routers`, encoded once."""
     frame = wire.encode(wire.ONE_WAY, 0, message)
     for link in list(routers):
--- a/amaranthring/registry/sharing.py
+++ b/amaranthring/registry/sharing.py
@@ -22,11 +22,11 @@
 
 # Requests last about a second; counts that are a few hundred milliseconds
 # old are of use for bounding loads, for 8 messages a second and router.
-SHARE_SECONDS = 0.25
+REPORT_SECONDS = 0.25
 # Places are kept for routers that start or come to another keeper. A router
 # that restarts without them sends prompts where they must be read again.
-KEPT_SECONDS = 45.0
-PLACES_MOST = 20_000
+RETENTION_SECONDS = 45.0
+MAX_LOCATIONS = 20_000
 # Places share what the link has room for. All at once, to many routers that
 # start or come back after a cut together, they fill it, and the keepers'
 # heartbeats come too late; a few at a time, routers send prompts where they
@@ -34,14 +34,14 @@
 # as many bytes as its part's identifier.
 PAIR_BYTES = 10
 # Where the link's room is not known.
-PLACES_A_MESSAGE = 100
+LOCATIONS_PER_MESSAGE = 100
 # What comes in any case, so that news go on during long pressure.
-PLACES_LEAST = 30
+MIN_LOCATIONS_PER_MESSAGE = 30
 # A keeper that has said nothing for so long is cut off or gone.
 STALE_SECONDS = 1.5
 # What a router may lack although its keeper told it all: the other keepers'
 # last sums may be stale, and news take two messages from one to the router.
-NEWS_SECONDS = STALE_SECONDS + 2 * SHARE_SECONDS
+PROPAGATION_SECONDS = STALE_SECONDS + 2 * REPORT_SECONDS
 # Between two lines that say how far behind places are.
 LOG_SECONDS = 1.0
 
@@ -215,15 +215,15 @@
         self.routers: dict[links.Link, Report] = {}
         self.reported_at: dict[links.Link, float] = {}
         self.sums: dict[str, tuple[float, Sums]] = {}
-        self.places: dict[links.Link, backlogs.Backlog] = {}
-        self.for_keepers: list[list[str]] = []
-        self.greetings: dict[t.Any, backlogs.Backlog] = {}
-        self.kept: collections.OrderedDict[tuple[str, str], float] = (
+        self.router_backlogs: dict[links.Link, backlogs.Backlog] = {}
+        self.new_locations: list[list[str]] = []
+        self.keeper_backlogs: dict[t.Any, backlogs.Backlog] = {}
+        self.stored_at: collections.OrderedDict[tuple[str, str], float] = (
             collections.OrderedDict()
         )
         self.tokens: dict[str, int] = {}
-        self.known: list[list[str]] = []
-        self.known_at = float("-inf")
+        self.ranked_locations: list[list[str]] = []
+        self.ranked_at = float("-inf")
         self.logged_at = float("-inf")
         handlers.add(Report, self._on_report)
         handlers.add(Left, self._on_left)
@@ -232,19 +232,19 @@
     async def run(self) -> None:
         """Exchange sums until cancelled."""
         while True:
-            await asyncio.sleep(SHARE_SECONDS)
+            await asyncio.sleep(REPORT_SECONDS)
             self.step()
 
     def step(self) -> None:
         """Tell the other keepers, and every router that reports here."""
         totals = self._own_totals()
-        places, self.for_keepers = self.for_keepers, []
+        places, self.new_locations = self.new_locations, []
         message = totals.message(Sums, places)
         message.tokens = self.tokens_of(places)
         room = self._room()
         allowed = self._allowed(room)
         for dialler in self.peers():
-            known = self._next(self.greetings, dialler, allowed)
+            known = self._next(self.keeper_backlogs, dialler, allowed)
             tokens = message.tokens | self.tokens_of(known)
             dialler.send(
                 dataclasses.replace(message, known=known, tokens=tokens)
@@ -252,7 +252,7 @@
         self._add_elsewhere(totals)
         for link, report in self.routers.items():
             self._tell(link, report, totals, allowed)
-        if self.places:
+        if self.router_backlogs:
             self._log_behind(room)
 
     def _log_behind(self, room: int) -> None:
@@ -261,7 +261,7 @@
         if now - self.logged_at < LOG_SECONDS:
             return
         self.logged_at = now
-        waiting = [len(backlog) for backlog in self.places.values()]
+        waiting = [len(backlog) for backlog in self.router_backlogs.values()]
         logs.event(
             log,
             "places.behind",
@@ -272,13 +272,13 @@
             room=room,
         )
 
-    def greet(self, dialler: t.Any) -> None:
+    def sync_keeper(self, dialler: t.Any) -> None:
         """Tell a keeper that has just been linked what it may have lost.
 
         One whose disk was wiped knows no place, and the routers that report
         to it would send prompts where they have to be read again.
         """
-        self.greetings[dialler] = backlogs.Backlog(self.rank, self._known())
+        self.keeper_backlogs[dialler] = backlogs.Backlog(self.priority, self._known())
 
     def _own_totals(self) -> Totals:
         totals = Totals()
@@ -293,7 +293,7 @@
         """Count a router no more, and tell it nothing more."""
         if self.routers.pop(link, None) is not None:
             del self.reported_at[link]
-            self.places.pop(link, None)
+            self.router_backlogs.pop(link, None)
 
     def _reports_elsewhere(self, link: links.Link) -> bool:
         """Return whether the router has turned to another keeper.
@@ -318,10 +318,10 @@
         totals: Totals,
         allowed: dict[t.Any, int],
     ) -> None:
-        places = self._next(self.places, link, allowed)
+        places = self._next(self.router_backlogs, link, allowed)
         message = totals.without(report).message(Others, places)
-        message.all_told = link not in self.places and self._hears_all()
-        tell(link, message)
+        message.all_told = link not in self.router_backlogs and self._hears_all()
+        send_if_open(link, message)
 
     def _hears_all(self) -> bool:
         """Return whether this keeper knows what every other one knows."""
@@ -344,7 +344,7 @@
     def _room(self) -> int:
         """Return how many pairs may go now to all together."""
         if self.pacer is None:
-            return PLACES_A_MESSAGE * (len(self.places) + len(self.greetings))
+            return LOCATIONS_PER_MESSAGE * (len(self.router_backlogs) + len(self.keeper_backlogs))
         return int(self.pacer.room() / PAIR_BYTES)
 
     def _allowed(self, room: int) -> dict[t.Any, int]:
@@ -353,10 +353,10 @@
         Shared out before any is told: what goes to the first ones takes
         room, and those who come last would be behind for good.
         """
-        waiting = {**self.places, **self.greetings}
+        waiting = {**self.router_backlogs, **self.keeper_backlogs}
         sizes = {to: len(backlog) for to, backlog in waiting.items()}
         return {
-            to: max(PLACES_LEAST, share)
+            to: max(MIN_LOCATIONS_PER_MESSAGE, share)
             for to, share in backlogs.fair_shares(sizes, room).items()
         }
 
@@ -367,12 +367,12 @@
         if is_new:
             # It takes no callers until it knows what the others do.
             known = self._unknown_to(report)
-            self.places[link] = backlogs.Backlog(self.rank, known)
+            self.router_backlogs[link] = backlogs.Backlog(self.priority, known)
             totals = self._own_totals()
             self._add_elsewhere(totals)
             self._tell(link, report, totals, self._allowed(self._room()))
-        self.for_keepers += report.places
-        self.learn_tokens(report.tokens)
+        self.new_locations += report.places
+        self.merge_tokens(report.tokens)
         self._pass_on(report.places, but=link)
 
     def _on_left(self, link: links.Link, _left: Left) -> None:
@@ -389,51 +389,51 @@
         """
         if report.told_all_ago < 0:
             return self._known()
-        age = report.told_all_ago + NEWS_SECONDS
+        age = report.told_all_ago + PROPAGATION_SECONDS
         return self._by_rank(self._kept_since(self.clock() - age))
 
     def _on_sums(self, link: links.Link, sums: Sums) -> None:
         self.sums[link.peer.name] = (self.clock(), sums)
-        self.learn_tokens(sums.tokens)
+        self.merge_tokens(sums.tokens)
         self._pass_on(sums.places, but=link)
-        lost = [pair for pair in sums.known if tuple(pair) not in self.kept]
+        lost = [pair for pair in sums.known if tuple(pair) not in self.stored_at]
         self._pass_on(lost, but=link)
 
     def _pass_on(self, places: list[list[str]], but: links.Link) -> None:
         if not places:
             return
-        self.keep(places)
+        self.store_locations(places)
         ranked = collections.defaultdict(list)
         for pair in places:
-            ranked[self.rank(pair[0])].append(pair)
+            ranked[self.priority(pair[0])].append(pair)
         for link in self.routers:
             if link is not but:
-                waiting = self.places.setdefault(
-                    link, backlogs.Backlog(self.rank, [])
+                waiting = self.router_backlogs.setdefault(
+                    link, backlogs.Backlog(self.priority, [])
                 )
                 waiting.add(ranked)
 
-    def keep(self, places: list[list[str]]) -> None:
+    def store_locations(self, places: list[list[str]]) -> None:
         """Remember pairs for routers that start."""
         now = self.clock()
-        self.known_at = float("-inf")
+        self.ranked_at = float("-inf")
         for part_id, target_id in places:
-            self.kept[part_id, target_id] = now
-            self.kept.move_to_end((part_id, target_id))
-        while self.kept:
-            pair, since = next(iter(self.kept.items()))
-            if len(self.kept) <= PLACES_MOST and now - since < KEPT_SECONDS:
+            self.stored_at[part_id, target_id] = now
+            self.stored_at.move_to_end((part_id, target_id))
+        while self.stored_at:
+            pair, since = next(iter(self.stored_at.items()))
+            if len(self.stored_at) <= MAX_LOCATIONS and now - since < RETENTION_SECONDS:
                 break
-            del self.kept[pair]
-        if len(self.tokens) > PLACES_MOST:
-            self.tokens = self.tokens_of(self.all_kept())
+            del self.stored_at[pair]
+        if len(self.tokens) > MAX_LOCATIONS:
+            self.tokens = self.tokens_of(self.recent_locations())
 
-    def all_kept(self) -> list[list[str]]:
+    def recent_locations(self) -> list[list[str]]:
         """Return the pairs that are not too old, the newest last."""
-        return self._kept_since(self.clock() - KEPT_SECONDS)
+        return self._kept_since(self.clock() - RETENTION_SECONDS)
 
     def _kept_since(self, oldest: float) -> list[list[str]]:
-        newest_first = reversed(self.kept.items())
+        newest_first = reversed(self.stored_at.items())
         fresh = itertools.takewhile(lambda one: one[1] > oldest, newest_first)
         return [list(pair) for pair, _ in fresh][::-1]
 
@@ -444,19 +444,19 @@
         the same pairs.
         """
         now = self.clock()
-        if now - self.known_at > SHARE_SECONDS:
-            self.known = self._by_rank(self.all_kept())
-            self.known_at = now
-        return self.known
+        if now - self.ranked_at > REPORT_SECONDS:
+            self.ranked_locations = self._by_rank(self.recent_locations())
+            self.ranked_at = now
+        return self.ranked_locations
 
     def _by_rank(self, places: list[list[str]]) -> list[list[str]]:
-        return sorted(places, key=lambda pair: self.rank(pair[0]))
+        return sorted(places, key=lambda pair: self.priority(pair[0]))
 
-    def rank(self, part_id: str) -> int:
+    def priority(self, part_id: str) -> int:
         """Return how urgent a part is: its tokens by powers of two."""
         return self.tokens.get(part_id, 0).bit_length()
 
-    def learn_tokens(self, tokens: dict[str, int]) -> None:
+    def merge_tokens(self, tokens: dict[str, int]) -> None:
         """Take the tokens of beginnings that parts are in."""
         for part_id, count in tokens.items():
             self.tokens[part_id] = max(count, self.tokens.get(part_id, 0))
@@ -467,7 +467,7 @@
         return {one: self.tokens[one] for one in parts & self.tokens.keys()}
 
 
-def tell(link: links.Link, message: t.Any) -> None:
+def send_if_open(link: links.Link, message: t.Any) -> None:
     """Send `message` one way, if the link stands."""
     try:
         link.send(message)
--- a/amaranthring/registry/subscriber.py
+++ b/amaranthring/registry/subscriber.py
@@ -73,16 +73,16 @@
     ):
         self.identity = identity
         self.keys = keys
-        self.take_plan = take_plan
+        self.apply_plan = take_plan
         self.handlers = links.Handlers()
         self.handlers.add(messages.Targets, self._on_targets)
         self.handlers.add(messages.AllTargets, self._on_all_targets)
         self.handlers.add(messages.PlanNotice, self._on_notice)
         self.table = targets.TargetTable(clocks.boottime, fresh_seconds=0.0)
         self.diallers: dict[str, links.Dialler] = {}
-        self.asking: dict[str, asyncio.Task] = {}
-        self.counts: dict[str, int] = {}
-        self.renewing: dict[links.Link, asyncio.Task] = {}
+        self.renewal_tasks: dict[str, asyncio.Task] = {}
+        self.router_counts: dict[str, int] = {}
+        self.notice_tasks: dict[links.Link, asyncio.Task] = {}
         self.noticed: set[links.Link] = set()
         self.version = -1
         self.confirmed_at = float("-inf")
@@ -98,16 +98,16 @@
             identity.name,
             lambda: self.version,
             self._base,
-            self.linked,
+            self.open_links,
             self._take,
         )
 
     @property
     def routers(self) -> int:
         """Return how many routers there are, as far as is known."""
-        return max([1, *self.counts.values()])
+        return max([1, *self.router_counts.values()])
 
-    def home(self) -> links.Link | None:
+    def home_link(self) -> links.Link | None:
         """Return the link to the keeper that this router reports to.
 
         One in its own data centre, if there is one: when that is cut off,
@@ -123,7 +123,7 @@
         chosen = hashing.first(self.identity.name, near or linked)
         return linked[chosen] if chosen else None
 
-    def linked(self) -> list[links.Link]:
+    def open_links(self) -> list[links.Link]:
         """Return the links to keepers that stand."""
         return list(self._linked().values())
 
@@ -143,7 +143,7 @@
         """Return whether no keeper answers this router."""
         return clocks.boottime() - self.answered_at > CUT_OFF_SECONDS
 
-    def follow(self, addresses: list[str]) -> None:
+    def add_keepers(self, addresses: list[str]) -> None:
         """Link to the keepers at `addresses`, beside those already known."""
         for address in addresses:
             if address in self.diallers:
@@ -154,26 +154,26 @@
             self.diallers[address] = dialler
             dialler.start()
             task = asyncio.ensure_future(self._ask(address, dialler))
-            self.asking[address] = task
+            self.renewal_tasks[address] = task
 
     def use_seeds(self, addresses: list[str]) -> None:
         """Take the keepers that the settings name now."""
         self.seeds = addresses
-        self.follow(addresses)
+        self.add_keepers(addresses)
 
-    def drop(self, address: str) -> None:
+    def remove_keeper(self, address: str) -> None:
         """Give up on a keeper that is no longer one."""
         self.diallers.pop(address).stop()
-        self.asking.pop(address).cancel()
-        self.counts.pop(address, None)
+        self.renewal_tasks.pop(address).cancel()
+        self.router_counts.pop(address, None)
 
     def stop(self) -> None:
         """Close all links."""
         self.fetcher.stop()
-        for task in list(self.renewing.values()):
+        for task in list(self.notice_tasks.values()):
             task.cancel()
         for address in list(self.diallers):
-            self.drop(address)
+            self.remove_keeper(address)
 
     # -- what keepers say --------------------------------------------
 
@@ -186,7 +186,7 @@
                 name = "keeper.linked" if linked else "keeper.unlinked"
                 logs.event(log, name, keeper=address)
                 if not linked:
-                    self.counts.pop(address, None)
+                    self.router_counts.pop(address, None)
             if link is not None:
                 await self._renew(address, link)
             await asyncio.sleep(RENEW_SECONDS if link else RENEW_SECONDS / 10)
@@ -203,7 +203,7 @@
             return
         except errors.AmaranthringError:
             return
-        self.counts[address] = reply.routers
+        self.router_counts[address] = reply.routers
         self.answered_at = clocks.boottime()
         self._learn(reply)
         self.fetcher.offer(link, reply.version)
@@ -211,12 +211,12 @@
             self._confirm(reply.version, sent_at)
 
     def _learn(self, reply: messages.Renewed) -> None:
-        self.follow(reply.keepers)
+        self.add_keepers(reply.keepers)
         if not reply.confirmed:
             return
         for address in set(self.diallers) - set(reply.keepers):
             if address not in self.seeds:
-                self.drop(address)
+                self.remove_keeper(address)
 
     def _on_notice(self, link: links.Link, notice: messages.PlanNotice):
         self.fetcher.offer(link, notice.version)
@@ -229,11 +229,11 @@
         if address is None:
             return
         self.noticed.add(link)
-        if link in self.renewing:
+        if link in self.notice_tasks:
             return
         task = asyncio.ensure_future(self._renew_noticed(address, link))
-        self.renewing[link] = task
-        task.add_done_callback(lambda _: self.renewing.pop(link, None))
+        self.notice_tasks[link] = task
+        task.add_done_callback(lambda _: self.notice_tasks.pop(link, None))
 
     async def _renew_noticed(self, address: str, link: links.Link) -> None:
         # A notice that comes while a question is under way may be what that
@@ -253,7 +253,7 @@
             return
         try:
             document = self._document(plan)
-            self.take_plan(document)
+            self.apply_plan(document)
         except errors.AmaranthringError as error:
             log.error("plan.refused version={} fault={}", plan.version, error)
             # Whatever is wrong with it, it is not asked for as a delta again.
--- a/amaranthring/registry/targets.py
+++ b/amaranthring/registry/targets.py
@@ -58,7 +58,7 @@
     record: messages.TargetRecord
     heard_at: float
     gone_at: float = 0.0
-    goes_on: bool = False
+    still_serving: bool = False
 
 
 class TargetTable:
@@ -88,14 +88,14 @@
         self.fresh_seconds = fresh_seconds
         self.entries: dict[str, Entry] = {}
         self.by_address: dict[str, str] = {}
-        self.newest: dict[str, str] = {}
+        self.newest_by_name: dict[str, str] = {}
 
     def merge(self, record: messages.TargetRecord) -> bool:
         """Take `record` in; return whether others should hear of it."""
         entry = self.entries.get(record.id)
         if entry is not None:
             return self._update(entry, record)
-        before = self.entries.get(self.newest.get(record.name, ""))
+        before = self.entries.get(self.newest_by_name.get(record.name, ""))
         if before is not None and before.record.born > record.born:
             # Held up on its way, of a process that is no more; or of
             # another writer, which does not say when the target was born.
@@ -106,7 +106,7 @@
             return False
         if before is not None:
             self._end(before)
-        self.newest[record.name] = record.id
+        self.newest_by_name[record.name] = record.id
         self.entries[record.id] = Entry(record, now, now if gone else 0.0)
         if not gone:
             self.by_address[record.address] = record.id
@@ -127,17 +127,17 @@
             if record.id not in self.entries and self.merge(record):
                 self.entries[record.id].heard_at = heard_at
 
-    def leave(self, target_id: str) -> messages.TargetRecord | None:
+    def mark_gone(self, target_id: str) -> messages.TargetRecord | None:
         """Note that a target is gone; return its record if it was known."""
         entry = self.entries.get(target_id)
         if entry is None:
             return None
         if not entry.gone_at:
-            entry.goes_on = entry.record.state == messages.State.READY
+            entry.still_serving = entry.record.state == messages.State.READY
         self._end(entry)
         return entry.record
 
-    def leave_named(
+    def mark_gone_by_name(
         self, name: str, born: int
     ) -> messages.TargetRecord | None:
         """Note that the target `name` is gone; as :meth:`leave`.
@@ -147,12 +147,12 @@
         born : int
             When the start was born that says so; 0 if it does not say.
         """
-        entry = self.entries.get(self.newest.get(name, ""))
+        entry = self.entries.get(self.newest_by_name.get(name, ""))
         if entry is None or 0 < born < entry.record.born:
             return None
-        return self.leave(entry.record.id)
+        return self.mark_gone(entry.record.id)
 
-    def hear(self, target_id: str, sequence: int) -> bool:
+    def record_heartbeat(self, target_id: str, sequence: int) -> bool:
         """Note a sign of life; return whether the target was silent."""
         entry = self.entries.get(target_id)
         if entry is None or sequence <= entry.record.sequence:
@@ -164,7 +164,7 @@
         )
         return was_silent
 
-    def silence(self, seconds: float) -> list[messages.TargetRecord]:
+    def mark_silent(self, seconds: float) -> list[messages.TargetRecord]:
         """Mark and return targets not heard for `seconds`."""
         now = self.clock()
         marked = []
@@ -176,7 +176,7 @@
                 marked.append(entry.record)
         return marked
 
-    def forget(self, seconds: float) -> None:
+    def remove_expired(self, seconds: float) -> None:
         """Drop targets that went, or fell silent, `seconds` ago."""
         now = self.clock()
         for target_id, entry in list(self.entries.items()):
@@ -184,8 +184,8 @@
             ended = entry.gone_at or entry.record.silent
             if ended and now - since > seconds:
                 del self.entries[target_id]
-                if self.newest.get(entry.record.name) == target_id:
-                    del self.newest[entry.record.name]
+                if self.newest_by_name.get(entry.record.name) == target_id:
+                    del self.newest_by_name[entry.record.name]
                 if self.holds_address(entry.record):
                     del self.by_address[entry.record.address]
 
@@ -197,7 +197,7 @@
             if entry.gone_at or self.holds_address(entry.record)
         ]
 
-    def current(self) -> t.Iterator[messages.TargetRecord]:
+    def active(self) -> t.Iterator[messages.TargetRecord]:
         """Return the records of all that hold an address."""
         for target_id in self.by_address.values():
             yield self.entries[target_id].record
@@ -208,7 +208,7 @@
 
     def _update(self, entry: Entry, record: messages.TargetRecord) -> bool:
         held = entry.record
-        rank = messages.RANK
+        rank = messages.STATE_ORDER
         state = max(held.state, record.state, key=rank.__getitem__)
         if record.sequence > held.sequence:
             entry.heard_at = self.clock()
@@ -221,7 +221,7 @@
         else:
             entry.record = dataclasses.replace(held, state=state)
         if state == messages.State.GONE and not entry.gone_at:
-            entry.goes_on = held.state == messages.State.READY
+            entry.still_serving = held.state == messages.State.READY
             self._end(entry)
         new = entry.record
         return (new.state, new.silent, new.address, new.service) != (
--- a/amaranthring/routers/spread.py
+++ b/amaranthring/routers/spread.py
@@ -103,7 +103,7 @@
         handlers.add(messages.Digest, self._take_digest)
         handlers.add(messages.Pull, self._answer_pull)
         table.on_change(self._changed)
-        table.on_wake(self._wake)
+        table.on_resume(self._wake)
         table.on_move(self._moved)
         table.renew_in = self.renew_in
         mesh.on_link(self._greet)
@@ -153,8 +153,8 @@
     # -- sending --
 
     def _batch(self, now: float) -> messages.Batch:
-        beats = [self._beat(name, now) for name in sorted(self.table.beats)]
-        self.table.beats.clear()
+        beats = [self._beat(name, now) for name in sorted(self.table.heard_directly)]
+        self.table.heard_directly.clear()
         records_ = self._records(self._repeat, now)
         self._repeat = {
             n: left - 1 for n, left in self._repeat.items() if left
@@ -180,15 +180,15 @@
         entry = self.table.entries.get(name)
         if entry is None:
             return None
-        age_ms = max(0, int((now - entry.heard) * 1000))
-        key = entries.key_of(entry.target)
+        age_ms = max(0, int((now - entry.heard_at) * 1000))
+        key = entries.target_key(entry.target)
         report = entry.report
         if report is None:
-            return messages.TargetHeartbeat(key, age_ms, entry.spoken)
+            return messages.TargetHeartbeat(key, age_ms, entry.last_sequence)
         return messages.TargetHeartbeat(
             key,
             age_ms,
-            entry.spoken,
+            entry.last_sequence,
             report.sequence,
             report.running,
             report.waiting,
@@ -268,8 +268,8 @@
         here = self.mesh.data_centre
         stale = [
             entry.target.name
-            for entry in self.table.of(here)
-            if not entry.lost and now - entry.heard > DIGEST_STALE_SECONDS
+            for entry in self.table.entries_in(here)
+            if not entry.lost and now - entry.heard_at > DIGEST_STALE_SECONDS
         ]
         chosen = self._chosen_links()
         digest = messages.Digest(
@@ -304,7 +304,7 @@
         self._source = source
         try:
             for record in changed:
-                self.table.adopt(record, sent - record.age)
+                self.table.merge_record(record, sent - record.age)
         finally:
             self._source = ""
         for beat in beats:
@@ -312,7 +312,7 @@
             if entry is not None:
                 heard = sent - beat.age_ms / 1000
                 target = entry.target
-                self.table.beat(
+                self.table.merge_heartbeat(
                     target.name,
                     target.incarnation,
                     heard,
@@ -419,7 +419,7 @@
         self.metrics.count("spread.pulls")
         known = [
             messages.KnownVersion(entry.target.name, *entry.version)
-            for entry in self.table.of(place)
+            for entry in self.table.entries_in(place)
         ]
         try:
             answer = await self.mesh.call(
@@ -447,7 +447,7 @@
         known = {one.name: entries.Version(*one[1:]) for one in pull.known}
         newer = []
         beats = []
-        for entry in self.table.of(place):
+        for entry in self.table.entries_in(place):
             name = entry.target.name
             if name not in known or known[name] < entry.version:
                 newer.append(entry.record(now))
--- a/amaranthring/targets/announce.py
+++ b/amaranthring/targets/announce.py
@@ -72,7 +72,7 @@
         table.renew(body.name, body.incarnation, body.sequence)
 
     def report(body):
-        table.take_report(body.report())
+        table.update_report(body.report())
 
     def leave(body):
         table.leave(body.name, body.incarnation, body.sequence)
--- a/amaranthring/targets/chunks.py
+++ b/amaranthring/targets/chunks.py
@@ -17,7 +17,7 @@
 SIZE_LINE = re.compile(rb"([0-9a-fA-F]{1,8})[ \t]*(?:;.*)?")
 
 
-class Body(t.Protocol):
+class Decoder(t.Protocol):
     """Decodes one body.
 
     Attributes
@@ -39,22 +39,22 @@
         """Return the part of the body in `data`."""
 
 
-class Fixed:
+class FixedLength:
     """A body of known length."""
 
     ends_by_close = False
 
     def __init__(self, length: int):
-        self.left = length
+        self.remaining = length
         self.ended = length == 0
         self.clean = True
 
     def take(self, data: bytes) -> bytes:
         """Return the part of the body in `data`."""
-        self.clean = len(data) <= self.left
-        data = data[: self.left]
-        self.left -= len(data)
-        self.ended = self.left == 0
+        self.clean = len(data) <= self.remaining
+        data = data[: self.remaining]
+        self.remaining -= len(data)
+        self.ended = self.remaining == 0
         return data
 
 
@@ -78,8 +78,8 @@
     def __init__(self):
         self.ended = False
         self.clean = False
-        self.rest = b""
-        self.left = 0
+        self.buffer = b""
+        self.remaining = 0
 
     def take(self, data: bytes) -> bytes:
         """Return the part of the body in `data`.
@@ -92,18 +92,18 @@
         if self.ended:
             # What follows the last chunk are trailers; nobody reads them.
             return b""
-        if self.rest:
-            data = self.rest + data
-            self.rest = b""
+        if self.buffer:
+            data = self.buffer + data
+            self.buffer = b""
         parts = []
         at = 0
         while at < len(data):
-            if self.left > 2:
-                part = data[at : at + self.left - 2]
+            if self.remaining > 2:
+                part = data[at : at + self.remaining - 2]
                 parts.append(part)
                 at += len(part)
-                self.left -= len(part)
-            elif self.left:
+                self.remaining -= len(part)
+            elif self.remaining:
                 at = self._line_end(data, at)
             else:
                 found = data.find(b"\r\n", at)
@@ -124,21 +124,21 @@
                     parts.append(data[at:end])
                     at = end + 2
                 else:
-                    self.left = size + 2
+                    self.remaining = size + 2
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def _line_end(self, data: bytes, at: int) -> int:
         """Pass over what is left of the CRLF after a chunk."""
-        part = data[at : at + self.left]
-        if part != b"\r\n"[2 - self.left :][: len(part)]:
+        part = data[at : at + self.remaining]
+        if part != b"\r\n"[2 - self.remaining :][: len(part)]:
             raise _malformed(part)
-        self.left -= len(part)
+        self.remaining -= len(part)
         return at + len(part)
 
     def _keep(self, rest: bytes) -> None:
         if len(rest) > SIZE_LINE_BYTES_MOST:
             raise _malformed(rest)
-        self.rest = rest
+        self.buffer = rest
 
 
 def _size(line: bytes) -> int:
@@ -157,7 +157,7 @@
     )
 
 
-def body_of(headers, status: int, method: str) -> Body:
+def decoder_for(headers, status: int, method: str) -> Decoder:
     """Return the decoder that the head of an answer asks for.
 
     Raises
@@ -166,7 +166,7 @@
         If the length is given wrongly or twice.
     """
     if method == "HEAD" or status in (204, 304):
-        return Fixed(0)
+        return FixedLength(0)
     coding = headers.get("Transfer-Encoding", "").strip().lower()
     length = headers.get("Content-Length")
     if coding == "chunked" and length is None:
@@ -177,4 +177,4 @@
         return UntilClose()
     if not length.isdigit():
         raise _malformed(f"Content-Length: {length}".encode())
-    return Fixed(int(length))
+    return FixedLength(int(length))
--- a/amaranthring/targets/claims.py
+++ b/amaranthring/targets/claims.py
@@ -80,11 +80,11 @@
     errors.ReplayedError
         If the sequence is not above the highest seen.
     """
-    if entry.target.incarnation != incarnation or not entry.spoken:
+    if entry.target.incarnation != incarnation or not entry.last_sequence:
         return
-    if given <= entry.spoken:
+    if given <= entry.last_sequence:
         raise errors.ReplayedError(
             f"message of target {entry.target.name} came again or late",
             given=given,
-            expected=f"a sequence above {entry.spoken}",
+            expected=f"a sequence above {entry.last_sequence}",
         )
--- a/amaranthring/targets/conventions.py
+++ b/amaranthring/targets/conventions.py
@@ -15,7 +15,7 @@
 from amaranthring.core import records
 
 KEY_HEADER = "Amaranthring-Key"
-BODY_BYTES_MOST = 16 * 1024
+MAX_BODY_BYTES = 16 * 1024
 SERVES_MOST = 64
 NAME_MOST = 64
 CAPACITY_MOST = 100_000
@@ -139,11 +139,11 @@
     errors.TooLargeError, errors.BadRequestError
         If the body is above the bound, not JSON, or does not fit.
     """
-    if len(body) > BODY_BYTES_MOST:
+    if len(body) > MAX_BODY_BYTES:
         raise errors.TooLargeError(
             "announcement",
             given=f"{len(body)} bytes",
-            expected=f"at most {BODY_BYTES_MOST} bytes",
+            expected=f"at most {MAX_BODY_BYTES} bytes",
         )
     try:
         return model.model_validate_json(body)
--- a/amaranthring/targets/entries.py
+++ b/amaranthring/targets/entries.py
@@ -67,7 +67,7 @@
         )
 
 
-def key_of(target: records.Target) -> int:
+def target_key(target: records.Target) -> int:
     """Return the 64-bit key of a target's name and incarnation."""
     digest = hashing.digest(target.name, str(target.incarnation))
     return int(digest[:16], 16)
@@ -95,12 +95,12 @@
 
     target: records.Target
     version: Version
-    heard: float
-    left: float = 0.0
+    heard_at: float
+    left_at: float = 0.0
     lost: bool = False
     ready_at: float = 0.0
-    spoken: int = 0
-    here: float = 0.0
+    last_sequence: int = 0
+    heard_here_at: float = 0.0
     history: flapping.History = dataclasses.field(
         default_factory=flapping.History
     )
@@ -112,8 +112,8 @@
             self.target,
             self.version.revision,
             self.version.leaving,
-            max(0.0, now - self.heard),
-            self.spoken,
+            max(0.0, now - self.heard_at),
+            self.last_sequence,
         )
 
     def lease(self, lease_seconds: float, drain_seconds: float) -> float:
@@ -122,13 +122,13 @@
         One that said it leaves and renews no more is left the time to end
         what it runs: to give it up at once would cut off its requests.
         """
-        silent = self.heard <= self.left + RENEWED_SECONDS
+        silent = self.heard_at <= self.left_at + RENEWED_SECONDS
         if self.version.leaving and silent:
             return max(lease_seconds, drain_seconds)
         return lease_seconds
 
     @property
-    def mark(self) -> int:
+    def digest_part(self) -> int:
         """Return this entry's part of the digest of its data centre.
 
         Tombstones are left out: routers give a target up at slightly
--- a/amaranthring/targets/orders.py
+++ b/amaranthring/targets/orders.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass
-class Sent:
+class Result:
     """What came of an order.
 
     Attributes
@@ -39,7 +39,7 @@
     done: bool
     detail: str = ""
     unknown: bool = False
-    seen: int = 0
+    newer_fencing: int = 0
 
 
 def parse_model(wanted: str) -> dict[str, str]:
@@ -64,7 +64,7 @@
     body: bytes,
     check: t.Callable[[], None],
     seconds: float,
-) -> Sent:
+) -> Result:
     """Send an order and wait for its end.
 
     Parameters
@@ -120,25 +120,25 @@
     except Exception as error:
         if refused:
             raise refused[0] from error
-        return Sent(False, f"no answer: {error}"[:DETAIL_MOST], written)
+        return Result(False, f"no answer: {error}"[:DETAIL_MOST], written)
     finally:
         client.close()
     if refused:
         raise refused[0]
     if answer.code == 599:
         detail = f"no answer: {answer.error}"[:DETAIL_MOST]
-        return Sent(False, detail, written)
+        return Result(False, detail, written)
     return _read(answer)
 
 
-def _read(answer) -> Sent:
+def _read(answer) -> Result:
     if answer.code == 200:
-        return Sent(True)
+        return Result(True)
     text = (answer.body or b"")[:DETAIL_MOST].decode(errors="replace")
     detail = f"{answer.code} {text}".strip()
     # A gateway error says nothing about the target itself.
     unknown = answer.code >= 502
-    return Sent(False, detail, unknown, _seen(answer))
+    return Result(False, detail, unknown, _seen(answer))
 
 
 def _seen(answer) -> int:
--- a/amaranthring/targets/pool.py
+++ b/amaranthring/targets/pool.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass
-class Kept:
+class IdleConnection:
     """An idle connection.
 
     Attributes
@@ -64,11 +64,11 @@
         most: t.Callable[[], int] = lambda: 8,
         clock: t.Callable[[], float] = time.monotonic,
     ):
-        self.most = most
+        self.max_idle = most
         self.clock = clock
-        self.idle: dict[str, list[Kept]] = collections.defaultdict(list)
+        self.idle: dict[str, list[IdleConnection]] = collections.defaultdict(list)
 
-    async def take(self, name: str, idle_most: float):
+    async def acquire(self, name: str, idle_most: float):
         """Return a kept connection to target `name`, or None.
 
         Parameters
@@ -92,7 +92,7 @@
             _close(kept)
         return None
 
-    def give(
+    def release(
         self,
         name: str,
         reader: asyncio.StreamReader,
@@ -108,13 +108,13 @@
         """
         held = self.idle[name]
         seconds = UNSTATED_SECONDS if stated is None else stated
-        if len(held) >= self.most() or seconds <= 0:
+        if len(held) >= self.max_idle() or seconds <= 0:
             writer.transport.abort()
             return
         now = self.clock()
         watch = asyncio.ensure_future(_until_spoiled(reader))
         until = now + USED_SHARE * seconds
-        held.append(Kept(reader, writer, now, until, watch))
+        held.append(IdleConnection(reader, writer, now, until, watch))
 
     def drop(self, name: str) -> None:
         """Close all idle connections to target `name`."""
@@ -151,12 +151,12 @@
         return
 
 
-def _close(kept: Kept) -> None:
+def _close(kept: IdleConnection) -> None:
     kept.watch.cancel()
     kept.writer.transport.abort()
 
 
-def limit_silence(writer: asyncio.StreamWriter) -> None:
+def set_ack_timeout(writer: asyncio.StreamWriter) -> None:
     """Let a connection fail when what is sent on it is not acknowledged."""
     held = writer.get_extra_info("socket")
     if held is not None and hasattr(socket, "TCP_USER_TIMEOUT"):
--- a/amaranthring/targets/sse.py
+++ b/amaranthring/targets/sse.py
@@ -12,14 +12,14 @@
 
 from amaranthring import errors
 
-EVENT_BYTES_MOST = 256 * 1024
+MAX_EVENT_BYTES = 256 * 1024
 END = b"data: [DONE]"
 SHOWN_BYTES = 60
 KEPT_BYTES_MOST = 64 * 1024
 TEXT_FIELDS = {"role", "content"}
 
 
-class Events:
+class EventRewriter:
     """Checks one stream and writes its events under another id.
 
     Parameters
@@ -46,18 +46,18 @@
     def __init__(self, stream: str, shown: str, expected: int = 0):
         self.expected = expected
         self.ended = False
-        self.fault: errors.AmaranthringError | None = None
-        self.dropped = 0
+        self.error: errors.AmaranthringError | None = None
+        self.duplicates = 0
         self.kept: list[bytes] | None = [] if expected == 0 else None
         self._kept_bytes = 0
-        self.follow(stream, shown)
+        self.switch_to(stream, shown)
 
-    def follow(self, stream: str, shown: str) -> None:
+    def switch_to(self, stream: str, shown: str) -> None:
         """Go on with `stream` at the number expected next."""
         self.prefix = f"id: {stream}:".encode()
         self.shown = f"id: {shown}.".encode()
         self.rest = b""
-        self.fault = None
+        self.error = None
 
     def take(self, data: bytes) -> bytes:
         """Return the events that `data` completes, ready for the caller.
@@ -65,7 +65,7 @@
         After a fault the events before it are returned and the rest of the
         stream is ignored.
         """
-        if self.fault or self.ended:
+        if self.error or self.ended:
             return b""
         if self.rest:
             data = self.rest + data
@@ -76,7 +76,7 @@
             head, _, tail = block.partition(b"\n")
             if head != b"%b%d" % (self.prefix, self.expected):
                 self._odd(head, block)
-                if self.fault:
+                if self.error:
                     break
                 continue
             taken.append(b"%b%d\n%b" % (self.shown, self.expected, tail))
@@ -84,11 +84,11 @@
             if tail == END:
                 self.ended = True
                 break
-        if len(self.rest) > EVENT_BYTES_MOST:
-            self.fault = errors.UpstreamError(
+        if len(self.rest) > MAX_EVENT_BYTES:
+            self.error = errors.UpstreamError(
                 "an event above the bound",
                 given=len(self.rest),
-                expected=f"{EVENT_BYTES_MOST} bytes at most",
+                expected=f"{MAX_EVENT_BYTES} bytes at most",
             )
         if not taken:
             return b""
@@ -128,15 +128,15 @@
             return
         number = head[len(self.prefix) :]
         if not head.startswith(self.prefix) or not number.isdigit():
-            self.fault = errors.UpstreamError(
+            self.error = errors.UpstreamError(
                 "an event of another request or without an id",
                 given=repr(head[:SHOWN_BYTES]),
                 expected=self.prefix.decode() + "NUMBER",
             )
         elif int(number) < self.expected:
-            self.dropped += 1
+            self.duplicates += 1
         else:
-            self.fault = errors.TruncatedAnswerError(
+            self.error = errors.TruncatedAnswerError(
                 "events are missing",
                 given=f"event {number.decode()}",
                 expected=f"event {self.expected}",
--- a/amaranthring/targets/table.py
+++ b/amaranthring/targets/table.py
@@ -90,15 +90,15 @@
         self.clock = clock
         self.entries: dict[str, entries.Entry] = {}
         self.by_key: dict[int, entries.Entry] = {}
-        self.places: dict[str, dict[str, entries.Entry]] = {}
+        self.by_data_centre: dict[str, dict[str, entries.Entry]] = {}
         self.digests: dict[str, int] = {}
-        self.beats: set[str] = set()
+        self.heard_directly: set[str] = set()
         self.vouched: dict[str, float] = {}
         self.pauses = pauses.Pauses(clock, PAUSE_SECONDS)
-        self.keep_until = 0.0
+        self.no_expiry_until = 0.0
         self.task: asyncio.Task | None = None
         self._callbacks: list[t.Callable[[str], None]] = []
-        self.changes: list[t.Callable[[entries.Entry], None]] = []
+        self.change_callbacks: list[t.Callable[[entries.Entry], None]] = []
         self._wakes: list[t.Callable[[], None]] = []
         self._moves: list[t.Callable[[str], None]] = []
         self.renew_in: t.Callable[[], float] = self._renew_in
@@ -179,13 +179,13 @@
 
     def on_change(self, callback: t.Callable[[entries.Entry], None]) -> None:
         """Call `callback(entry)` when a record gets a higher version."""
-        self.changes.append(callback)
+        self.change_callbacks.append(callback)
 
     def on_move(self, callback: t.Callable[[str], None]) -> None:
         """Call `callback(name)` when a target begins to renew here."""
         self._moves.append(callback)
 
-    def on_wake(self, callback: t.Callable[[], None]) -> None:
+    def on_resume(self, callback: t.Callable[[], None]) -> None:
         """Call `callback()` after this process itself stood still."""
         self._wakes.append(callback)
 
@@ -209,7 +209,7 @@
             same = entry.target == target and not entry.lost
             revision = entry.version.revision + (0 if same else 1)
         made = entries.Record(target, revision, False, spoken=sequence)
-        self.adopt(made, heard)
+        self.merge_record(made, heard)
         self._spoke(self.entries[target.name], heard)
 
     def renew(self, name: str, incarnation: int, sequence: int = 0) -> None:
@@ -224,10 +224,10 @@
         """
         entry = self._known(name, incarnation)
         claims.check_sequence(entry, incarnation, sequence)
-        entry.spoken = sequence
+        entry.last_sequence = sequence
         self._spoke(entry, self.pauses.arrived())
 
-    def take_report(self, report: records.Report) -> None:
+    def update_report(self, report: records.Report) -> None:
         """Take a target's report of its load, which also renews its lease.
 
         A report that came late or again, by its sequence, changes nothing.
@@ -259,23 +259,23 @@
             As :meth:`renew`.
         """
         entry = self._known(name, incarnation)
-        spoken = max(sequence, entry.spoken)
+        spoken = max(sequence, entry.last_sequence)
         revision = entry.version.revision
         made = entries.Record(entry.target, revision, True, spoken=spoken)
         heard = self.pauses.arrived()
-        self.adopt(made, heard)
+        self.merge_record(made, heard)
         self._spoke(entry, heard)
 
     # -- what other routers say ----------------------------------------------
 
-    def adopt(self, record: entries.Record, heard: float) -> bool:
+    def merge_record(self, record: entries.Record, heard: float) -> bool:
         """Merge `record` with evidence of life at `heard`; True if newer."""
         name = record.target.name
         version = record.version
         entry = self.entries.get(name)
         if entry is not None and version <= entry.version:
             if version.incarnation == entry.version.incarnation:
-                entry.spoken = max(entry.spoken, record.spoken)
+                entry.last_sequence = max(entry.last_sequence, record.spoken)
                 self._evidence(entry, heard)
             return False
         now = self.clock()
@@ -289,16 +289,16 @@
             entry.version = version
             self._toggle(entry)
         if version.leaving:
-            entry.left = heard
+            entry.left_at = heard
             logs.event(log, "target.leaving", name=name)
-        entry.spoken = max(entry.spoken, record.spoken)
+        entry.last_sequence = max(entry.last_sequence, record.spoken)
         self._evidence(entry, heard)
-        for callback in self.changes:
+        for callback in self.change_callbacks:
             callback(entry)
         self._tell(name)
         return True
 
-    def beat(
+    def merge_heartbeat(
         self,
         name: str,
         incarnation: int,
@@ -312,7 +312,7 @@
             return False
         if entry.target.incarnation > incarnation:
             return True
-        entry.spoken = max(entry.spoken, spoken)
+        entry.last_sequence = max(entry.last_sequence, spoken)
         last = entry.report
         if report and (last is None or report.sequence > last.sequence):
             entry.report = report
@@ -333,16 +333,16 @@
         """
         at = max(heard, self.vouched.get(data_centre, 0.0))
         self.vouched[data_centre] = at
-        for entry in self.of(data_centre):
+        for entry in self.entries_in(data_centre):
             # Written out: it is done for every target, several times a
             # second.
             if entry.lost or entry.target.name in stale:
                 continue
-            entry.heard = max(entry.heard, heard)
+            entry.heard_at = max(entry.heard_at, heard)
 
-    def of(self, data_centre: str) -> list[entries.Entry]:
+    def entries_in(self, data_centre: str) -> list[entries.Entry]:
         """Return entries of `data_centre`, tombstones included."""
-        return list(self.places.get(data_centre, {}).values())
+        return list(self.by_data_centre.get(data_centre, {}).values())
 
     # -- passing of time ---------------------------------------------------
 
@@ -353,12 +353,12 @@
         self._notice_pause(lease)
         silent = now - lease
         for entry in list(self.entries.values()):
-            if entry.heard >= silent:
+            if entry.heard_at >= silent:
                 continue
             if entry.lost:
-                if now - entry.heard > TOMBSTONE_SECONDS:
+                if now - entry.heard_at > TOMBSTONE_SECONDS:
                     self._drop(entry)
-            elif now >= self.keep_until and self._ran_out(entry, now):
+            elif now >= self.no_expiry_until and self._ran_out(entry, now):
                 self._lose(entry, now)
 
     def start(self) -> None:
@@ -385,7 +385,7 @@
     def _may_work(self, entry: entries.Entry, now: float) -> bool:
         if entry.lost or entry.version.leaving:
             return False
-        return now - entry.heard <= self.stale_seconds()
+        return now - entry.heard_at <= self.stale_seconds()
 
     def _ran_out(self, entry: entries.Entry, now: float) -> bool:
         preset = self.config().preset
@@ -395,7 +395,7 @@
             # A data centre that is cut off from here cannot vouch for its
             # targets; they are stale, but they are not given up.
             now = min(now, self.vouched.get(place, 0.0))
-        return now - entry.heard > lease
+        return now - entry.heard_at > lease
 
     def _notice_pause(self, lease: float) -> None:
         """Keep the table if this very process stood still.
@@ -408,7 +408,7 @@
         """
         if not self.pauses.notice():
             return
-        self.keep_until = self.pauses.woke_at + lease
+        self.no_expiry_until = self.pauses.woke_at + lease
         self.metrics.count("targets.own_pauses")
         seconds = round(self.pauses.woke_at - self.pauses.began_at, 1)
         logs.event(log, "router.paused", seconds=seconds)
@@ -472,13 +472,13 @@
             entry.history = old.history
             entry.ready_at = now + flapping.readmission_delay(entry.history, now)
         if record.leaving:
-            entry.left = heard
+            entry.left_at = heard
         # A record whose evidence is already old comes from another router's
         # memory of a lost target: it is kept as a tombstone only.
         entry.lost = self._ran_out(entry, now)
         self.entries[name] = entry
-        self.places.setdefault(record.target.data_centre, {})[name] = entry
-        self.by_key[entries.key_of(record.target)] = entry
+        self.by_data_centre.setdefault(record.target.data_centre, {})[name] = entry
+        self.by_key[entries.target_key(record.target)] = entry
         self._toggle(entry)
         incarnation = record.target.incarnation
         logs.event(log, "target.known", name=name, incarnation=incarnation)
@@ -491,9 +491,9 @@
         """Note that a target itself spoke to this router."""
         name = entry.target.name
         self._evidence(entry, heard)
-        self.beats.add(name)
-        moved = heard - entry.here > MOVED_SECONDS
-        entry.here = max(entry.here, heard)
+        self.heard_directly.add(name)
+        moved = heard - entry.heard_here_at > MOVED_SECONDS
+        entry.heard_here_at = max(entry.heard_here_at, heard)
         if moved:
             for callback in self._moves:
                 callback(name)
@@ -501,13 +501,13 @@
     def _drop(self, entry: entries.Entry) -> None:
         target = entry.target
         del self.entries[target.name]
-        del self.places[target.data_centre][target.name]
-        del self.by_key[entries.key_of(target)]
+        del self.by_data_centre[target.data_centre][target.name]
+        del self.by_key[entries.target_key(target)]
 
     def _evidence(self, entry: entries.Entry, heard: float) -> None:
         now = self.clock()
         heard = min(heard, now)
-        entry.heard = max(entry.heard, heard)
+        entry.heard_at = max(entry.heard_at, heard)
         if entry.lost and not self._ran_out(entry, now):
             entry.lost = False
             self._toggle(entry)
@@ -534,7 +534,7 @@
     def _toggle(self, entry: entries.Entry) -> None:
         """Take the entry's mark into its digest, or out of it."""
         place = entry.target.data_centre
-        self.digests[place] = self.digests.get(place, 0) ^ entry.mark
+        self.digests[place] = self.digests.get(place, 0) ^ entry.digest_part
 
     def _tell(self, name: str) -> None:
         for callback in self._callbacks:
--- a/amaranthring/targets/upstream.py
+++ b/amaranthring/targets/upstream.py
@@ -32,7 +32,7 @@
 REQUEST_ID_HEADER = "Amaranthring-Request-Id"
 
 INFORMATIONAL_MOST = 5
-FAULTS = (
+CONNECTION_ERRORS = (
     OSError,
     ValueError,
     EOFError,
@@ -62,7 +62,7 @@
     path: str
     headers: t.Mapping[str, str]
     body: bytes = b""
-    keep: bool = False
+    keep_alive: bool = False
 
 
 class Exchange:
@@ -92,47 +92,47 @@
         self.sent = False
         self.status = 0
         self.headers = tornado.httputil.HTTPHeaders()
-        self.kept = False
+        self.reused = False
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
         self.call: Call | None = None
-        self.cause: errors.AmaranthringError | None = None
-        self.body: chunks.Body | None = None
+        self.abort_error: errors.AmaranthringError | None = None
+        self.body: chunks.Decoder | None = None
         self.paused = False
         self._allowed = connect_seconds
-        self.last = time.monotonic()
+        self.progress_at = time.monotonic()
         self._timer: asyncio.TimerHandle | None = None
         self._due = 0.0
         self._may_look_again = False
 
-    def allow(self, seconds: float) -> None:
+    def set_timeout(self, seconds: float) -> None:
         """Give the target `seconds` from now, until the next :meth:`came`."""
         self._allowed = seconds
-        self.last = time.monotonic()
+        self.progress_at = time.monotonic()
         if self._timer:
             self._timer.cancel()
         self._may_look_again = True
         self._arm(seconds)
 
-    def came(self, now: float) -> None:
+    def note_progress(self, now: float) -> None:
         """Note that what was waited for came at monotonic time `now`.
 
         Bytes alone are not it: a target that sends comments, or a byte now
         and then, would hold its caller for ever.
         """
-        self.last = now
+        self.progress_at = now
 
-    def break_off(self, cause: errors.AmaranthringError) -> None:
+    def abort(self, cause: errors.AmaranthringError) -> None:
         """Close the connection; whoever reads gets `cause`."""
-        self.cause = self.cause or cause
+        self.abort_error = self.abort_error or cause
         self.close()
 
-    def use(
+    def reuse(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Use a connection that is there already."""
         self.reader, self.writer = reader, writer
-        self.kept = True
+        self.reused = True
 
     def release(self):
         """Return reader and writer if they may carry another call.
@@ -142,7 +142,7 @@
         """
         body = self.body
         closing = self.headers.get("Connection", "").lower()
-        if body is None or not body.ended or not body.clean or self.cause:
+        if body is None or not body.ended or not body.clean or self.abort_error:
             return None
         # An answer can come before the target has read the whole request;
         # what is still to be written belongs to that one.
@@ -169,7 +169,7 @@
     async def open(self, call: Call, seconds: float) -> None:
         """Send `call` and read the head of its answer; see both."""
         await self.send(call, seconds)
-        await self.head()
+        await self.read_head()
 
     async def send(self, call: Call, seconds: float) -> None:
         """Connect and send `call`.
@@ -184,10 +184,10 @@
         errors.UpstreamError
             With outcome ``not-run`` if no byte left.
         """
-        await self.connect_first()
-        self.hand_over(call, seconds)
+        await self.connect()
+        self.write_call(call, seconds)
 
-    async def connect_first(self) -> None:
+    async def connect(self) -> None:
         """Connect, or say that nothing was sent.
 
         Raises
@@ -196,8 +196,8 @@
             With outcome ``not-run``.
         """
         try:
-            await self.connect()
-        except FAULTS as error:
+            await self.open_connection()
+        except CONNECTION_ERRORS as error:
             self.close()
             raise errors.TargetUnreachedError(
                 "the target cannot be reached",
@@ -206,7 +206,7 @@
                 retry_after=1.0,
             ) from error
 
-    def hand_over(self, call: Call, seconds: float) -> None:
+    def write_call(self, call: Call, seconds: float) -> None:
         """Write `call` to the connection.
 
         Parameters
@@ -219,13 +219,13 @@
         errors.BadRequestError
             If a header cannot be sent; nothing was.
         """
-        head = head_of(call, self.target.address)
-        self.allow(seconds)
+        head = encode_head(call, self.target.address)
+        self.set_timeout(seconds)
         self.sent = True
         self.call = call
         self.writer.write(head + call.body)
 
-    async def connect(self) -> None:
+    async def open_connection(self) -> None:
         """Connect to the target.
 
         Raises
@@ -240,12 +240,12 @@
             self.reader, self.writer = await asyncio.open_connection(
                 host.strip("[]"), int(port), limit=READ_BYTES
             )
-        if self.cause:
+        if self.abort_error:
             # Broken off while it was being made.
             self.close()
             raise ConnectionAbortedError
 
-    async def head(self) -> None:
+    async def read_head(self) -> None:
         """Read the head of the answer; informational ones are passed over.
 
         Raises
@@ -260,16 +260,16 @@
                 line, _, rest = text.partition("\r\n")
                 start = tornado.httputil.parse_response_start_line(line)
                 headers = tornado.httputil.HTTPHeaders.parse(rest)
-            except (*FAULTS, tornado.httputil.HTTPInputError) as error:
+            except (*CONNECTION_ERRORS, tornado.httputil.HTTPInputError) as error:
                 raise self._broken(error) from error
             if start.code >= 200:
                 break
         else:
             raise self._broken()
         self.status, self.headers = start.code, headers
-        self.body = chunks.body_of(headers, start.code, self.call.method)
+        self.body = chunks.decoder_for(headers, start.code, self.call.method)
 
-    async def skip(self, most: int) -> None:
+    async def skip_body(self, most: int) -> None:
         """Pass over an answer to an earlier call, and nothing behind it.
 
         Raises
@@ -282,7 +282,7 @@
             raise self._broken()
         try:
             await self.reader.readexactly(int(length))
-        except FAULTS as error:
+        except CONNECTION_ERRORS as error:
             raise self._broken(error) from error
 
     async def read(self) -> bytes:
@@ -296,10 +296,10 @@
         while not self.body.ended:
             try:
                 data = await self.reader.read(READ_BYTES)
-            except FAULTS as error:
+            except CONNECTION_ERRORS as error:
                 raise self._broken(error) from error
             if not data:
-                if self.body.ends_by_close and not self.cause:
+                if self.body.ends_by_close and not self.abort_error:
                     return b""
                 raise self._broken()
             data = self.body.take(data)
@@ -307,7 +307,7 @@
                 return data
         return b""
 
-    async def whole(self, most: int, unframed: bool = False) -> bytes:
+    async def read_all(self, most: int, unframed: bool = False) -> bytes:
         """Return the whole body.
 
         Parameters
@@ -353,7 +353,7 @@
         kind = errors.TruncatedAnswerError
         if silent:
             kind = errors.TargetSilentError
-        return self.cause or kind(
+        return self.abort_error or kind(
             "the connection broke before the answer was whole",
             given=self.target.name,
             expected="a whole answer",
@@ -368,8 +368,8 @@
         now = time.monotonic()
         if self.paused:
             # The caller reads slowly; the target is not at fault.
-            self.last = now
-        left = self.last + self._allowed - now
+            self.progress_at = now
+        left = self.progress_at + self._allowed - now
         if left <= 0 and self._may_look_again and timeouts.is_late(self._due):
             # This process stood still. What the target sent meanwhile is
             # read after this step of the loop; broken off now, the target
@@ -380,7 +380,7 @@
             self._arm(left)
             return
         self._timer = None
-        self.break_off(
+        self.abort(
             errors.UpstreamTimeoutError(
                 "the target took too long",
                 given=f"{self._allowed:g} s",
@@ -390,7 +390,7 @@
         )
 
 
-def head_of(call: Call, address: str) -> bytes:
+def encode_head(call: Call, address: str) -> bytes:
     """Return the head of the request.
 
     Raises
@@ -402,7 +402,7 @@
     if "Host" not in call.headers:
         lines.append(f"Host: {address}")
     lines += [f"{name}: {value}" for name, value in call.headers.items()]
-    if not call.keep:
+    if not call.keep_alive:
         lines.append("Connection: close")
     lines.append(f"Content-Length: {len(call.body)}")
     for line in lines:
@@ -415,7 +415,7 @@
     return "\r\n".join([*lines, "", ""]).encode("latin1", "replace")
 
 
-async def reachable(target: records.Target) -> bool:
+async def is_reachable(target: records.Target) -> bool:
     """Return whether `target` takes a connection and keeps it.
 
     While the kernel ends a process, its listener still takes connections
@@ -423,8 +423,8 @@
     """
     exchange = Exchange(target)
     try:
-        await exchange.connect()
-    except FAULTS:
+        await exchange.open_connection()
+    except CONNECTION_ERRORS:
         exchange.close()
         return False
     try:
@@ -432,7 +432,7 @@
             return bool(await exchange.reader.read(1))
     except TimeoutError:
         return True
-    except FAULTS:
+    except CONNECTION_ERRORS:
         return False
     finally:
         exchange.close()
--- a/amaranthring/testing/members.py
+++ b/amaranthring/testing/members.py
@@ -201,7 +201,7 @@
             at = self.members[numbers[0]].table
             if at.get(one.name) != one:
                 at.announce(one)
-            at.take_report(report)
+            at.update_report(report)
             await asyncio.sleep(0.5)
 
 
--- a/amaranthring/testing/plan_keepers.py
+++ b/amaranthring/testing/plan_keepers.py
@@ -61,7 +61,7 @@
 
     def start(self, address: str, first: bool = False) -> keepers.PlanKeeper:
         """Start the keeper at `address`; its folder may hold its state."""
-        place = keepers.Place(
+        place = keepers.Config(
             address,
             "here",
             list(self.seeds),
--- a/amaranthring/testing/scripted.py
+++ b/amaranthring/testing/scripted.py
@@ -400,7 +400,7 @@
     line, _, rest = data.partition("\r\n")
     status = tornado.httputil.parse_response_start_line(line).code
     headers = tornado.httputil.HTTPHeaders.parse(rest)
-    decoder = chunks.body_of(headers, status, method)
+    decoder = chunks.decoder_for(headers, status, method)
     parts = []
     try:
         while not decoder.ended and (more := await reader.read(65536)):
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -166,7 +166,7 @@
     async def test_known_places_leave_room_for_votes(self):
         """The keeper has kept places and targets on its disk."""
         pairs = [[f"p{n:014x}", f"i-{n % 60:010x}"] for n in range(PLACES)]
-        self.hub.exchange.keep(pairs)
+        self.hub.exchange.store_locations(pairs)
         for number in range(TARGETS):
             self.hub.table.merge(self.record(number))
         self.hub.start()
@@ -177,7 +177,7 @@
     async def test_places_of_a_long_day_leave_room_for_votes(self):
         """Four times the places, as 87 routers and 66 engines had them."""
         pairs = [[f"p{n:014x}", f"i-{n % 60:010x}"] for n in range(4 * PLACES)]
-        self.hub.exchange.keep(pairs)
+        self.hub.exchange.store_locations(pairs)
         self.hub.start()
         await self.return_of_routers()
         await asyncio.sleep(WATCHED_SECONDS)
@@ -303,11 +303,11 @@
         machine.apply(1, 0.0, plans.PutPlan(7, plans.packed(b"plan")))
         sent = collections.Counter()
         pacer = pacing.Pacer(sent, time.monotonic, LINK_RATE)
-        made = bodies.Bodies(machine, pacer)
+        made = bodies.PlanSource(machine, pacer)
         router, other = object(), object()
         sent["others"] += int(LINK_RATE * 0.15)
         waiting = [
-            asyncio.ensure_future(made.send(-1, r)) for r in (router, other)
+            asyncio.ensure_future(made.fetch(-1, r)) for r in (router, other)
         ]
         await asyncio.sleep(0.02)
         made.note_held(router, 7)
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -42,7 +42,7 @@
             await scripted.whole()(seen, writer)
 
         await self.begin(slow)
-        self.router.relay.connections.most = lambda: 2
+        self.router.relay.connections.max_idle = lambda: 2
         await asyncio.gather(*(self.ask("/b/x", "POST") for _ in range(6)))
         held = self.router.relay.connections.idle["t0"]
         self.assertEqual(2, len(held))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -301,7 +301,7 @@
         await state.until(lambda: (old + 1, "done") in self.states())
         body = target_orders.order_body("load", "m", old)
         late = await target_orders.send(record, body, lambda: None, 5.0)
-        self.assertEqual((late.done, late.seen), (False, old + 1))
+        self.assertEqual((late.done, late.newer_fencing), (False, old + 1))
         self.assertEqual([o["fencing"] for o in target.orders], [old + 1])
 
     async def test_new_leader_waits_out_an_order_to_a_target_that_checks_not(
--- a/tests/test_plan_deltas.py
+++ b/tests/test_plan_deltas.py
@@ -123,13 +123,13 @@
         self.machine = plans.PlanMachine()
         self.sent = collections.Counter()
         pacer = pacing.Pacer(self.sent, lambda: self.now, LINK_RATE)
-        self.bodies = bodies.Bodies(self.machine, pacer)
+        self.bodies = bodies.PlanSource(self.machine, pacer)
 
     def put(self, version, size=3):
         made = document(version, [(f"r{n}", n) for n in range(size)])
         put = plans.PutPlan(version, plans.packed(made))
         self.machine.apply(version, 0.0, put)
-        self.bodies.note()
+        self.bodies.record_version()
         return made
 
     def test_router_that_is_a_few_versions_behind_gets_a_delta(self):
@@ -142,7 +142,7 @@
 
     def test_others_get_it_whole(self):
         self.put(1)
-        for version in range(2, 3 + bodies.PAST_MOST):
+        for version in range(2, 3 + bodies.MAX_HISTORY):
             new = self.put(version)
         for held in (-1, 1, 77, version):
             body = self.bodies.body_for(held)
@@ -165,7 +165,7 @@
         original, asyncio.sleep = asyncio.sleep, sleep
         try:
             for _ in range(14):
-                body = await self.bodies.send(-1)
+                body = await self.bodies.fetch(-1)
                 self.sent["plan"] += len(body.body)
         finally:
             asyncio.sleep = original
--- a/tests/test_plan_keepers.py
+++ b/tests/test_plan_keepers.py
@@ -76,7 +76,7 @@
         await self.keepers.put(1, b"one")
         last = self.a_follower_keeper()
         for address in list(self.keepers.running):
-            if address != last.place.address:
+            if address != last.config.address:
                 await self.keepers.stop(address)
         with self.assertRaises(errors.AmaranthringError):
             await last.hub.read()
@@ -128,7 +128,7 @@
         sent away although the two others could answer.
         """
         leader = self.keepers.leader()
-        address = leader.place.address
+        address = leader.config.address
         await self.fill(leader)
         self.assertEqual(5, await self.keepers.put(5, b"five", address))
         found = await self.keepers.read(address)
@@ -179,7 +179,7 @@
         be a majority that knows nothing of it.
         """
         await self.keepers.put(1, b"one")
-        lost = self.a_follower_keeper().place.address
+        lost = self.a_follower_keeper().config.address
         before = self.keepers.running[lost].group.disk_id
         await self.keepers.stop(lost)
         await self.keepers.put(2, b"two")
@@ -196,7 +196,7 @@
 
     async def test_replaced_keeper_is_taken_in_at_its_new_address(self):
         await self.keepers.put(1, b"one")
-        gone = self.a_follower_keeper().place.address
+        gone = self.a_follower_keeper().config.address
         await self.keepers.stop(gone)
         new = self.keepers.new_address()
         self.keepers.start(new)
@@ -343,7 +343,7 @@
             await asyncio.sleep(subscriber.UNCONFIRMED_SECONDS)
             for address in self.keepers.seeds:
                 self.keepers.start(address)
-            await self.until(lambda: len(follower.linked()) == 3)
+            await self.until(lambda: len(follower.open_links()) == 3)
             await self.until(lambda: follower.is_fresh(1.0))
 
     async def test_notice_during_a_question_is_not_lost(self):
@@ -356,7 +356,7 @@
         patched.start()
         self.addCleanup(patched.stop)
         follower, _ = self.follower()
-        await self.until(lambda: len(follower.linked()) == 3)
+        await self.until(lambda: len(follower.open_links()) == 3)
         asked = []
 
         async def slow(address, link):
@@ -369,7 +369,7 @@
             mock.patch.object(follower, "is_fresh", lambda _: False),
         ):
             asked.clear()
-            link = follower.linked()[0]
+            link = follower.open_links()[0]
             for _ in range(3):
                 follower._on_notice(link, messages.PlanNotice(1, True))
                 await asyncio.sleep(0.01)
@@ -402,7 +402,7 @@
         def refuse(_document):
             raise errors.InvalidPlanError("of a newer kind")
 
-        follower.take_plan = refuse
+        follower.apply_plan = refuse
         await self.keepers.put(2, b"two")
         await asyncio.sleep(0.7)
         self.assertEqual(1, follower.version)
@@ -418,7 +418,7 @@
         follower, _ = self.follower()
         await self.keepers.put(1, b"one")
         await self.until(lambda: follower.version == 1)
-        await self.until(lambda: len(follower.linked()) == 3)
+        await self.until(lambda: len(follower.open_links()) == 3)
         asked = []
 
         async def hang(_link, _message):
@@ -426,7 +426,7 @@
             await asyncio.sleep(60)
 
         first = max(
-            follower.linked(),
+            follower.open_links(),
             key=lambda link: hashing.weight("router-1", link.peer.name),
         )
         dead = self.keepers.running[first.peer.name]
@@ -458,7 +458,7 @@
         await self.keepers.put(1, b"one")
         for one in followers:
             await self.until(lambda o=one: o.version == 1)
-            await self.until(lambda o=one: len(o.linked()) == 3)
+            await self.until(lambda o=one: len(o.open_links()) == 3)
         served.clear()
         await self.keepers.put(2, b"two")
         for one in followers:
@@ -488,22 +488,22 @@
         """
         for name in ("router-1", "router-2", "router-3"):
             follower, _ = self.follower(name)
-            await self.until(lambda f=follower: len(f.linked()) == 3)
+            await self.until(lambda f=follower: len(f.open_links()) == 3)
             one = sorted(follower.diallers)[1]
             link = follower.diallers[one].link
             link.peer = dataclasses.replace(link.peer, data_centre="there")
             follower.identity = dataclasses.replace(
                 follower.identity, data_centre="there"
             )
-            self.assertIs(link, follower.home())
+            self.assertIs(link, follower.home_link())
             link.close()
-            await self.until(lambda f=follower, k=link: f.home() is not k)
-            self.assertIsNotNone(follower.home())
+            await self.until(lambda f=follower, k=link: f.home_link() is not k)
+            self.assertIsNotNone(follower.home_link())
 
     async def test_announcement_at_one_keeper_reaches_every_router(self):
         one, _ = self.follower("router-1")
         two, _ = self.follower("router-2")
-        await self.until(lambda: one.home() and two.home())
+        await self.until(lambda: one.home_link() and two.home_link())
         record = messages.TargetRecord("a", "s", "v:1", "here", sequence=1)
         hub = self.a_follower_keeper().hub
         await plan_keepers.again(lambda: self._announce(hub, record))
@@ -512,14 +512,14 @@
         hub.leave("a")
         for follower in (one, two):
             table = follower.table
-            await self.until(lambda t=table: not list(t.current()))
+            await self.until(lambda t=table: not list(t.active()))
 
     async def _announce(self, hub, record):
         hub.announce(record)
 
     async def test_silent_target_is_marked_everywhere(self):
         follower, _ = self.follower()
-        await self.until(follower.home)
+        await self.until(follower.home_link)
         record = messages.TargetRecord("a", "s", "v:1", "here", sequence=1)
         self.a_follower_keeper().hub.announce(record)
         await self.until(lambda: "a" in follower.table.entries)
@@ -533,7 +533,7 @@
         """
         last = self.a_follower_keeper()
         for address in list(self.keepers.running):
-            if address != last.place.address:
+            if address != last.config.address:
                 await self.keepers.stop(address)
         await self.until(lambda: not last.group.leader())
         record = messages.TargetRecord("a", "s", "v:1", "here", sequence=1)
--- a/tests/test_plan_process.py
+++ b/tests/test_plan_process.py
@@ -44,7 +44,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         address = free_address()
-        place = keepers.Place(
+        place = keepers.Config(
             address, "here", [address], True, folder.name, 1.0
         )
         made = plan_keeper.KeeperProcess(
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -79,16 +79,16 @@
         """Let the oldest engine announce that it leaves."""
         oldest = next(
             record
-            for record in self.table.current()
+            for record in self.table.active()
             if record.state == messages.State.READY
         )
         oldest.state = messages.State.DRAINING
 
     def end_drained(self) -> None:
         """End the engines that have announced it."""
-        for record in list(self.table.current()):
+        for record in list(self.table.active()):
             if record.state == messages.State.DRAINING:
-                self.table.leave(record.id)
+                self.table.mark_gone(record.id)
 
     def parts(self):
         """Return the parts of the next prompt."""
@@ -265,7 +265,7 @@
         self.now += 1.0
         self.old.state = messages.State.DRAINING
         self.assertEqual("e0", self.copy().source)
-        self.table.leave("e0")
+        self.table.mark_gone("e0")
         self.assertIsNone(self.copy())
 
     def test_engine_that_leaves_without_draining_goes_on_for_a_while(self):
--- a/tests/test_prompt_placing.py
+++ b/tests/test_prompt_placing.py
@@ -375,7 +375,7 @@
         self.assertEqual(self.first, self.chosen())
 
     def test_if_all_fail_one_is_tried_still(self):
-        for record in list(self.placer.table.current()):
+        for record in list(self.placer.table.active()):
             self.placer.record_failure(record, reached=True)
             self.placer.record_failure(record, reached=True)
         self.assertIsNotNone(self.chosen())
@@ -386,7 +386,7 @@
         Each request would wait for one connection after the other and be
         refused in the end, too late to go elsewhere.
         """
-        for record in list(self.placer.table.current()):
+        for record in list(self.placer.table.active()):
             self.placer.record_failure(record, reached=False)
         self.assertIsNone(self.chosen())
         self.now += placing.BACKOFF_SECONDS
@@ -451,7 +451,7 @@
                 messages.TargetRecord(f"e{number}", "s", f"e{number}:1", place)
             )
         self.placer = placing.Placer(table, "here", lambda: self.now)
-        self.records = {r.id: r for r in table.current()}
+        self.records = {r.id: r for r in table.active()}
 
     def places(self):
         route = routing.Route(
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -56,11 +56,11 @@
         about to end.
         """
         self.table.merge(record(sequence=3))
-        self.table.leave("a")
+        self.table.mark_gone("a")
         self.assertFalse(self.table.merge(record(sequence=2)))
         self.table.merge(record(sequence=4))
         self.assertEqual(State.GONE, self.held().state)
-        self.assertEqual([], list(self.table.current()))
+        self.assertEqual([], list(self.table.active()))
 
     def test_only_changes_are_news(self):
         self.assertTrue(self.table.merge(record(sequence=1)))
@@ -71,26 +71,26 @@
     def test_silence_ends_with_the_next_word(self):
         self.table.merge(record(sequence=1))
         self.now += 5
-        self.assertEqual(["a"], [r.id for r in self.table.silence(4.0)])
-        self.assertEqual([], self.table.silence(4.0))
+        self.assertEqual(["a"], [r.id for r in self.table.mark_silent(4.0)])
+        self.assertEqual([], self.table.mark_silent(4.0))
         self.assertTrue(self.table.merge(record(sequence=2)))
         self.assertFalse(self.held().silent)
 
     def test_word_of_another_keeper_ends_silence(self):
         self.table.merge(record(sequence=1))
         self.now += 5
-        self.table.silence(4.0)
-        self.assertTrue(self.table.hear("a", 4))
-        self.assertFalse(self.table.hear("a", 3))
+        self.table.mark_silent(4.0)
+        self.assertTrue(self.table.record_heartbeat("a", 4))
+        self.assertFalse(self.table.record_heartbeat("a", 3))
 
     def test_what_went_is_forgotten_later(self):
         self.table.merge(record())
-        self.table.leave("a")
+        self.table.mark_gone("a")
         self.now += 50
-        self.table.forget(60.0)
+        self.table.remove_expired(60.0)
         self.assertIn("a", self.table.entries)
         self.now += 20
-        self.table.forget(60.0)
+        self.table.remove_expired(60.0)
         self.assertNotIn("a", self.table.entries)
 
 
@@ -100,7 +100,7 @@
     def test_new_start_takes_the_address(self):
         self.table.merge(record("old", sequence=40))
         self.table.merge(record("new", sequence=1))
-        self.assertEqual(["new"], [r.id for r in self.table.current()])
+        self.assertEqual(["new"], [r.id for r in self.table.active()])
 
     def test_word_of_a_dead_start_held_up_by_a_cut(self):
         """A target behind a cut crashes and starts again.
@@ -111,13 +111,13 @@
         """
         self.table.merge(record("new", sequence=4))
         self.assertFalse(self.table.merge(record("old", sequence=40)))
-        self.assertEqual(["new"], [r.id for r in self.table.current()])
+        self.assertEqual(["new"], [r.id for r in self.table.active()])
 
     def test_address_of_a_silent_start_is_free(self):
         self.table.merge(record("old", sequence=40))
         self.now += 3
         self.assertTrue(self.table.merge(record("new", sequence=9)))
-        self.assertEqual(["new"], [r.id for r in self.table.current()])
+        self.assertEqual(["new"], [r.id for r in self.table.active()])
 
     def test_refusal_brings_the_other_start_back(self):
         """A router hears of two starts in the wrong order.
@@ -128,14 +128,14 @@
         table = targets.TargetTable(lambda: self.now, 0.0)
         table.merge(record("new", sequence=9))
         table.merge(record("old", sequence=40))
-        self.assertEqual(["old"], [r.id for r in table.current()])
-        table.leave("old")
-        self.assertEqual(["new"], [r.id for r in table.current()])
+        self.assertEqual(["old"], [r.id for r in table.active()])
+        table.mark_gone("old")
+        self.assertEqual(["new"], [r.id for r in table.active()])
 
     def test_gone_start_takes_no_address(self):
         self.table.merge(record("new", sequence=9))
         self.table.merge(record("old", sequence=40, state=State.GONE))
-        self.assertEqual(["new"], [r.id for r in self.table.current()])
+        self.assertEqual(["new"], [r.id for r in self.table.active()])
 
 
 class TestStarts(TableCase):
@@ -145,7 +145,7 @@
 
     def start(self, born, sequence=1, **fields):
         return messages.TargetRecord(
-            messages.start_id("a", born), "s", "v:1", "here",
+            messages.incarnation_id("a", born), "s", "v:1", "here",
             sequence=sequence, name="a", born=born, **fields
         )  # fmt: skip
 
@@ -172,17 +172,17 @@
             table = targets.TargetTable(lambda: self.now, 2.0)
             for record in order:
                 table.merge(record)
-            held = list(table.current())
+            held = list(table.active())
             self.assertEqual([self.start(self.NEW, 2)], held)
 
     def test_requests_of_the_start_before_are_not_counted(self):
         self.table.merge(self.start(self.OLD, 40))
         placer = placing.Placer(self.table, "here", lambda: self.now)
-        old = next(self.table.current())
+        old = next(self.table.active())
         placer.views[old.id].running = 7
         placer.prefixes.merge([["part", old.id]])
         self.table.merge(self.start(self.NEW, 1))
-        new = next(self.table.current())
+        new = next(self.table.active())
         self.assertEqual(0, placer.views[new.id].load(self.now))
         part = records.PromptPart("part", 10)
         self.assertEqual(10, placer.prefixes.uncached_tokens([part], new.id))
@@ -190,17 +190,17 @@
     def test_leave_of_the_start_before_comes_late(self):
         self.table.merge(self.start(self.OLD, 40))
         self.table.merge(self.start(self.NEW, 1))
-        self.assertIsNone(self.table.leave_named("a", self.OLD))
-        self.assertEqual(1, len(list(self.table.current())))
-        self.assertIsNotNone(self.table.leave_named("a", self.NEW))
-        self.assertEqual([], list(self.table.current()))
+        self.assertIsNone(self.table.mark_gone_by_name("a", self.OLD))
+        self.assertEqual(1, len(list(self.table.active())))
+        self.assertIsNotNone(self.table.mark_gone_by_name("a", self.NEW))
+        self.assertEqual([], list(self.table.active()))
 
     def test_start_is_forgotten_after_a_while(self):
         self.table.merge(self.start(self.OLD, 40))
-        self.table.leave_named("a", 0)
+        self.table.mark_gone_by_name("a", 0)
         self.now += 61.0
-        self.table.forget(60.0)
-        self.assertEqual(({}, {}), (self.table.entries, self.table.newest))
+        self.table.remove_expired(60.0)
+        self.assertEqual(({}, {}), (self.table.entries, self.table.newest_by_name))
 
 
 class TestAllTargets(unittest.TestCase):
--- a/tests/test_router_parts.py
+++ b/tests/test_router_parts.py
@@ -37,7 +37,7 @@
         self.announce(6)
         entries = list(self.router.table.entries.values())
         for entry in entries:
-            entry.heard -= 3600
+            entry.heard_at -= 3600
         self.router.table.expired_at = self.router.table.clock()
         self.router.table.expire()
         suspicion = self.router.suspicion
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -124,7 +124,7 @@
         Each got all places at once, 80 KB, over links that carry the
         keepers' heartbeats as well; the leader was lost again.
         """
-        most = sharing.PLACES_A_MESSAGE
+        most = sharing.LOCATIONS_PER_MESSAGE
         pairs = [(f"p{n}", "a") for n in range(3 * most)]
         self.report(0, {}, pairs)
         self.report(1, {})
@@ -152,7 +152,7 @@
             self.one.step()
         heard = sum(len(m.places) for m in self.routers[1].sent)
         self.assertEqual(1000, heard)
-        pairs_a_second = heard / sharing.SHARE_SECONDS
+        pairs_a_second = heard / sharing.REPORT_SECONDS
         bytes_a_second = 2 * pairs_a_second * sharing.PAIR_BYTES
         self.assertLess(bytes_a_second, 2 * 0.25 * 0.75e6)
 
@@ -167,7 +167,7 @@
         self.two = self.exchange("two", lambda: self.one)
         self.report(2, {})
         self.assertEqual([], self.routers[2].sent[-1].places)
-        self.one.greet(next(iter(self.one.peers())))
+        self.one.sync_keeper(next(iter(self.one.peers())))
         self.step()
         heard = [p for m in self.routers[2].sent for p in m.places]
         self.assertEqual([["part", "a"], ["part", "b"]], sorted(heard))
@@ -204,7 +204,7 @@
         self.assertEqual([["part", "a"]], self.routers[0].sent[-1].places)
         self.one.step()
         self.assertEqual([], self.routers[0].sent[-1].places)
-        self.now += sharing.KEPT_SECONDS + 1
+        self.now += sharing.RETENTION_SECONDS + 1
         self.report(1, {})
         self.assertEqual([], self.routers[1].sent[-1].places)
 
@@ -263,7 +263,7 @@
                 handlers.by_class[type(message)](link, message)
         for keeper in self.keepers:
             keeper.step()
-        self.now += sharing.SHARE_SECONDS
+        self.now += sharing.REPORT_SECONDS
         return self.hear()
 
     def hear(self):
@@ -278,10 +278,10 @@
 
     def keep(self, names):
         for keeper in self.keepers:
-            keeper.keep([[name, "a"] for name in names])
+            keeper.store_locations([[name, "a"] for name in names])
 
     def test_keeper_that_it_left_tells_it_nothing_more(self):
-        self.keep([f"p{n}" for n in range(10 * sharing.PLACES_A_MESSAGE)])
+        self.keep([f"p{n}" for n in range(10 * sharing.LOCATIONS_PER_MESSAGE)])
         self.turn()
         [left, right] = self.turn(home=1)
         self.assertEqual([], left)
@@ -300,12 +300,12 @@
         self.assertEqual([["new", "a"]], right)
 
     def test_router_that_was_behind_is_told_all(self):
-        self.keep([f"p{n}" for n in range(10 * sharing.PLACES_A_MESSAGE)])
+        self.keep([f"p{n}" for n in range(10 * sharing.LOCATIONS_PER_MESSAGE)])
         self.turn()
         heard = []
         for _ in range(12):
             heard += self.turn(home=1)[1]
-        self.assertEqual(10 * sharing.PLACES_A_MESSAGE, len(heard))
+        self.assertEqual(10 * sharing.LOCATIONS_PER_MESSAGE, len(heard))
 
     def test_keeper_that_hears_no_other_says_not_that_it_told_all(self):
         """A router reports to a keeper that is cut off from the others.
@@ -316,7 +316,7 @@
         self.keep(["old"])
         for _ in range(8):
             self.turn()
-        self.keepers[1].keep([["unheard", "a"]])
+        self.keepers[1].store_locations([["unheard", "a"]])
         self.now += 5.0
         for _ in range(8):
             self.turn()
@@ -354,7 +354,7 @@
         return [p for m in self.router.sent for p, _ in m.places]
 
     def lengths(self, kind, tokens):
-        count = sharing.PLACES_A_MESSAGE
+        count = sharing.LOCATIONS_PER_MESSAGE
         return {f"{kind}{n}": tokens for n in range(count)}
 
     def test_router_that_starts(self):
@@ -381,7 +381,7 @@
         self.report(FakeLink("r1"), self.lengths("d", 1000))
         for _ in range(6):
             self.keeper.step()
-        self.assertEqual(4 * sharing.PLACES_A_MESSAGE, len(self.heard()))
+        self.assertEqual(4 * sharing.LOCATIONS_PER_MESSAGE, len(self.heard()))
         self.assertEqual(len(set(self.heard())), len(self.heard()))
 
 
@@ -446,7 +446,7 @@
         ]
         for number in range(self.routers):
             self.report(number, pairs[number :: self.routers])
-        self.now += sharing.SHARE_SECONDS
+        self.now += sharing.REPORT_SECONDS
         self.keeper.step()
         for number, link in enumerate(self.links):
             for message in link.sent[self.told[number] :]:
@@ -475,7 +475,7 @@
             reported = set(came) - self.reported_by(number, came)
             self.assertEqual(reported - set(heard), set(), number)
             late = max(heard[part] - came[part] for part in reported)
-            self.assertLessEqual(late, 2 * sharing.SHARE_SECONDS, number)
+            self.assertLessEqual(late, 2 * sharing.REPORT_SECONDS, number)
 
     def reported_by(self, number, came):
         """Return the parts that router `number` reported itself."""
@@ -498,7 +498,7 @@
             [self.hexadecimal(32), self.chance.choice(self.ids)]
             for _ in range(1400)
         ]
-        self.keeper.keep(known)
+        self.keeper.store_locations(known)
         self.add_routers()
         before = sum(self.sent.values())
         began = self.now
@@ -544,7 +544,7 @@
         for each long beginning reads it at another engine.
         """
         before = self.opened()
-        before.exchange.keep([["part", "b"], ["part", "a"]])
+        before.exchange.store_locations([["part", "b"], ["part", "a"]])
         before.exchange.tokens = {"part": 20_000, "gone": 300}
         await self.write(before)
         after = self.opened()
@@ -552,7 +552,7 @@
         self.assertEqual({"part": 20_000}, after.exchange.tokens)
         # The newest last, as they are sent from there.
         self.assertEqual(
-            [["part", "b"], ["part", "a"]], after.exchange.all_kept()
+            [["part", "b"], ["part", "a"]], after.exchange.recent_locations()
         )
 
     async def test_targets_are_known_before_they_announce_themselves(self):
@@ -580,30 +580,30 @@
         after = self.opened()
         after.load()
         self.assertTrue(after.table.merge(record("b", 9)))
-        self.assertEqual(["b"], [one.id for one in after.table.current()])
+        self.assertEqual(["b"], [one.id for one in after.table.active()])
 
     async def test_targets_of_an_old_file_are_not_believed(self):
         before = self.opened()
         before.table.merge(record("a", 5))
         await self.write(before)
-        self.time_of_day += hint_file.TARGETS_SECONDS + 1
+        self.time_of_day += hint_file.MAX_TARGETS_AGE_SECONDS + 1
         after = self.opened()
         after.load()
-        self.assertEqual([], list(after.table.current()))
+        self.assertEqual([], list(after.table.active()))
 
     async def test_damaged_file_is_no_file(self):
         made = self.opened()
         for data in (b"", b"torn", disk.with_checksum(b"\xc1")):
             self.path.write_bytes(data)
             made.load()
-        self.assertEqual([], made.exchange.all_kept())
+        self.assertEqual([], made.exchange.recent_locations())
 
     async def test_full_disk_stops_nothing(self):
         def write(_fd, _data):
             raise OSError(28, "No space left on device")
 
         made = self.opened(disk.Files(write=write))
-        made.exchange.keep([["part", "a"]])
+        made.exchange.store_locations([["part", "a"]])
         await self.write(made)
         self.assertTrue(made.faulty)
         await asyncio.sleep(0)
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -20,39 +20,39 @@
 
     def test_any_cut_of_the_stream_gives_the_same_events(self):
         for size in range(1, len(STREAM) + 1):
-            events = sse.Events("s", "T")
+            events = sse.EventRewriter("s", "T")
             parts = range(0, len(STREAM), size)
             taken = [events.take(STREAM[at : at + size]) for at in parts]
             self.assertEqual(b"".join(taken), SHOWN)
             self.assertTrue(events.ended)
 
     def test_nothing_is_taken_after_the_end_mark_or_a_fault(self):
-        events = sse.Events("s", "T")
+        events = sse.EventRewriter("s", "T")
         events.take(STREAM)
         self.assertEqual(events.take(event(3)), b"")
-        events = sse.Events("s", "T")
+        events = sse.EventRewriter("s", "T")
         self.assertEqual(
             events.take(event(0) + event(2)), b"id: T.0\ndata: x\n\n"
         )
-        self.assertIsInstance(events.fault, errors.TruncatedAnswerError)
+        self.assertIsInstance(events.error, errors.TruncatedAnswerError)
         self.assertEqual(events.take(event(1)), b"")
 
     def test_endless_event_is_a_fault(self):
-        events = sse.Events("s", "T")
-        events.take(b"id: s:0\ndata: " + b"x" * sse.EVENT_BYTES_MOST)
-        self.assertIsInstance(events.fault, errors.UpstreamError)
+        events = sse.EventRewriter("s", "T")
+        events.take(b"id: s:0\ndata: " + b"x" * sse.MAX_EVENT_BYTES)
+        self.assertIsInstance(events.error, errors.UpstreamError)
 
     def test_text_is_known_only_of_plain_text(self):
         plain = '{"choices": [{"delta": {"content": "a b"}}]}'
         tool = '{"choices": [{"delta": {"tool_calls": []}}]}'
-        events = sse.Events("s", "T")
+        events = sse.EventRewriter("s", "T")
         events.take(event(0, plain) + event(1, plain))
         self.assertEqual(events.text(), "a ba b")
         events.take(event(2, tool))
         self.assertIsNone(events.text())
 
     def test_long_answer_is_not_kept(self):
-        events = sse.Events("s", "T")
+        events = sse.EventRewriter("s", "T")
         for number in range(100):
             events.take(event(number, "x" * 1000))
         self.assertIsNone(events.kept)
@@ -98,4 +98,4 @@
                 self.subTest(headers),
                 self.assertRaises(errors.UpstreamError),
             ):
-                chunks.body_of(headers, 200, "GET")
+                chunks.decoder_for(headers, 200, "GET")
--- a/tests/test_targets_announce.py
+++ b/tests/test_targets_announce.py
@@ -107,7 +107,7 @@
         self.assertEqual(self.table.entries, {})
 
     def test_oversize_body(self):
-        body = b" " * (conventions.BODY_BYTES_MOST + 1)
+        body = b" " * (conventions.MAX_BODY_BYTES + 1)
         self.assert_refused(self.post("announce", body), 413, "too-large")
 
     def test_renewal_of_an_unknown_target_asks_for_an_announcement(self):
@@ -136,12 +136,12 @@
         self.post("announce", TARGET | {"sequence": 1})
         recorded = self.named(sequence=2)
         self.assertEqual(self.post("renew", recorded).code, 200)
-        heard = self.table.entries["e1"].heard
+        heard = self.table.entries["e1"].heard_at
         self.assert_refused(self.post("renew", recorded), 409, "replayed")
         self.assert_refused(self.post("renew", self.named()), 409, "replayed")
         answer = self.post("announce", TARGET | {"sequence": 1})
         self.assert_refused(answer, 409, "replayed")
-        self.assertEqual(self.table.entries["e1"].heard, heard)
+        self.assertEqual(self.table.entries["e1"].heard_at, heard)
 
     def test_replayed_leave_does_not_touch_the_successor(self):
         """An engine that was just restarted gets no work.
--- a/tests/test_targets_table.py
+++ b/tests/test_targets_table.py
@@ -107,7 +107,7 @@
         with self.assertRaises(errors.StaleIncarnationError):
             self.table.announce(engine())
         late = entries.Record(engine(), 1, False)
-        self.table.adopt(late, self.clock.now)
+        self.table.merge_record(late, self.clock.now)
         self.assertEqual(self.names(), [])
         self.assertEqual(self.table.state("e1"), "leaving")
 
@@ -134,7 +134,7 @@
         self.table.expire()
         self.assertEqual(lost, [])
         self.assertEqual(self.names(), [])
-        self.table.beat("e1", 1, self.clock.now)
+        self.table.merge_heartbeat("e1", 1, self.clock.now)
         self.assertEqual(self.names(), ["e1"])
         self.pass_time(4.0)
         self.assertEqual(self.table.state("e1"), "lost")
@@ -235,7 +235,7 @@
             sent = self.messages() + rng.choices(self.messages(), k=6)
             rng.shuffle(sent)
             for at, record in sent:
-                merged.adopt(record, clock.now - 4.0 + at)
+                merged.merge_record(record, clock.now - 4.0 + at)
             versions = [merged.entries[n].version for n in ("e1", "e2")]
             seen.add((*versions, merged.digests["dc1"]))
             self.assertEqual(merged.state("e2"), "leaving")
@@ -249,9 +249,9 @@
             clock.now += 0.25
             merged.expire()
         self.assertEqual(merged.state("e1"), "lost")
-        merged.beat("e1", 1, clock.now - 3.5)
+        merged.merge_heartbeat("e1", 1, clock.now - 3.5)
         late = entries.Record(engine(), 1, False)
-        merged.adopt(late, clock.now - 3.5)
+        merged.merge_record(late, clock.now - 3.5)
         self.assertEqual(merged.state("e1"), "lost")
 
     def test_tombstones_are_bounded(self):
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -43,7 +43,7 @@
             writer.close()
             self.server.close()
 
-        self.assertFalse(await upstream.reachable(await self.target(ending)))
+        self.assertFalse(await upstream.is_reachable(await self.target(ending)))
 
     async def test_one_that_keeps_the_connection_lives(self):
         kept = []
@@ -51,11 +51,11 @@
         async def living(_, writer):
             kept.append(writer)
 
-        self.assertTrue(await upstream.reachable(await self.target(living)))
+        self.assertTrue(await upstream.is_reachable(await self.target(living)))
         kept[0].close()
 
     async def test_nobody_listens(self):
         target = await self.target(lambda _reader, _writer: None)
         self.server.close()
         await self.server.wait_closed()
-        self.assertFalse(await upstream.reachable(target))
+        self.assertFalse(await upstream.is_reachable(target))
