--- a/amaranthring/bench/keepers.py
+++ b/amaranthring/bench/keepers.py
@@ -164,7 +164,7 @@
         folder,
         "fleet",
         "k1",
-        disk.Files(),
+        disk.FileOps(),
         on_durable=lambda: None,
         on_fault=print,
     )
--- a/amaranthring/keepers/consensus.py
+++ b/amaranthring/keepers/consensus.py
@@ -34,7 +34,7 @@
 CANCEL_SECONDS = 0.1
 
 
-async def end_tasks(tasks: list[asyncio.Task]) -> None:
+async def cancel_tasks(tasks: list[asyncio.Task]) -> None:
     """Cancel `tasks` until all have ended.
 
     A cancellation that comes in the very step in which a reply does is
@@ -107,13 +107,13 @@
         keeper,
         peers: list,
         folder,
-        machine: options_module.Machine,
+        machine: options_module.StateMachine,
         identity: links.Identity,
         keys: links.Keys,
         handlers: links.Handlers,
         options: options_module.Options | None = None,
         clocks: options_module.Clocks | None = None,
-        files: disk.Files | None = None,
+        files: disk.FileOps | None = None,
         metrics: metrics_module.Metrics | None = None,
         pacer: pacing.Pacer | None = None,
     ):
@@ -129,7 +129,7 @@
         self.pacer = pacer
         self.random = random.Random()
         self.folder = folder
-        self.files = files or disk.Files()
+        self.files = files or disk.FileOps()
         self.empty_state = machine.snapshot()
         self._use_store(self.open_store())
         self.leading = False
@@ -152,8 +152,8 @@
         # only; counting a start as hearing one keeps it over restarts.
         self.heard_at = self.options.began_at or self.clocks.monotonic()
         self.campaign_at = 0.0
-        self.favoured: election.Favoured | None = None
-        election.first_campaign(self)
+        self.favoured: election.PreVoteGrant | None = None
+        election.schedule_first_campaign(self)
         self.tasks: list[asyncio.Task] = []
         self.peers: dict[str, replication.Peer] = {}
         self.configured = [peer for peer in peers if peer.name != keeper.name]
@@ -173,7 +173,7 @@
             self.name,
             self.keeper.name,
             self.files,
-            on_durable=lambda: replication.advance(self),
+            on_durable=lambda: replication.advance_commit_index(self),
             on_fault=lambda error: roles.fail_disk(self, error),
             kept_entries=self.options.kept_entries,
         )
@@ -202,7 +202,7 @@
         self._use_store(opened)
         self.leader_disk = ""
         self.heard_at = self.clocks.monotonic()
-        election.delay_campaign(self)
+        election.reset_election_timer(self)
         self.recoverable = False
         self.fault = None
         self._start_tasks(self.writer.run(), genesis.join(self))
@@ -214,10 +214,10 @@
             self.writer.run(),
             applying.run(self),
             applying.take_snapshots(self),
-            election.watch(self),
+            election.run(self),
             membership.repair(self),
             genesis.join(self),
-            genesis.join_again(self),
+            genesis.rejoin(self),
             recovery.run(self),
         )
         for peer in self.peers.values():
@@ -235,7 +235,7 @@
         roles.step_down(self, "stopping")
         for peer in self.peers.values():
             peer.stop()
-        await end_tasks(self.tasks)
+        await cancel_tasks(self.tasks)
         self.store.close()
 
     @property
@@ -351,7 +351,7 @@
 
     def new_entry(self, tag: str, body: bytes, stamp: float) -> logfile.Entry:
         """Return a new last entry, on its way to the disks."""
-        entry = logfile.make(
+        entry = logfile.make_entry(
             self.log.last_index + 1, self.term, stamp, tag, body
         )
         self.append([entry])
@@ -406,7 +406,7 @@
 
     def _start_peer(self, peer: replication.Peer) -> None:
         peer.dialler.start()
-        peer.main = asyncio.ensure_future(replication.feed(self, peer))
+        peer.main = asyncio.ensure_future(replication.replicate(self, peer))
         peer.main.add_done_callback(self._task_ended)
         peer.wake.set()
 
--- a/amaranthring/keepers/disk.py
+++ b/amaranthring/keepers/disk.py
@@ -21,7 +21,7 @@
 from amaranthring.core import wire
 from amaranthring.keepers import messages
 
-HARD_FILE = "hard-state"
+HARD_STATE_FILE = "hard-state"
 LOCK_FILE = "lock"
 TEMPORARY_SUFFIX = ".tmp"
 DISK_ID_BYTES = 8
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass
-class Files:
+class FileOps:
     """System calls that write; a seam for write errors.
 
     Attributes
@@ -74,7 +74,7 @@
     genesis: messages.Members | None = None
 
 
-def write_all(fd: int, data: bytes, files: Files) -> None:
+def write_all(fd: int, data: bytes, files: FileOps) -> None:
     """Write all of `data` to `fd`."""
     view = memoryview(data)
     while view:
@@ -90,7 +90,7 @@
         os.close(fd)
 
 
-def replace_file(path: pathlib.Path, data: bytes, files: Files) -> None:
+def replace_file(path: pathlib.Path, data: bytes, files: FileOps) -> None:
     """Replace the file at `path` by `data`: whole or not at all."""
     temporary = path.with_suffix(TEMPORARY_SUFFIX)
     fd = os.open(temporary, os.O_CREAT | os.O_TRUNC | os.O_WRONLY, 0o600)
@@ -108,7 +108,7 @@
     return zlib.crc32(data).to_bytes(CHECKSUM_BYTES, "big") + data
 
 
-def checked(data: bytes, path: pathlib.Path) -> bytes:
+def verify_checksum(data: bytes, path: pathlib.Path) -> bytes:
     """Return what :func:`with_checksum` was given.
 
     Raises
@@ -118,11 +118,11 @@
     """
     body = data[CHECKSUM_BYTES:]
     if with_checksum(body) != data:
-        raise damaged(path, "checksum does not fit")
+        raise damage_error(path, "checksum does not fit")
     return body
 
 
-def damaged(path: pathlib.Path, what: str) -> errors.StorageError:
+def damage_error(path: pathlib.Path, what: str) -> errors.StorageError:
     """Return the error for a damaged file, saying what to do."""
     return errors.StorageError(
         f"{path}: {what}",
@@ -132,7 +132,7 @@
     )
 
 
-class Disk:
+class DataFolder:
     """The data folder of one group on one keeper.
 
     Parameters
@@ -151,7 +151,7 @@
         be written, or is damaged.
     """
 
-    def __init__(self, folder, group: str, keeper: str, files: Files):
+    def __init__(self, folder, group: str, keeper: str, files: FileOps):
         self.folder = pathlib.Path(folder)
         self.files = files
         self.lock = -1
@@ -182,15 +182,15 @@
             ) from error
 
     def _load(self, group: str, keeper: str) -> HardState:
-        path = self.folder / HARD_FILE
+        path = self.folder / HARD_STATE_FILE
         if not path.exists():
             left = [p for p in self.folder.iterdir() if p.name != LOCK_FILE]
             if [p for p in left if p.suffix != TEMPORARY_SUFFIX]:
-                raise damaged(path, "missing beside other files")
+                raise damage_error(path, "missing beside other files")
             made = HardState(group, keeper, secrets.token_hex(DISK_ID_BYTES))
             self.save(made)
             return made
-        data = wire.decode_value(checked(path.read_bytes(), path))
+        data = wire.decode_value(verify_checksum(path.read_bytes(), path))
         found = fields.reader(HardState)(data)
         if (found.group, found.keeper) != (group, keeper):
             # Another keeper's disk may have voted under that name; used
@@ -205,7 +205,7 @@
     def save(self, state: HardState) -> None:
         """Write `state` durably."""
         data = with_checksum(wire.encode_value(state))
-        replace_file(self.folder / HARD_FILE, data, self.files)
+        replace_file(self.folder / HARD_STATE_FILE, data, self.files)
 
     def close(self) -> None:
         """Unlock the folder."""
--- a/amaranthring/keepers/election.py
+++ b/amaranthring/keepers/election.py
@@ -35,7 +35,7 @@
 FIRST_SHARE = 0.5
 
 
-class Answer(enum.StrEnum):
+class VoteOutcome(enum.StrEnum):
     """What became of a request for a vote."""
 
     GRANTED = "granted"
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass
-class Favoured:
+class PreVoteGrant:
     """The candidate that a keeper gave its pre-vote to, itself perhaps.
 
     Attributes
@@ -63,7 +63,7 @@
     until: float
 
 
-async def watch(group) -> None:
+async def run(group) -> None:
     """Campaign when no leader is heard; step down when no quorum is."""
     options = group.options
     shortest = options.heartbeat_seconds / 2
@@ -72,7 +72,7 @@
         if group.leading:
             # Without this a leader behind a cut would go on taking
             # proposals that nobody can ever commit.
-            heard = max(quorum_heard(group), group.led_at)
+            heard = max(quorum_acked_at(group), group.led_at)
             due = heard + options.election_seconds
             if now > due:
                 roles.step_down(group, "lost its quorum")
@@ -90,13 +90,13 @@
     return membership.is_voter(group.members, group.disk_id)
 
 
-def delay_campaign(group) -> None:
+def reset_election_timer(group) -> None:
     """Put the next campaign off by a whole random election time."""
     wait = group.options.election_seconds * group.random.uniform(1, 2)
     group.campaign_at = group.clocks.monotonic() + wait
 
 
-def first_campaign(group) -> None:
+def schedule_first_campaign(group) -> None:
     """Set the first campaign after a start.
 
     Once the promise of the process before this one has run out, nobody is
@@ -107,7 +107,7 @@
     """
     options = group.options
     if options.began_at is None:
-        delay_campaign(group)
+        reset_election_timer(group)
         return
     spread = options.election_seconds * FIRST_SHARE
     due = max(
@@ -116,7 +116,7 @@
     group.campaign_at = due + spread * group.random.random()
 
 
-def quorum_heard(group) -> float:
+def quorum_acked_at(group) -> float:
     """Return when the last message left that a quorum has answered."""
     times = [acked_at(group, member) for member in group.members.voters]
     times.sort(reverse=True)
@@ -133,7 +133,7 @@
     clocks that run at different rates; wall clocks play no part.
     """
     share = group.options.election_seconds * LEASE_SHARE
-    return quorum_heard(group) + share
+    return quorum_acked_at(group) + share
 
 
 def acked_at(group, member: messages.Member) -> float:
@@ -144,7 +144,7 @@
     return peer.acked_at if peer and peer.disk == member.disk else 0.0
 
 
-def ages(group) -> dict[str, float]:
+def ack_ages(group) -> dict[str, float]:
     """Return for each voter how old the last message is that it answered.
 
     In seconds by name; -1 if it has answered none under this leader.
@@ -186,14 +186,14 @@
         # oneself is one too few for the other, and both lose.
         return
     roles.set_term(group, term, group.disk_id)
-    delay_campaign(group)
+    reset_election_timer(group)
     try:
         await group.writer.flush()
     except errors.StorageError:
         return
     won = await _ballot(group, term, pre=False)
     if won and group.term == term and not group.leading:
-        roles.lead(group)
+        roles.become_leader(group)
 
 
 def _rank(last_term: int, last_index: int, disk: str) -> tuple:
@@ -211,7 +211,7 @@
     if held is not None and now < held.until and held.rank < rank:
         return False
     until = now + FAVOUR_SHARE * group.options.election_seconds
-    group.favoured = Favoured(rank, until)
+    group.favoured = PreVoteGrant(rank, until)
     return True
 
 
@@ -219,7 +219,7 @@
     began_at = group.clocks.monotonic()
     needed = membership.quorum(group.members)
     voters = [m for m in group.members.voters if m.disk != group.disk_id]
-    answers: dict[str, Answer] = {}
+    answers: dict[str, VoteOutcome] = {}
     waiting = {
         asyncio.ensure_future(_note(answers, group, voter, term, pre))
         for voter in voters
@@ -230,7 +230,7 @@
             _, waiting = await asyncio.wait(
                 waiting, return_when=asyncio.FIRST_COMPLETED
             )
-            votes = 1 + list(answers.values()).count(Answer.GRANTED)
+            votes = 1 + list(answers.values()).count(VoteOutcome.GRANTED)
         return votes >= needed
     finally:
         for task in waiting:
@@ -254,10 +254,10 @@
     answers[voter.name] = await _ask(group, voter, term, pre)
 
 
-async def _ask(group, voter, term: int, pre: bool) -> Answer:
+async def _ask(group, voter, term: int, pre: bool) -> VoteOutcome:
     peer = group.peers.get(voter.name)
     if peer is None or peer.dialler.link is None:
-        return Answer.NO_LINK
+        return VoteOutcome.NO_LINK
     message = messages.Vote(
         group.name,
         term,
@@ -272,16 +272,16 @@
             message, group.options.election_seconds * 0.5
         )
     except errors.LinkTimeoutError:
-        return Answer.LATE
+        return VoteOutcome.LATE
     except errors.LinkError:
-        return Answer.NO_LINK
+        return VoteOutcome.NO_LINK
     except errors.AmaranthringError:
-        return Answer.FAILED
+        return VoteOutcome.FAILED
     if reply.term > group.term:
         roles.set_term(group, reply.term)
     if reply.disk != voter.disk:
-        return Answer.OTHER_DISK
-    return Answer.GRANTED if reply.granted else Answer.REFUSED
+        return VoteOutcome.OTHER_DISK
+    return VoteOutcome.GRANTED if reply.granted else VoteOutcome.REFUSED
 
 
 def hears_leader(group) -> bool:
@@ -320,7 +320,7 @@
     if message.term < group.term or taken:
         return messages.Voted(group.term, False, group.disk_id)
     roles.set_term(group, message.term, message.disk)
-    delay_campaign(group)
+    reset_election_timer(group)
     logs.event(
         log,
         "keeper.voted",
--- a/amaranthring/keepers/genesis.py
+++ b/amaranthring/keepers/genesis.py
@@ -50,7 +50,7 @@
         await asyncio.sleep(RETRY_SECONDS)
 
 
-async def join_again(group) -> None:
+async def rejoin(group) -> None:
     """Ask to be taken in again whenever no leader sends to this keeper.
 
     A leader takes out who is silent for a while. A keeper that comes back
--- a/amaranthring/keepers/initial.py
+++ b/amaranthring/keepers/initial.py
@@ -14,7 +14,7 @@
 from amaranthring.operators import conventions
 
 
-def load_initial(path: str) -> commands.Bootstrap:
+def load(path: str) -> commands.Bootstrap:
     """Return the first configuration from the JSON or INI file at `path`.
 
     Raises
--- a/amaranthring/keepers/log.py
+++ b/amaranthring/keepers/log.py
@@ -51,13 +51,13 @@
     payload: bytes = b""
 
 
-def make(index: int, term: int, stamp: float, tag: str, body: bytes) -> Entry:
+def make_entry(index: int, term: int, stamp: float, tag: str, body: bytes) -> Entry:
     """Return a new entry with its payload."""
     payload = msgpack.packb((index, term, stamp, tag, body))
     return Entry(index, term, stamp, tag, body, payload)
 
 
-def parse(payload: bytes) -> Entry:
+def parse_entry(payload: bytes) -> Entry:
     """Return the entry in `payload`.
 
     Raises
@@ -175,7 +175,7 @@
 class Segments:
     """The log's files; used by the disk thread only, after loading."""
 
-    def __init__(self, folder: pathlib.Path, files: disk.Files):
+    def __init__(self, folder: pathlib.Path, files: disk.FileOps):
         self.folder = folder
         self.files = files
         self.segments: list[Segment] = []
@@ -195,7 +195,7 @@
         for path in paths:
             segment, found = _read(path, torn_allowed=path == paths[-1])
             if entries and found and found[0].index != entries[-1].index + 1:
-                raise disk.damaged(path, "does not follow the file before it")
+                raise disk.damage_error(path, "does not follow the file before it")
             entries.extend(found)
             self.segments.append(segment)
         if self.segments:
@@ -204,7 +204,7 @@
             os.fsync(self.fd)
         return entries
 
-    def begin(self, first: int) -> None:
+    def start_segment(self, first: int) -> None:
         """Start a new file whose first record is `first`."""
         if self.segments and self.segments[-1].first == first:
             return
@@ -249,7 +249,7 @@
     def compact(self, upto: int, last_index: int) -> None:
         """Begin a new file and remove files with nothing above `upto`."""
         self.sync()
-        self.begin(last_index + 1)
+        self.start_segment(last_index + 1)
         ends = [segment.last for segment in self.segments]
         gone = min(bisect.bisect_right(ends, upto), len(ends) - 1)
         for segment in self.segments[:gone]:
@@ -262,7 +262,7 @@
         self.segments = []
         for segment in reversed(old):
             segment.path.unlink()
-        self.begin(first)
+        self.start_segment(first)
 
     def bytes(self) -> int:
         """Return the size of all files."""
@@ -298,11 +298,11 @@
         payload = _payload(data, at)
         if payload is None:
             if not torn_allowed or not _torn(data, at):
-                raise disk.damaged(path, f"bad record at byte {at}")
+                raise disk.damage_error(path, f"bad record at byte {at}")
             break
-        entry = parse(payload)
+        entry = parse_entry(payload)
         if entry.index != segment.first + len(entries):
-            raise disk.damaged(path, f"entry out of order at byte {at}")
+            raise disk.damage_error(path, f"entry out of order at byte {at}")
         segment.offsets.append(at)
         entries.append(entry)
         at += HEADER.size + len(payload)
--- a/amaranthring/keepers/options.py
+++ b/amaranthring/keepers/options.py
@@ -8,7 +8,7 @@
 from amaranthring.core import clocks
 
 
-class Machine(t.Protocol):
+class StateMachine(t.Protocol):
     """Deterministic state that the log drives."""
 
     def apply(self, index: int, stamp: float, command: t.Any) -> t.Any:
--- a/amaranthring/keepers/replication.py
+++ b/amaranthring/keepers/replication.py
@@ -108,7 +108,7 @@
         self.dialler.stop()
 
 
-async def feed(group, peer: Peer) -> None:
+async def replicate(group, peer: Peer) -> None:
     """Send `peer` what it lacks for as long as this keeper leads."""
     heartbeat = group.options.heartbeat_seconds
     while True:
@@ -228,7 +228,7 @@
     if reply.ok:
         peer.probing = False
         peer.match_index = max(peer.match_index, reply.match)
-        advance(group)
+        advance_commit_index(group)
     else:
         _back_up(peer, reply)
     if peer.next_index <= group.log.last_index:
@@ -282,11 +282,11 @@
     await asyncio.sleep(group.options.heartbeat_seconds)
 
 
-def advance(group) -> None:
+def advance_commit_index(group) -> None:
     """Raise the commit index to what a quorum of voters has synced."""
     if not group.leading:
         return
-    matches = [match_of(group, member) for member in group.members.voters]
+    matches = [match_index_of(group, member) for member in group.members.voters]
     matches.sort(reverse=True)
     index = matches[membership.quorum(group.members) - 1]
     # An entry of an earlier term may be on a quorum and still be lost to
@@ -295,7 +295,7 @@
         group.commit(index)
 
 
-def match_of(group, member: messages.Member) -> int:
+def match_index_of(group, member: messages.Member) -> int:
     """Return the highest entry known to be synced on `member`'s disk."""
     if member.disk == group.disk_id:
         return group.store.durable_index
@@ -306,7 +306,7 @@
 async def on_append(group, message: messages.Append) -> messages.Appended:
     """Take entries from the leader; answer once they are synced."""
     if group.fault is not None:
-        roles.note_leader(group, message.term, message.disk)
+        roles.record_leader(group, message.term, message.disk)
         raise group.fault
     if message.to_disk != group.disk_id or message.term < group.term:
         return _appended(group, False)
@@ -315,7 +315,7 @@
     held = group.log.term_at(message.prev_index)
     if held != message.prev_term and message.prev_index > group.commit_index:
         return _appended(group, False, hint=_conflict(group, message))
-    entries = [logfile.parse(payload) for payload in message.entries]
+    entries = [logfile.parse_entry(payload) for payload in message.entries]
     last = message.prev_index + len(entries)
     _merge(group, message.prev_index, entries)
     group.commit(min(message.commit, last))
@@ -397,7 +397,7 @@
         reader.close()
     peer.match_index = reader.index
     peer.rewind(reader.index + 1)
-    advance(group)
+    advance_commit_index(group)
 
 
 async def _send_chunk(group, peer, reader, offset, data) -> int | None:
--- a/amaranthring/keepers/roles.py
+++ b/amaranthring/keepers/roles.py
@@ -29,7 +29,7 @@
     group.store.save_hard(term=term, vote=vote)
 
 
-def lead(group) -> None:
+def become_leader(group) -> None:
     """Become the leader of the present term."""
     now = group.clocks.monotonic()
     group.leading = True
@@ -70,10 +70,10 @@
             term=term,
         )
     group.heard_at = group.clocks.monotonic()
-    election.delay_campaign(group)
+    election.reset_election_timer(group)
 
 
-def note_leader(group, term: int, leader_disk: str) -> None:
+def record_leader(group, term: int, leader_disk: str) -> None:
     """Remember who leads while this keeper takes no part itself.
 
     A keeper with a failed disk still passes operators' orders and reads on
@@ -97,9 +97,9 @@
         keeper=group.keeper.name,
         term=group.term,
         reason=reason.replace(" ", "-"),
-        voters=election.ages(group),
+        voters=election.ack_ages(group),
     )
-    election.delay_campaign(group)
+    election.reset_election_timer(group)
     group.lease_changed.set()
     group.applied_changed.set()
     if group.announced:
--- a/amaranthring/keepers/server.py
+++ b/amaranthring/keepers/server.py
@@ -45,9 +45,9 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        machine: options.Machine,
+        machine: options.StateMachine,
         clocks: options.Clocks | None = None,
-        files: disk.Files | None = None,
+        files: disk.FileOps | None = None,
         metrics: metrics_module.Metrics | None = None,
     ):
         self.settings = settings
--- a/amaranthring/keepers/service.py
+++ b/amaranthring/keepers/service.py
@@ -61,7 +61,7 @@
         )
         self.bootstrap = None
         if initial_file:
-            self.bootstrap = initial.load_initial(initial_file)
+            self.bootstrap = initial.load(initial_file)
         self.task: asyncio.Task | None = None
         self.queries.by_class[commands.TargetsSeen] = self._targets_seen
         for kind in (commands.ConfigSince, *self.queries.by_class):
--- a/amaranthring/keepers/snapshots.py
+++ b/amaranthring/keepers/snapshots.py
@@ -48,7 +48,7 @@
     return folder / f"{PREFIX}{index:020d}"
 
 
-def save(folder: pathlib.Path, snapshot: Snapshot, files: disk.Files) -> None:
+def save(folder: pathlib.Path, snapshot: Snapshot, files: disk.FileOps) -> None:
     """Write `snapshot` durably, then remove older ones."""
     data = disk.with_checksum(wire.encode_value(snapshot))
     path = path_of(folder, snapshot.index)
@@ -71,14 +71,14 @@
     errors.StorageError
         If it is damaged.
     """
-    body = disk.checked(path.read_bytes(), path)
+    body = disk.verify_checksum(path.read_bytes(), path)
     try:
         return fields.reader(Snapshot)(wire.decode_value(body))
     except errors.FrameError as error:
-        raise disk.damaged(path, "not a snapshot") from error
+        raise disk.damage_error(path, "not a snapshot") from error
 
 
-def newest(folder: pathlib.Path) -> Snapshot | None:
+def load_newest(folder: pathlib.Path) -> Snapshot | None:
     """Return the newest snapshot in `folder`, or None.
 
     An older one is no substitute for a damaged newest: the log before it is
@@ -119,7 +119,7 @@
     be on its way to the disk when the next sender begins anew.
     """
 
-    def __init__(self, folder: pathlib.Path, files: disk.Files):
+    def __init__(self, folder: pathlib.Path, files: disk.FileOps):
         self.folder = folder
         self.files = files
         self.path = folder / INCOMING_FILE
--- a/amaranthring/keepers/status.py
+++ b/amaranthring/keepers/status.py
@@ -48,7 +48,7 @@
     lag = 0
     silent = 0.0
     if group.leading:
-        match = replication.match_of(group, member)
+        match = replication.match_index_of(group, member)
         lag = group.log.last_index - match
         heard = max(election.acked_at(group, member), group.led_at)
         silent = round(max(0.0, group.clocks.monotonic() - heard), 3)
--- a/amaranthring/keepers/store.py
+++ b/amaranthring/keepers/store.py
@@ -69,7 +69,7 @@
         self.files = files
         self.kept_entries = kept_entries
         self.on_durable = on_durable
-        self.disk = disk.Disk(self.folder, group, keeper, files)
+        self.disk = disk.DataFolder(self.folder, group, keeper, files)
         self.segments = logfile.Segments(self.folder, files)
         self.log = logfile.Log()
         self.member_history: list[tuple[int, messages.Members]] = []
@@ -107,7 +107,7 @@
     # -- recovery ----------------------------------------------------
 
     def _recover(self) -> snapshots.Snapshot | None:
-        snapshot = snapshots.newest(self.folder)
+        snapshot = snapshots.load_newest(self.folder)
         entries = self.segments.load()
         if self.hard.genesis:
             self.member_history = [(0, self.hard.genesis)]
@@ -115,7 +115,7 @@
             self._restart_from(snapshot)
             entries = self._after_snapshot(snapshot, entries)
         if entries and entries[0].index != self.log.base_index + 1:
-            raise disk.damaged(self.folder, "the log's first file is missing")
+            raise disk.damage_error(self.folder, "the log's first file is missing")
         if not self.segments.segments:
             self._begin_log(snapshot)
         self.log.append(entries)
@@ -125,8 +125,8 @@
 
     def _begin_log(self, snapshot) -> None:
         if self.hard.begun and not snapshot:
-            raise disk.damaged(self.folder, "the log is missing")
-        self.segments.begin(self.log.last_index + 1)
+            raise disk.damage_error(self.folder, "the log is missing")
+        self.segments.start_segment(self.log.last_index + 1)
         self.hard.begun = True
         self.disk.save(self.hard)
 
@@ -198,7 +198,7 @@
             synced once.
         """
         if self.log.last_index < index:
-            raise disk.damaged(self.folder, "synced entries are missing")
+            raise disk.damage_error(self.folder, "synced entries are missing")
         if self.log.last_index == index:
             return
         first = max(index, self.log.base_index) + 1
--- a/amaranthring/registry/hint_file.py
+++ b/amaranthring/registry/hint_file.py
@@ -81,14 +81,14 @@
         exchange: sharing.Exchange,
         table: targets.TargetTable,
         trusted_age: float = 0.0,
-        files: disk.Files | None = None,
+        files: disk.FileOps | None = None,
         wall: t.Callable[[], float] = time.time,
     ):
         self.path = pathlib.Path(path)
         self.exchange = exchange
         self.table = table
         self.trusted_age = trusted_age
-        self.files = files or disk.Files()
+        self.files = files or disk.FileOps()
         self.wall = wall
         self.written: t.Any = None
         self.written_at = float("-inf")
@@ -99,7 +99,7 @@
     def load(self) -> None:
         """Hand what the file holds to the exchange and the table."""
         try:
-            data = disk.checked(self.path.read_bytes(), self.path)
+            data = disk.verify_checksum(self.path.read_bytes(), self.path)
             plain = wire.decode_value(data)
             found = wire.decode_message(wire.tag_of(Hints), plain)
         except FileNotFoundError:
--- a/amaranthring/registry/keeper.py
+++ b/amaranthring/registry/keeper.py
@@ -89,7 +89,7 @@
         keys: links.Keys,
         metrics: metrics_module.Metrics,
         options: options_module.Options | None = None,
-        files: disk.Files | None = None,
+        files: disk.FileOps | None = None,
     ):
         self.config = place
         self.metrics = metrics
--- a/amaranthring/testing/keeper.py
+++ b/amaranthring/testing/keeper.py
@@ -166,7 +166,7 @@
             raise OSError(errno.ENOSPC, "No space left on device")
         return os.write(fd, data)
 
-    return options.Clocks(wall=wall), disk.Files(write=write)
+    return options.Clocks(wall=wall), disk.FileOps(write=write)
 
 
 async def run(path: str, control: pathlib.Path) -> None:
--- a/amaranthring/testing/plan_keepers.py
+++ b/amaranthring/testing/plan_keepers.py
@@ -78,7 +78,7 @@
             admits=True,
             replace_seconds=0.5,
         )
-        files = disk.Files(write=functools.partial(self._write, address))
+        files = disk.FileOps(write=functools.partial(self._write, address))
         made = keepers.PlanKeeper(
             place, KEYS, metrics.Metrics(), timing, files
         )
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -424,7 +424,7 @@
 
     def due(self, began_at):
         group = self.group(began_at)
-        election.first_campaign(group)
+        election.schedule_first_campaign(group)
         return group.campaign_at - self.NOW
 
     def test_all_keepers_lost_power_and_took_long_to_start(self):
--- a/tests/test_keeper_dispatch.py
+++ b/tests/test_keeper_dispatch.py
@@ -129,7 +129,7 @@
         )
 
     async def test_entry_out_of_order(self):
-        entry = log.make(7, 1, 0.0, "test-add", b"\x80").payload
+        entry = log.make_entry(7, 1, 0.0, "test-add", b"\x80").payload
         await self.refused(
             errors.FrameError, self.append(term=0, entries=[entry])
         )
@@ -172,8 +172,8 @@
         dialler = await self.ready()
         first = await dialler.call(self.vote(), 5)
         self.assertTrue(first.granted)
-        path = self.group.store.folder / disk.HARD_FILE
-        saved = wire.decode_value(disk.checked(path.read_bytes(), path))
+        path = self.group.store.folder / disk.HARD_STATE_FILE
+        saved = wire.decode_value(disk.verify_checksum(path.read_bytes(), path))
         self.assertEqual((saved["term"], saved["vote"]), (9, "d2"))
         other = await dialler.call(self.vote(disk="d3"), 5)
         self.assertFalse(other.granted)
@@ -189,7 +189,7 @@
 
     async def test_candidate_behind_our_log_is_refused(self):
         dialler = await self.ready()
-        entry = log.make(1, 3, 0.0, "test-add", b"\x80").payload
+        entry = log.make_entry(1, 3, 0.0, "test-add", b"\x80").payload
         await dialler.call(self.append(term=3, entries=[entry]), 5)
         self.group.heard_at = -1e9
         reply = await dialler.call(self.vote(last_index=9, last_term=2), 5)
@@ -209,7 +209,7 @@
     """How the log follows the leader's."""
 
     def entry(self, index, term):
-        return log.make(index, term, 0.0, "test-add", b"\x80").payload
+        return log.make_entry(index, term, 0.0, "test-add", b"\x80").payload
 
     async def test_conflicting_entries_are_replaced(self):
         dialler = await self.dial()
--- a/tests/test_keeper_store.py
+++ b/tests/test_keeper_store.py
@@ -19,7 +19,7 @@
 
 
 def entries(begin, end, term=1):
-    return [log.make(i, term, 0.0, "x", b"body") for i in range(begin, end)]
+    return [log.make_entry(i, term, 0.0, "x", b"body") for i in range(begin, end)]
 
 
 class FolderCase(unittest.TestCase):
@@ -31,9 +31,9 @@
         self.folder = pathlib.Path(folder.name)
 
     def write(self, count, first=1):
-        segments = log.Segments(self.folder, disk.Files())
+        segments = log.Segments(self.folder, disk.FileOps())
         segments.load()
-        segments.begin(first)
+        segments.start_segment(first)
         made = entries(first, first + count)
         segments.append([entry.payload for entry in made])
         segments.sync()
@@ -41,7 +41,7 @@
         return segments.segments[-1].path
 
     def read(self):
-        segments = log.Segments(self.folder, disk.Files())
+        segments = log.Segments(self.folder, disk.FileOps())
         found = segments.load()
         segments.close()
         return [entry.index for entry in found]
@@ -68,14 +68,14 @@
         whole = path.read_bytes()
         path.write_bytes(whole + bytes(2000))
         self.assertEqual(self.read(), [1, 2, 3])
-        big = log.frame(log.make(4, 1, 0.0, "x", b"b" * 2000).payload)
+        big = log.frame(log.make_entry(4, 1, 0.0, "x", b"b" * 2000).payload)
         path.write_bytes(whole + big[:900] + bytes(len(big) - 900))
         self.assertEqual(self.read(), [1, 2, 3])
 
     def test_writing_goes_on_after_the_cut(self):
         path = self.write(3)
         path.write_bytes(path.read_bytes()[:-1])
-        segments = log.Segments(self.folder, disk.Files())
+        segments = log.Segments(self.folder, disk.FileOps())
         segments.load()
         segments.append([entry.payload for entry in entries(3, 5)])
         segments.sync()
@@ -120,7 +120,7 @@
     def open(self):
         self.write(3)
         self.write(3, first=4)
-        segments = log.Segments(self.folder, disk.Files())
+        segments = log.Segments(self.folder, disk.FileOps())
         segments.load()
         self.addCleanup(segments.close)
         return segments
@@ -150,7 +150,7 @@
             self.folder,
             group,
             keeper,
-            files or disk.Files(),
+            files or disk.FileOps(),
             on_durable=lambda: None,
             on_fault=lambda error: None,
         )
@@ -194,7 +194,7 @@
 
     def test_lost_files_and_damage_refuse(self):
         self.open().close()
-        hard = self.folder / disk.HARD_FILE
+        hard = self.folder / disk.HARD_STATE_FILE
         saved = hard.read_bytes()
         (path,) = self.folder.glob("log-*")
         path.unlink()
@@ -220,7 +220,7 @@
         self.run_writer(made, work)
         made.close()
         snapshot = snapshots.Snapshot(9, 2, 5.0, MEMBERS, b"state")
-        snapshots.save(self.folder, snapshot, disk.Files())
+        snapshots.save(self.folder, snapshot, disk.FileOps())
         again = self.open()
         self.assertEqual(again.log.last_index, 9)
         self.assertEqual(again.log.last_term, 2)
@@ -236,7 +236,7 @@
         """
         self.open().close()
         good = snapshots.Snapshot(9, 2, 5.0, MEMBERS, b"state")
-        snapshots.save(self.folder, good, disk.Files())
+        snapshots.save(self.folder, good, disk.FileOps())
         path = snapshots.path_of(self.folder, 12)
         data = snapshots.path_of(self.folder, 9).read_bytes()
         path.with_suffix(".tmp").write_bytes(data[:-4])
@@ -247,7 +247,7 @@
     def test_damaged_snapshot_refuses(self):
         self.open().close()
         snapshot = snapshots.Snapshot(9, 2, 5.0, MEMBERS, b"state")
-        snapshots.save(self.folder, snapshot, disk.Files())
+        snapshots.save(self.folder, snapshot, disk.FileOps())
         path = snapshots.path_of(self.folder, 9)
         data = bytearray(path.read_bytes())
         data[-1] ^= 1
@@ -261,9 +261,9 @@
         body = wire.encode_value(MEMBERS)
 
         async def work():
-            made.append([log.make(1, 1, 0.0, tag, body)])
+            made.append([log.make_entry(1, 1, 0.0, tag, body)])
             other = wire.encode_value(messages.Members())
-            made.append([log.make(2, 1, 0.0, tag, other)])
+            made.append([log.make_entry(2, 1, 0.0, tag, other)])
             self.assertEqual(made.members, messages.Members())
             self.assertTrue(made.truncate(2))
             self.assertEqual(made.members, MEMBERS)
@@ -281,7 +281,7 @@
                 raise OSError(errno.ENOSPC, "No space left on device")
             return os.write(fd, data)
 
-        made = self.open(files=disk.Files(write=write))
+        made = self.open(files=disk.FileOps(write=write))
 
         async def run():
             task = asyncio.ensure_future(made.writer.run())
@@ -312,7 +312,7 @@
                 raise OSError(errno.EIO, "Input/output error")
             os.fdatasync(fd)
 
-        made = self.open(files=disk.Files(sync=sync))
+        made = self.open(files=disk.FileOps(sync=sync))
 
         async def run():
             task = asyncio.ensure_future(made.writer.run())
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -37,7 +37,7 @@
         task = asyncio.ensure_future(work())
         await asyncio.sleep(0)
         async with asyncio.timeout(5):
-            await consensus.end_tasks([task])
+            await consensus.cancel_tasks([task])
         self.assertTrue(task.cancelled())
 
 
@@ -63,7 +63,7 @@
     async def asyncSetUp(self):
         self.now = 100.0
         log = logfile.Log()
-        log.append([logfile.make(1, 1, 0.0, "x", b"body")])
+        log.append([logfile.make_entry(1, 1, 0.0, "x", b"body")])
         self.group = types.SimpleNamespace(
             name="g",
             term=1,
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -602,7 +602,7 @@
         def write(_fd, _data):
             raise OSError(28, "No space left on device")
 
-        made = self.opened(disk.Files(write=write))
+        made = self.opened(disk.FileOps(write=write))
         made.exchange.store_locations([["part", "a"]])
         await self.write(made)
         self.assertTrue(made.faulty)
