--- a/amaranthring/bench/claims_memory.py
+++ b/amaranthring/bench/claims_memory.py
@@ -48,7 +48,7 @@
 def run(claims: int = 300_000) -> report.Report:
     """Measure a ledger with so many settled claims."""
     made = report.Report(f"claims_memory: {claims} settled claims")
-    book = ledger.Ledger(bytes_most=1 << 40)
+    book = ledger.Ledger(max_bytes=1 << 40)
     fill(book, 1000, 0.0)
     gc.collect()
     before = resident_bytes()
@@ -88,12 +88,12 @@
 
 def _add_consequences(made, each: float) -> None:
     days = ledger.RETENTION_SECONDS / DAY
-    mark_days = ledger.MEMORY_SECONDS / DAY
+    mark_days = ledger.MARK_RETENTION_SECONDS / DAY
     for share in SHARES:
         rate = PEAK_PER_SECOND * MEAN_OF_PEAK * share
         marks = rate * DAY * mark_days * ledger.MARK_BYTES
         total = rate * DAY * days * each + marks
-        room = (ledger.BYTES_MOST - marks) / (rate * each)
+        room = (ledger.MAX_BYTES - marks) / (rate * each)
         name = f"at {share:.1%} bookings"
         made.add(f"{name}: ledger with the defaults", total / 2**20, "MB")
         made.add(f"{name}: marks alone", marks / 2**20, "MB")
--- a/amaranthring/bench/revisions.py
+++ b/amaranthring/bench/revisions.py
@@ -66,7 +66,7 @@
         ``whole``, and ``switch``, ``adjust`` (one figure of one account in
         one preset) and ``burst`` (so many adjusted accounts at once).
     """
-    machine = machines.Machine()
+    machine = machines.StateMachine()
     made = initial(accounts)
     presets = []
     for name, given in made["presets"].items():
@@ -122,7 +122,7 @@
     told = parts.Delta(100_000, 100_000, {}, [], digest)
     routers = {f"{name}-{n}": 100_000 for n in range(neighbours)}
     ages = dict.fromkeys(routers, 0.7)
-    confirmed = commands.Confirmed("data-centre", routers, ages)
+    confirmed = commands.RouterRevisions("data-centre", routers, ages)
 
     def size(message) -> int:
         return len(wire.encode(wire.REQUEST, 100_000, message))
--- a/amaranthring/keeper_parts.py
+++ b/amaranthring/keeper_parts.py
@@ -11,7 +11,7 @@
 
 def make(
     settings: settings_module.Settings,
-) -> tuple[server.Keeper, service.Service]:
+) -> tuple[server.Keeper, service.FleetService]:
     """Return a keeper, and the state of the fleet that it serves.
 
     Raises
@@ -20,19 +20,19 @@
         If the file of the first configuration is not usable.
     """
     section = settings.keeper
-    machine = machines.Machine(
+    machine = machines.StateMachine(
         section.claim_hours * SECONDS_PER_HOUR, section.answer_bytes_most
     )
     keeper = server.Keeper(settings, machine)
-    served = service.Service(
+    served = service.FleetService(
         keeper.group,
         machine,
         keeper.handlers,
         section.initial_file,
         reconciler.Options(
-            patience_seconds=section.order_patience_seconds,
+            debounce_seconds=section.order_patience_seconds,
             order_seconds=section.order_seconds,
-            know_seconds=section.order_listen_seconds,
+            discovery_seconds=section.order_listen_seconds,
             loads_at_once=section.loads_at_once,
             loads_per_minute=section.loads_per_minute,
         ),
--- a/amaranthring/keepers/client.py
+++ b/amaranthring/keepers/client.py
@@ -54,7 +54,7 @@
         self.group = group
         self.leader = ""
         self.leaderless_since: float | None = None
-        self.heard: dict[str, float] = {}
+        self.last_heard: dict[str, float] = {}
         handlers = handlers or links.Handlers()
 
         def make_dialler(address: str) -> links.Dialler:
@@ -169,7 +169,7 @@
             else:
                 self.leader = name
                 self.leaderless_since = None
-                self.heard[name] = loop.time()
+                self.last_heard[name] = loop.time()
                 return reply
             tried.add(name)
             if not self.leader:
@@ -214,7 +214,7 @@
             With outcome ``not-run``.
         """
         loop = asyncio.get_running_loop()
-        if loop.time() - self.heard.get(name, -math.inf) < FRESH_SECONDS:
+        if loop.time() - self.last_heard.get(name, -math.inf) < FRESH_SECONDS:
             return
         dialler = self.diallers[name]
         link = dialler.link
@@ -227,7 +227,7 @@
                 f"keeper {name} does not answer",
                 outcome=errors.Outcome.NOT_RUN,
             ) from error
-        self.heard[name] = loop.time()
+        self.last_heard[name] = loop.time()
 
     def _choose(self, tried: set[str]) -> str:
         reached = self._linked() or list(self.diallers)
@@ -256,6 +256,6 @@
                 dialler.start()
 
     def _forget(self, name: str) -> None:
-        self.heard.pop(name, None)
+        self.last_heard.pop(name, None)
         if self.leader == name:
             self.leader = ""
--- a/amaranthring/keepers/commands.py
+++ b/amaranthring/keepers/commands.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Operated:
+class OperatorCommand:
     """What every command of an operator carries.
 
     Attributes
@@ -48,28 +48,28 @@
 
 
 @wire.message("preset-put")
-class PutPreset(Operated):
+class PutPreset(OperatorCommand):
     """Create a preset or replace its content."""
 
     preset: fleet.Preset
 
 
 @wire.message("preset-switch")
-class SwitchPreset(Operated):
+class SwitchPreset(OperatorCommand):
     """Put the preset `name` in force."""
 
     name: str
 
 
 @wire.message("preset-remove")
-class RemovePreset(Operated):
+class RemovePreset(OperatorCommand):
     """Remove a preset that is not in force."""
 
     name: str
 
 
 @wire.message("preset-restore")
-class RestorePresets(Operated):
+class RestorePresets(OperatorCommand):
     """Take what the presets held at `revision` again, as a new revision.
 
     With `name` only that preset, else all of them and which is in force.
@@ -81,21 +81,21 @@
 
 
 @wire.message("account-put")
-class PutAccount(Operated):
+class PutAccount(OperatorCommand):
     """Create a client account or replace its content."""
 
     account: fleet.Account
 
 
 @wire.message("account-remove")
-class RemoveAccount(Operated):
+class RemoveAccount(OperatorCommand):
     """Remove a client account."""
 
     name: str
 
 
 @wire.message("target-drain")
-class DrainTarget(Operated):
+class DrainTarget(OperatorCommand):
     """Give `target` no new work."""
 
     target: str
@@ -103,7 +103,7 @@
 
 
 @wire.message("target-undrain")
-class UndrainTarget(Operated):
+class UndrainTarget(OperatorCommand):
     """Give `target` work again."""
 
     target: str
@@ -120,7 +120,7 @@
 
 
 @wire.message("quarantine-lift")
-class LiftQuarantine(Operated):
+class LiftQuarantine(OperatorCommand):
     """Take `fingerprint` off the quarantine list."""
 
     fingerprint: str
@@ -200,7 +200,7 @@
 
 
 @wire.message("confirmed")
-class Confirmed:
+class RouterRevisions:
     """Revisions of the routers of one data centre.
 
     Attributes
@@ -324,7 +324,7 @@
 
 
 @wire.message("targets-seen")
-class TargetsSeen:
+class ReadyTargets:
     """All ready targets of one data centre, as a router of it sees them."""
 
     data_centre: str
--- a/amaranthring/keepers/consensus.py
+++ b/amaranthring/keepers/consensus.py
@@ -262,7 +262,7 @@
 
     def status(self) -> messages.Status:
         """Return the state of this keeper in the group."""
-        return status.of(self)
+        return status.describe(self)
 
     async def propose(self, command: t.Any, timeout: float) -> t.Any:
         """Commit `command` and return what the machine made of it.
--- a/amaranthring/keepers/deltas.py
+++ b/amaranthring/keepers/deltas.py
@@ -21,7 +21,7 @@
     return PIECE.findall(document)
 
 
-def make(old: bytes, new: bytes) -> bytes:
+def diff(old: bytes, new: bytes) -> bytes:
     """Return what turns `old` into `new`, compressed."""
     held = _pieces(old)
     first_at = {piece: at for at, piece in reversed(list(enumerate(held)))}
--- a/amaranthring/keepers/ledger.py
+++ b/amaranthring/keepers/ledger.py
@@ -23,10 +23,10 @@
 
 RETENTION_SECONDS = 72 * 3600.0
 BUCKETS = 24
-ANSWER_BYTES_MOST = 16 * 1024
+MAX_ANSWER_BYTES = 16 * 1024
 HOLD_SECONDS_MOST = 3600.0
-MEMORY_SECONDS = 7 * 86400.0
-BYTES_MOST = 128 * 1024 * 1024
+MARK_RETENTION_SECONDS = 7 * 86400.0
+MAX_BYTES = 128 * 1024 * 1024
 # What a claim takes in memory beside its packed form, by measurement in
 # bench claims_memory.
 OVERHEAD_BYTES = 180
@@ -44,7 +44,7 @@
 # and of the content type.
 
 
-class Kept(t.NamedTuple):
+class ClaimRecord(t.NamedTuple):
     """One claim, unpacked; the fields are those of the head."""
 
     state: int
@@ -57,7 +57,7 @@
     body: bytes = b""
 
 
-def pack(kept: Kept) -> bytes:
+def pack(kept: ClaimRecord) -> bytes:
     """Return the compact form of `kept`."""
     target = kept.target.encode()[:255]
     content_type = kept.content_type.encode()[:255]
@@ -69,14 +69,14 @@
     return head + target + content_type + kept.body
 
 
-def unpack(data: bytes) -> Kept:
+def unpack(data: bytes) -> ClaimRecord:
     """Return the claim in `data`."""
     *head, target_size, type_size = _HEAD.unpack_from(data)
     middle = _HEAD.size + target_size
     end = middle + type_size
     target = data[_HEAD.size : middle].decode(errors="replace")
     content_type = data[middle:end].decode(errors="replace")
-    return Kept(*head, target, content_type, data[end:])
+    return ClaimRecord(*head, target, content_type, data[end:])
 
 
 def short(*texts: str) -> bytes:
@@ -159,14 +159,14 @@
     def __init__(
         self,
         retention: float = RETENTION_SECONDS,
-        answer_bytes_most: int = ANSWER_BYTES_MOST,
-        bytes_most: int = BYTES_MOST,
+        max_answer_bytes: int = MAX_ANSWER_BYTES,
+        max_bytes: int = MAX_BYTES,
     ):
-        self.bytes_most = bytes_most
+        self.max_bytes = max_bytes
         self.bytes = 0
         self.marks: dict[int, Marks] = {}
         self.retention = retention
-        self.answer_bytes_most = answer_bytes_most
+        self.max_answer_bytes = max_answer_bytes
         self.span = retention / BUCKETS
         self.buckets: dict[int, dict[bytes, bytes]] = {}
 
@@ -199,7 +199,7 @@
         self._drop(bucket, key)
         bucket = self.buckets.setdefault(int(stamp // self.span), {})
         until = stamp + min(command.hold_seconds, HOLD_SECONDS_MOST)
-        made = Kept(
+        made = ClaimRecord(
             HELD,
             until,
             0,
@@ -259,7 +259,7 @@
         Its claim may still be under way, and would hold the key with nobody
         behind it. No body is known; a claim with any body finds the note.
         """
-        made = Kept(RELEASED, stamp, 0, NO_DIGEST, attempt)
+        made = ClaimRecord(RELEASED, stamp, 0, NO_DIGEST, attempt)
         bucket = self.buckets.setdefault(int(stamp // self.span), {})
         self._put(bucket, key, made)
         return self._told(stamp, made, attempt, command.attempt)
@@ -273,7 +273,7 @@
             self.marks[number] = marks
             self.bytes -= sum(map(_size, bucket.values()))
             self.bytes += MARK_BYTES * len(marks)
-        oldest -= int(MEMORY_SECONDS // self.span)
+        oldest -= int(MARK_RETENTION_SECONDS // self.span)
         for number in [n for n in self.marks if n < oldest]:
             self.bytes -= MARK_BYTES * len(self.marks.pop(number))
 
@@ -298,7 +298,7 @@
         for bucket in self.buckets.values():
             self.bytes += sum(map(_size, bucket.values()))
 
-    def _put(self, bucket: dict[bytes, bytes], key: bytes, kept: Kept):
+    def _put(self, bucket: dict[bytes, bytes], key: bytes, kept: ClaimRecord):
         bucket[key] = pack(kept)
         self.bytes += _size(bucket[key])
 
@@ -322,7 +322,7 @@
                 return records.Claim(records.ClaimState.UNKNOWN, "")
         return None
 
-    def _find(self, key: bytes) -> tuple[dict[bytes, bytes], Kept | None]:
+    def _find(self, key: bytes) -> tuple[dict[bytes, bytes], ClaimRecord | None]:
         for bucket in self.buckets.values():
             data = bucket.get(key)
             if data is not None:
@@ -330,15 +330,15 @@
         return {}, None
 
     def _check_room(self) -> None:
-        if self.bytes >= self.bytes_most:
+        if self.bytes >= self.max_bytes:
             raise errors.QueueFullError(
                 "the ledger of claims is full",
                 given=f"{self.bytes} bytes",
-                expected=f"at most {self.bytes_most}",
+                expected=f"at most {self.max_bytes}",
                 retry_after=60.0,
             )
 
-    def _settled(self, kept: Kept, command) -> Kept:
+    def _settled(self, kept: ClaimRecord, command) -> ClaimRecord:
         if command.outcome == errors.Outcome.NOT_RUN:
             return kept._replace(state=RELEASED)
         if command.outcome == errors.Outcome.UNKNOWN:
@@ -346,7 +346,7 @@
         answer = command.answer
         if answer is None or not answer.kept:
             return kept._replace(state=RAN_NOT_KEPT)
-        if len(answer.body) > self.answer_bytes_most:
+        if len(answer.body) > self.max_answer_bytes:
             return kept._replace(state=RAN_NOT_KEPT, status=answer.status)
         return kept._replace(
             state=RAN,
--- a/amaranthring/keepers/machine.py
+++ b/amaranthring/keepers/machine.py
@@ -18,11 +18,11 @@
 from amaranthring.keepers import quarantine
 
 SNAPSHOT_VERSION = 1
-ANSWERS_MOST = 5000
-ANSWER_SECONDS = 24 * 3600.0
+MAX_ANSWERS = 5000
+ANSWER_RETENTION_SECONDS = 24 * 3600.0
 
 
-class Machine:
+class StateMachine:
     """State of one group of keepers.
 
     Parameters
@@ -53,12 +53,12 @@
     def __init__(
         self,
         claim_seconds: float = ledger.RETENTION_SECONDS,
-        answer_bytes_most: int = ledger.ANSWER_BYTES_MOST,
+        max_answer_bytes: int = ledger.MAX_ANSWER_BYTES,
     ):
         self.claim_seconds = claim_seconds
-        self.answer_bytes_most = answer_bytes_most
+        self.max_answer_bytes = max_answer_bytes
         self.book = presets.Book()
-        self.ledger = ledger.Ledger(claim_seconds, answer_bytes_most)
+        self.ledger = ledger.Ledger(claim_seconds, max_answer_bytes)
         self.orders = orders.Orders()
         self.answers: collections.OrderedDict[str, list[t.Any]]
         self.answers = collections.OrderedDict()
@@ -91,7 +91,7 @@
             return self._applied(command)
         finally:
             if self.book.parts.revision != revision:
-                self.orders.want(self._desired())
+                self.orders.set_desired(self._desired())
                 self._tell()
 
     def _applied(self, command: t.Any) -> t.Any:
@@ -101,7 +101,7 @@
         if isinstance(command, commands.Settle):
             claim = self.ledger.settle(self.stamp, command)
             return commands.ClaimResult(claim)
-        if isinstance(command, commands.Operated):
+        if isinstance(command, commands.OperatorCommand):
             return self._once(command)
         if isinstance(command, commands.AddQuarantine):
             quarantine.add(self.book, self.stamp, command)
@@ -125,7 +125,7 @@
         found = sorted(i for i in items if i[0].startswith(base))
         return hashing.digest(wire.encode_value(found))
 
-    def _once(self, command: commands.Operated) -> t.Any:
+    def _once(self, command: commands.OperatorCommand) -> t.Any:
         """Apply an operator's command, or give its first answer again."""
         content = hashing.digest(
             wire.tag_of(type(command)), wire.encode_value(command)
@@ -134,7 +134,7 @@
         if known is not None:
             return self._again(known, content)
         try:
-            result = self.book.operate(self.stamp, command)
+            result = self.book.apply_command(self.stamp, command)
         except errors.AmaranthringError as error:
             self._keep(command, content, "", error.to_record())
             raise
@@ -155,12 +155,12 @@
 
     def _keep(self, command, content, tag, body) -> None:
         self.answers[command.command_id] = [self.stamp, content, tag, body]
-        while len(self.answers) > ANSWERS_MOST or self._oldest_expired():
+        while len(self.answers) > MAX_ANSWERS or self._oldest_expired():
             self.answers.popitem(last=False)
 
     def _oldest_expired(self) -> bool:
         stamp = next(iter(self.answers.values()))[0]
-        return stamp < self.stamp - ANSWER_SECONDS
+        return stamp < self.stamp - ANSWER_RETENTION_SECONDS
 
     def _tell(self) -> None:
         for callback in self.on_revision:
--- a/amaranthring/keepers/orders.py
+++ b/amaranthring/keepers/orders.py
@@ -18,8 +18,8 @@
 from amaranthring.keepers import commands
 
 FINISHED_MOST = 500
-TRIES_MOST = 3
-TRIES_OF_MODEL_MOST = 6
+MAX_ATTEMPTS = 3
+MAX_MODEL_FAILURES = 6
 PAUSE_FIRST_SECONDS = 30.0
 PAUSE_MOST_SECONDS = 600.0
 FORGET_SECONDS = 3600.0
@@ -169,16 +169,16 @@
         """Return why this must not be ordered now, or an empty string."""
         if self.quiet.get(target, 0.0) > stamp:
             return "the target may still be at an earlier order"
-        if self.failures[wanted] >= TRIES_OF_MODEL_MOST:
+        if self.failures[wanted] >= MAX_MODEL_FAILURES:
             return "failed on several targets"
         tries = self.tries.get(tries_key(target, incarnation, kind, wanted))
         if tries is None:
             return ""
-        if tries.count >= TRIES_MOST:
+        if tries.count >= MAX_ATTEMPTS:
             return "failed too often"
         return "waits for its next try" if tries.until > stamp else ""
 
-    def want(self, desired: str) -> None:
+    def set_desired(self, desired: str) -> None:
         """Start counting tries anew if the desired state changed."""
         if desired != self.desired:
             self.desired = desired
--- a/amaranthring/keepers/plans.py
+++ b/amaranthring/keepers/plans.py
@@ -48,23 +48,23 @@
 
 
 @wire.message("plan-held")
-class PlanHeld:
+class PlanVersion:
     """The version in force after a :class:`PutPlan` or :class:`ChangePlan`."""
 
     version: int
 
 
-def packed(document: bytes) -> bytes:
+def compress(document: bytes) -> bytes:
     """Return `document` compressed, as it is stored and sent."""
     return zlib.compress(document, COMPRESSION_LEVEL)
 
 
-def unpacked(body: bytes) -> bytes:
+def decompress(body: bytes) -> bytes:
     """Return the document in `body`."""
     return zlib.decompress(body)
 
 
-class PlanMachine:
+class PlanStateMachine:
     """Holds the plan that the log of commands leads to.
 
     A command with a version that is not higher changes nothing. So an order
@@ -89,28 +89,28 @@
     def body(self) -> bytes:
         """Return the document compressed; empty before the first."""
         if self._body is None:
-            self._body = packed(self._document)
+            self._body = compress(self._document)
         return self._body
 
     @property
     def document(self) -> bytes:
         """Return the document in force; empty before the first."""
         if self._document is None:
-            self._document = unpacked(self._body)
+            self._document = decompress(self._body)
         return self._document
 
     def put_command(self, version: int, document: bytes) -> t.Any:
         """Return the smallest command that puts `document` in force."""
-        body = packed(document)
+        body = compress(document)
         if 0 <= self.version < version:
-            delta = deltas.make(self.document, document)
+            delta = deltas.diff(self.document, document)
             if len(delta) < len(body):
                 return ChangePlan(version, self.version, delta)
         return PutPlan(version, body)
 
     def apply(
         self, index: int, stamp: float, command: PutPlan | ChangePlan
-    ) -> PlanHeld:
+    ) -> PlanVersion:
         """Apply one command.
 
         The version in the result is below that of a :class:`ChangePlan`
@@ -123,7 +123,7 @@
             else:
                 self.version = command.version
                 self._body, self._document = command.body, None
-        return PlanHeld(self.version)
+        return PlanVersion(self.version)
 
     def _change(self, command: ChangePlan) -> None:
         if command.base != self.version:
--- a/amaranthring/keepers/presets.py
+++ b/amaranthring/keepers/presets.py
@@ -107,7 +107,7 @@
                 self._note(stamp, "initial", "preset-put", preset)
         return self.accepted()
 
-    def operate(self, stamp: float, command: commands.Operated) -> t.Any:
+    def apply_command(self, stamp: float, command: commands.OperatorCommand) -> t.Any:
         """Apply a command of an operator.
 
         Raises
--- a/amaranthring/keepers/quarantine.py
+++ b/amaranthring/keepers/quarantine.py
@@ -9,7 +9,7 @@
 PREFIX = "quarantined/"
 
 
-def held(book) -> dict[str, float]:
+def entries(book) -> dict[str, float]:
     """Return fingerprints and the stamps of their expiry."""
     items = book.parts.items
     found = {p: v for p, v in items.items() if p.startswith(PREFIX)}
@@ -23,7 +23,7 @@
     expiry holds. A report that changes nothing makes no revision.
     """
     seconds = min(command.seconds, SECONDS_MOST)
-    known = held(book)
+    known = entries(book)
     wanted = max(stamp + seconds, known.get(command.fingerprint, 0.0))
     if known.get(command.fingerprint) == wanted:
         return
--- a/amaranthring/keepers/queries.py
+++ b/amaranthring/keepers/queries.py
@@ -42,7 +42,7 @@
         of the keeper add theirs.
     """
 
-    def __init__(self, machine: machines.Machine, clock=time.monotonic):
+    def __init__(self, machine: machines.StateMachine, clock=time.monotonic):
         self.machine = machine
         self.clock = clock
         self.routers: dict[str, Seen] = {}
@@ -54,9 +54,9 @@
             "quarantine": self._quarantine,
             "orders": self._orders,
         }
-        self.by_class: dict[type, t.Callable[[t.Any], t.Any]] = {
+        self.handlers: dict[type, t.Callable[[t.Any], t.Any]] = {
             commands.StateQuery: self._view,
-            commands.Confirmed: self._confirmed,
+            commands.RouterRevisions: self._confirmed,
         }
         machine.on_revision.append(self._wake)
 
@@ -70,7 +70,7 @@
         """
         if isinstance(message, commands.ConfigSince):
             return await self._config_since(message)
-        handler = self.by_class.get(type(message))
+        handler = self.handlers.get(type(message))
         if handler is None:
             raise errors.BadRequestError(
                 "not a query",
@@ -95,7 +95,7 @@
             if not future.done():
                 future.set_result(None)
 
-    def _confirmed(self, message: commands.Confirmed) -> commands.StateView:
+    def _confirmed(self, message: commands.RouterRevisions) -> commands.StateView:
         now = self.clock()
         for name, revision in message.routers.items():
             heard = now - message.ages.get(name, 0.0)
@@ -155,7 +155,7 @@
         ]
 
     def _quarantine(self, _: str) -> t.Any:
-        return quarantine.held(self.machine.book)
+        return quarantine.entries(self.machine.book)
 
     def _orders(self, name: str) -> t.Any:
         rows = self.machine.orders.view()
--- a/amaranthring/keepers/reconciler.py
+++ b/amaranthring/keepers/reconciler.py
@@ -55,10 +55,10 @@
     """
 
     step_seconds: float = 1.0
-    patience_seconds: float = 10.0
+    debounce_seconds: float = 10.0
     order_seconds: float = 60.0
     lease_seconds: float = 2.0
-    know_seconds: float = 35.0
+    discovery_seconds: float = 35.0
     show_seconds: float = 20.0
     stale_seconds: float = 600.0
     at_once: int = 16
@@ -128,9 +128,9 @@
         # Ends that the log did not take yet.
         self.ended: dict[int, target_orders.Result] = {}
         self.task: asyncio.Task | None = None
-        self.led_at = 0.0
+        self.leader_since = 0.0
 
-    def take_targets(self, message: commands.TargetsSeen) -> None:
+    def update_targets(self, message: commands.ReadyTargets) -> None:
         """Note what a data centre's router reports."""
         sighting = Sighting(message.targets, self.clock())
         self.sightings[message.data_centre] = sighting
@@ -138,7 +138,7 @@
     def start(self) -> None:
         """Begin to give orders; this keeper leads now."""
         self.stop()
-        self.led_at = self.clock()
+        self.leader_since = self.clock()
         self.wanted_since.clear()
         self.ended.clear()
         self.task = asyncio.ensure_future(self._run())
@@ -194,8 +194,8 @@
         the old leader after one of ours. The old leader sent nothing after
         its lease, and no order takes longer than its bound.
         """
-        led = self.clock() - self.led_at
-        if led < self.options.know_seconds:
+        led = self.clock() - self.leader_since
+        if led < self.options.discovery_seconds:
             return False
         target = self._target(order.target)
         if target is not None and target.fencing:
@@ -213,14 +213,14 @@
 
     async def _take_steps(self) -> None:
         now = self.clock()
-        if now - self.led_at < self.options.know_seconds:
+        if now - self.leader_since < self.options.discovery_seconds:
             return
         steps = self._plan()
         self.wanted_since = {
             step: self.wanted_since.get(step, now) for step in steps
         }
         for step, since in self.wanted_since.items():
-            if now - since < self.options.patience_seconds:
+            if now - since < self.options.debounce_seconds:
                 continue
             if len(self.sending) >= self.options.at_once:
                 return
--- a/amaranthring/keepers/service.py
+++ b/amaranthring/keepers/service.py
@@ -25,7 +25,7 @@
 BOOTSTRAP_PAUSE_SECONDS = 0.5
 
 
-class Service:
+class FleetService:
     """What a keeper does beside agreeing.
 
     Parameters
@@ -48,7 +48,7 @@
     def __init__(
         self,
         group: t.Any,
-        machine: machines.Machine,
+        machine: machines.StateMachine,
         handlers: links.Handlers,
         initial_file: str = "",
         options: reconcilers.Options | None = None,
@@ -63,8 +63,8 @@
         if initial_file:
             self.bootstrap = initial.load(initial_file)
         self.task: asyncio.Task | None = None
-        self.queries.by_class[commands.TargetsSeen] = self._targets_seen
-        for kind in (commands.ConfigSince, *self.queries.by_class):
+        self.queries.handlers[commands.ReadyTargets] = self._targets_seen
+        for kind in (commands.ConfigSince, *self.queries.handlers):
             handlers.add(kind, self._answer)
         group.on_leader.append(self._lead)
         group.on_follower.append(self._follow)
@@ -75,8 +75,8 @@
         await self.group.read_barrier(BARRIER_SECONDS)
         return await self.queries.answer(message)
 
-    def _targets_seen(self, message: commands.TargetsSeen) -> t.Any:
-        self.reconciler.take_targets(message)
+    def _targets_seen(self, message: commands.ReadyTargets) -> t.Any:
+        self.reconciler.update_targets(message)
         return commands.StateView(None)
 
     def _lead(self, _term: int) -> None:
--- a/amaranthring/keepers/status.py
+++ b/amaranthring/keepers/status.py
@@ -19,7 +19,7 @@
     return options.Role.EMPTY
 
 
-def of(group) -> messages.Status:
+def describe(group) -> messages.Status:
     """Return the state of this keeper in `group`."""
     losses = membership.NOT_KNOWN
     if group.leading:
--- a/amaranthring/operators/base.py
+++ b/amaranthring/operators/base.py
@@ -143,7 +143,7 @@
             "if_match": conventions.if_match(headers.get("If-Match")),
         }
 
-    async def propose(self, command: commands.Operated) -> None:
+    async def propose(self, command: commands.OperatorCommand) -> None:
         """Propose `command` and answer with what was accepted."""
         try:
             done = await self.operators.propose(command, COMMAND_SECONDS)
--- a/amaranthring/platform/control.py
+++ b/amaranthring/platform/control.py
@@ -44,7 +44,7 @@
         """Return whether there is such a service, or no plan to tell."""
         held = self.hub.machine.version
         if held != self.version:
-            found = json.loads(plans.unpacked(self.hub.machine.body))
+            found = json.loads(plans.decompress(self.hub.machine.body))
             self.names = frozenset(one["name"] for one in found["backends"])
             self.version = held
         return held < 0 or name in self.names
@@ -107,7 +107,7 @@
     found = await hub.read()
     if found.version < 0:
         raise errors.NotFoundError("no configuration yet")
-    return endpoints.Result(body=plans.unpacked(found.body))
+    return endpoints.Result(body=plans.decompress(found.body))
 
 
 def read_heartbeat(path: str, body: bytes) -> messages.TargetRecord:
--- a/amaranthring/registry/bodies.py
+++ b/amaranthring/registry/bodies.py
@@ -25,7 +25,7 @@
         fetch at once after a cut would cost the group its leader.
     """
 
-    def __init__(self, machine: plans.PlanMachine, pacer: pacing.Pacer):
+    def __init__(self, machine: plans.PlanStateMachine, pacer: pacing.Pacer):
         self.machine = machine
         self.pacer = pacer
         self.history: collections.OrderedDict[int, bytes] = (
@@ -52,7 +52,7 @@
         if old is None or new is None or held >= version:
             return messages.PlanBody(version, self.machine.body)
         if (held, version) not in self.made:
-            self.made[held, version] = deltas.make(old, new)
+            self.made[held, version] = deltas.diff(old, new)
         return messages.PlanBody(version, self.made[held, version], held)
 
     async def fetch(
--- a/amaranthring/registry/hub.py
+++ b/amaranthring/registry/hub.py
@@ -61,7 +61,7 @@
     def __init__(
         self,
         group: t.Any,
-        machine: plans.PlanMachine,
+        machine: plans.PlanStateMachine,
         handlers: links.Handlers,
         beat_seconds: float,
         clock: t.Callable[[], float],
@@ -242,12 +242,12 @@
         if held.version < version:
             # The change was made from a plan that this keeper held and that
             # was not in force any more, or not yet.
-            whole = plans.PutPlan(version, plans.packed(document))
+            whole = plans.PutPlan(version, plans.compress(document))
             held = await self._propose(whole)
         logs.event(log, "plan.put", version=version, in_force=held.version)
         return held.version
 
-    async def _propose(self, command: t.Any) -> plans.PlanHeld:
+    async def _propose(self, command: t.Any) -> plans.PlanVersion:
         tag = wire.tag_of(type(command))
         return await self._at_leader(
             lambda seconds: self.group.propose(command, seconds),
--- a/amaranthring/registry/keeper.py
+++ b/amaranthring/registry/keeper.py
@@ -93,7 +93,7 @@
     ):
         self.config = place
         self.metrics = metrics
-        self.machine = plans.PlanMachine()
+        self.machine = plans.PlanStateMachine()
         self.handlers = links.Handlers()
         identity = links.Identity(
             place.address,
--- a/amaranthring/registry/subscriber.py
+++ b/amaranthring/registry/subscriber.py
@@ -268,7 +268,7 @@
 
     def _document(self, plan: messages.PlanBody) -> bytes:
         if plan.base < 0:
-            return plans.unpacked(plan.body)
+            return plans.decompress(plan.body)
         return deltas.apply(self._document_held, plan.body)
 
     def _base(self) -> int:
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -242,7 +242,7 @@
         if routers == self.reported and not due:
             return
         ages = {n: round(now - h[1], 1) for n, h in self.heard.items()}
-        message = commands.Confirmed(self.data_centre, routers, ages)
+        message = commands.RouterRevisions(self.data_centre, routers, ages)
         await self.query(message, PULL_SECONDS)
         self.reported = routers
         self.reported_at = now
--- a/amaranthring/routers/target_reports.py
+++ b/amaranthring/routers/target_reports.py
@@ -84,7 +84,7 @@
             due = True
         if found == self.told and not due:
             return
-        message = commands.TargetsSeen(self.data_centre, found)
+        message = commands.ReadyTargets(self.data_centre, found)
         await self.query(message, QUERY_SECONDS)
         self.told = found
         self.told_leader = self.leader()
--- a/amaranthring/testing/state.py
+++ b/amaranthring/testing/state.py
@@ -35,8 +35,8 @@
         So many answers to proposals are lost after the command took hold.
     """
 
-    def __init__(self, machine: machines.Machine | None = None):
-        self.machine = machine or machines.Machine()
+    def __init__(self, machine: machines.StateMachine | None = None):
+        self.machine = machine or machines.StateMachine()
         self.queries = queries.Queries(self.machine)
         self.cut = False
         self.lose_answers = 0
@@ -67,7 +67,7 @@
     def restart(self) -> None:
         """Go on from a snapshot, in another machine."""
         data = self.machine.snapshot()
-        self.machine = machines.Machine()
+        self.machine = machines.StateMachine()
         self.machine.restore(data)
         self.queries = queries.Queries(self.machine)
 
--- a/tests/test_keeper_client.py
+++ b/tests/test_keeper_client.py
@@ -83,7 +83,7 @@
         await self.client.propose(keeper.Set("a", "1"), 5)
         self.assertNotIn("k1", self.asked)
         self.silent = {"k1", "k2", "k3"}
-        self.client.heard.clear()
+        self.client.last_heard.clear()
         self.asked.clear()
         with self.assertRaises(errors.NoQuorumError) as caught:
             await self.client.propose(keeper.Set("a", "1"), 1)
@@ -104,7 +104,7 @@
         for lost in ("close", errors.CommitUnknownError("x"), None):
             self.asked.clear()
             self.client.leader = "k1"
-            self.client.heard["k1"] = math.inf
+            self.client.last_heard["k1"] = math.inf
             self.answers["k1"] = lost
             with self.assertRaises(errors.CommitUnknownError):
                 await self.client.propose(keeper.Set("a", "1"), 0.5)
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -102,7 +102,7 @@
         asyncio.get_running_loop().set_debug(False)
         self.wire = Wire(LINK_RATE)
         self.handlers = links.Handlers()
-        self.machine = plans.PlanMachine()
+        self.machine = plans.PlanStateMachine()
         self.group = types.SimpleNamespace(
             name="plan",
             keeper=types.SimpleNamespace(address="k0:1"),
@@ -211,7 +211,7 @@
         await asyncio.sleep(WATCHED_SECONDS)
         before = self.handlers.sent.copy()
         for version in range(12):
-            put = plans.PutPlan(version, plans.packed(b"plan"))
+            put = plans.PutPlan(version, plans.compress(b"plan"))
             self.machine.apply(version + 1, 0.0, put)
             for callback in self.group.on_applied:
                 callback(version + 1)
@@ -286,7 +286,7 @@
         self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
         for one in self.keepers.running.values():
             await plan_keepers.until(lambda k=one: k.machine.version == 13)
-            found = plans.unpacked(one.machine.body)
+            found = plans.decompress(one.machine.body)
             self.assertEqual(newest, found)
 
 
@@ -299,8 +299,8 @@
     """
 
     async def test_plan_that_came_from_another_keeper_is_not_sent(self):
-        machine = plans.PlanMachine()
-        machine.apply(1, 0.0, plans.PutPlan(7, plans.packed(b"plan")))
+        machine = plans.PlanStateMachine()
+        machine.apply(1, 0.0, plans.PutPlan(7, plans.compress(b"plan")))
         sent = collections.Counter()
         pacer = pacing.Pacer(sent, time.monotonic, LINK_RATE)
         made = bodies.PlanSource(machine, pacer)
@@ -313,7 +313,7 @@
         made.note_held(router, 7)
         first, second = await asyncio.gather(*waiting)
         self.assertEqual((7, b""), (first.version, first.body))
-        self.assertEqual(b"plan", plans.unpacked(second.body))
+        self.assertEqual(b"plan", plans.decompress(second.body))
 
     async def test_keeper_is_asked_once_while_it_has_not_answered(self):
         """Keepers offer their plan with each answer, twice a second.
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,7 +19,7 @@
     """One account's keys, through snapshots."""
 
     def setUp(self):
-        self.machine = machine.Machine()
+        self.machine = machine.StateMachine()
         self.stamp = 10_000.0
 
     def apply(self, command):
@@ -37,7 +37,7 @@
 
     def restart(self):
         data = self.machine.snapshot()
-        self.machine = machine.Machine()
+        self.machine = machine.StateMachine()
         self.machine.restore(data)
 
     def test_second_attempt_is_told_the_state_through_every_step(self):
@@ -145,7 +145,7 @@
 
     def test_large_answer_is_not_kept_but_known_to_have_run(self):
         self.claim("a")
-        large = b"x" * (ledger.ANSWER_BYTES_MOST + 1)
+        large = b"x" * (ledger.MAX_ANSWER_BYTES + 1)
         self.settle("a", "ran", records.StoredAnswer(200, "text/plain", large))
         found = self.claim("b")
         self.assertEqual(found.state, STATES.SETTLED)
@@ -187,13 +187,13 @@
         self.settle("a", "ran", ANSWER)
         self.stamp += ledger.RETENTION_SECONDS * 1.1
         self.claim("z", "other")
-        self.stamp += ledger.MEMORY_SECONDS + ledger.RETENTION_SECONDS
+        self.stamp += ledger.MARK_RETENTION_SECONDS + ledger.RETENTION_SECONDS
         self.claim("z", "another")
         self.assertEqual(self.claim("b").state, STATES.GRANTED)
         self.assertEqual(len(self.machine.ledger), 2)
 
     def test_full_ledger_refuses_and_says_when_to_come_back(self):
-        self.machine.ledger.bytes_most = 1
+        self.machine.ledger.max_bytes = 1
         self.claim("a")
         with self.assertRaises(errors.QueueFullError) as caught:
             self.claim("a", "k2")
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -98,7 +98,7 @@
     """The log's side: numbers, weight store, tries."""
 
     def setUp(self):
-        self.machine = machine.Machine()
+        self.machine = machine.StateMachine()
         self.stamp = 1000.0
 
     def apply(self, command):
@@ -116,7 +116,7 @@
     def test_numbers_grow_through_snapshots_and_supersession(self):
         self.assertEqual(self.begin("e1"), 1)
         data = self.machine.snapshot()
-        self.machine = machine.Machine()
+        self.machine = machine.StateMachine()
         self.machine.restore(data)
         with self.assertRaises(errors.RefusedError):
             self.begin("e1")
@@ -153,7 +153,7 @@
                 with contextlib.suppress(errors.RefusedError):
                     self.end(self.begin(target), detail="broken")
                     begun += 1
-        self.assertEqual(begun, orders.TRIES_OF_MODEL_MOST)
+        self.assertEqual(begun, orders.MAX_MODEL_FAILURES)
         self.apply(state.bootstrap())
         preset = fleet.Preset("ordinary", desired_models={"m": 1})
         self.apply(
@@ -165,7 +165,7 @@
 
     def test_same_pair_waits_longer_each_time(self):
         times = []
-        while len(times) < orders.TRIES_MOST:
+        while len(times) < orders.MAX_ATTEMPTS:
             self.stamp += 1
             with contextlib.suppress(errors.RefusedError):
                 self.end(self.begin("e1"))
@@ -251,7 +251,7 @@
         made = reconciler.Reconciler(
             self.group.machine, self.group.propose, lease, send, options
         )
-        made.take_targets(commands.TargetsSeen("a", targets))
+        made.update_targets(commands.ReadyTargets("a", targets))
         made.start()
         self.leaders.append(made)
         return made
@@ -317,7 +317,7 @@
             leader._has_ended(self.group.machine.orders.open["e1"])
         )
         await state.until(lambda: (old + 1, "done") in self.states())
-        self.assertGreaterEqual(leader.clock() - leader.led_at, 0.6)
+        self.assertGreaterEqual(leader.clock() - leader.leader_since, 0.6)
 
     async def test_frozen_old_leader_sends_nothing_after_its_lease(self):
         # The old leader is frozen after its order was committed, and wakes
--- a/tests/test_plan_deltas.py
+++ b/tests/test_plan_deltas.py
@@ -38,9 +38,9 @@
         old = document(7, routes)
         routes[300] = ("route-300", 5)
         new = document(8, routes)
-        delta = deltas.make(old, new)
+        delta = deltas.diff(old, new)
         self.assertEqual(new, deltas.apply(old, delta))
-        self.assertLess(len(delta), len(plans.packed(new)) / 100)
+        self.assertLess(len(delta), len(plans.compress(new)) / 100)
 
     def test_any_two_documents(self):
         draw = random.Random(5)
@@ -51,11 +51,11 @@
             made.append(document(version, [(n, 1) for n in names]))
         for old in made:
             for new in made:
-                self.assertEqual(new, deltas.apply(old, deltas.make(old, new)))
+                self.assertEqual(new, deltas.apply(old, deltas.diff(old, new)))
 
     def test_delta_for_another_document_is_refused(self):
         routes = [("a", 1), ("b", 2)]
-        delta = deltas.make(document(1, routes), document(2, routes))
+        delta = deltas.diff(document(1, routes), document(2, routes))
         for other in (b"", document(1, [("c", 3)]), document(1, routes[1:])):
             with self.assertRaises(errors.FrameError):
                 deltas.apply(other, delta)
@@ -68,7 +68,7 @@
     """Changes that the log brings as deltas."""
 
     def setUp(self):
-        self.machine = plans.PlanMachine()
+        self.machine = plans.PlanStateMachine()
         self.routes = [(f"r{n}", n) for n in range(200)]
         self.put(1)
 
@@ -83,14 +83,14 @@
         made, command = self.put(2)
         self.assertIsInstance(command, plans.ChangePlan)
         self.assertEqual((2, 2), (self.held, self.machine.version))
-        self.assertEqual(made, plans.unpacked(self.machine.body))
-        other = plans.PlanMachine()
+        self.assertEqual(made, plans.decompress(self.machine.body))
+        other = plans.PlanStateMachine()
         other.restore(self.machine.snapshot())
         self.assertEqual((2, made), (other.version, other.document))
 
     def test_change_of_a_plan_that_is_not_in_force_changes_nothing(self):
         """A keeper that lags takes an order; another change came between."""
-        lagging = plans.PlanMachine()
+        lagging = plans.PlanStateMachine()
         lagging.restore(self.machine.snapshot())
         self.put(2)
         before = self.machine.document
@@ -99,8 +99,8 @@
         self.assertEqual(before, self.machine.document)
 
     def test_change_of_another_document_changes_nothing(self):
-        other = plans.PlanMachine()
-        body = plans.packed(document(1, [("other", 1)] * 200))
+        other = plans.PlanStateMachine()
+        body = plans.compress(document(1, [("other", 1)] * 200))
         other.apply(1, 0.0, plans.PutPlan(1, body))
         made = document(5, [("other", 1)] * 200 + [("new", 2)])
         command = other.put_command(5, made)
@@ -120,14 +120,14 @@
 
     def setUp(self):
         self.now = 10.0
-        self.machine = plans.PlanMachine()
+        self.machine = plans.PlanStateMachine()
         self.sent = collections.Counter()
         pacer = pacing.Pacer(self.sent, lambda: self.now, LINK_RATE)
         self.bodies = bodies.PlanSource(self.machine, pacer)
 
     def put(self, version, size=3):
         made = document(version, [(f"r{n}", n) for n in range(size)])
-        put = plans.PutPlan(version, plans.packed(made))
+        put = plans.PutPlan(version, plans.compress(made))
         self.machine.apply(version, 0.0, put)
         self.bodies.record_version()
         return made
@@ -147,7 +147,7 @@
         for held in (-1, 1, 77, version):
             body = self.bodies.body_for(held)
             self.assertEqual(-1, body.base)
-            self.assertEqual(new, plans.unpacked(body.body))
+            self.assertEqual(new, plans.decompress(body.body))
 
     async def test_whole_plans_leave_room_on_the_link(self):
         """All routers start at once and fetch a plan of 20 KB.
--- a/tests/test_plan_keepers.py
+++ b/tests/test_plan_keepers.py
@@ -48,7 +48,7 @@
         for address in self.keepers.running:
             found = await self.keepers.read(address)
             self.assertEqual(3, found.version)
-            self.assertEqual(b"three", plans.unpacked(found.body))
+            self.assertEqual(b"three", plans.decompress(found.body))
 
     async def test_two_operators_send_one_version_to_two_keepers(self):
         """Two operators use the same number for different plans.
@@ -62,7 +62,7 @@
             self.keepers.put(5, b"of the other", addresses[1]),
         )
         found = {
-            plans.unpacked((await self.keepers.read(address)).body)
+            plans.decompress((await self.keepers.read(address)).body)
             for address in addresses
         }
         self.assertEqual(1, len(found))
@@ -110,7 +110,7 @@
         await self.fill(others[1])
         self.assertEqual(9, await self.keepers.put(9, b"nine"))
         found = await self.keepers.read()
-        self.assertEqual(b"nine", plans.unpacked(found.body))
+        self.assertEqual(b"nine", plans.decompress(found.body))
 
     async def test_it_comes_back_with_all_that_was_acknowledged(self):
         keeper = self.a_follower_keeper()
@@ -119,7 +119,7 @@
         await self.keepers.put(7, b"seven")
         self.keepers.full.clear()
         await self.until(lambda: keeper.machine.version == 7)
-        self.assertEqual(b"seven", plans.unpacked(keeper.machine.body))
+        self.assertEqual(b"seven", plans.decompress(keeper.machine.body))
 
     async def test_it_passes_orders_and_reads_on_meanwhile(self):
         """A leader's disk fills up, and an operator asks that very keeper.
@@ -132,7 +132,7 @@
         await self.fill(leader)
         self.assertEqual(5, await self.keepers.put(5, b"five", address))
         found = await self.keepers.read(address)
-        self.assertEqual(b"five", plans.unpacked(found.body))
+        self.assertEqual(b"five", plans.decompress(found.body))
         self.assertIsNotNone(leader.group.fault)
 
     async def test_leader_does_not_fill_its_link_with_refused_snapshots(self):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -359,7 +359,7 @@
 
     async def put(self, version, document):
         if version > self.held.version:
-            packed = plans.packed(document)
+            packed = plans.compress(document)
             self.held = messages.PlanBody(version, packed)
         return self.held.version
 
