--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -167,7 +167,7 @@
 async def _resume(needs, target, name, delivery) -> None:
     """Go on with stream `name` at `target` at the event expected next."""
     events = delivery.events
-    events.follow(name, events.shown.decode()[4:-1])
+    events.switch_to(name, events.shown.decode()[4:-1])
     body = json.dumps({"offset": events.expected}).encode()
     path = f"/v1/streams/{name}{RESUME}"
     headers = {
@@ -184,7 +184,7 @@
 
 
 async def _open_stream(exchange, name, delivery) -> None:
-    await exchange.head()
+    await exchange.read_head()
     path = exchange.call.path
     if exchange.status == 404 and path.endswith(RESUME):
         raise errors.NotFoundError(
@@ -267,16 +267,16 @@
         if ready:
             if first:
                 first = False
-                exchange.allow(preset.between_tokens_seconds)
+                exchange.set_timeout(preset.between_tokens_seconds)
             _note_time(delivery)
-            exchange.came(delivery.last)
+            exchange.note_progress(delivery.last)
             waits = send(ready)
             if waits is not None:
                 exchange.paused = True
                 await waits
                 exchange.paused = False
                 delivery.last = time.monotonic()
-                exchange.came(delivery.last)
+                exchange.note_progress(delivery.last)
         if events.ended:
             return
         if events.error:
--- a/amaranthring/keepers/applying.py
+++ b/amaranthring/keepers/applying.py
@@ -22,8 +22,8 @@
 async def run(group) -> None:
     """Apply what is committed, in order, until cancelled."""
     while True:
-        await group.committed.wait()
-        group.committed.clear()
+        await group.commit_advanced.wait()
+        group.commit_advanced.clear()
         done = 0
         while group.applied_index < group.commit_index and not group.fault:
             _apply(group, group.log.get(group.applied_index + 1))
@@ -41,7 +41,7 @@
     if group.fault:
         return
     group.applied_index = entry.index
-    term, future = group.waiting.get(entry.index, (0, None))
+    term, future = group.pending_proposals.get(entry.index, (0, None))
     if future is not None and not future.done():
         if term != entry.term:
             # Another leader's entry was committed in its place, so this
@@ -85,9 +85,9 @@
 
 
 def _after(group) -> None:
-    if group.leading and group.applied_index >= group.led_from:
-        if not group.announced:
-            group.announced = True
+    if group.leading and group.applied_index >= group.term_start_index:
+        if not group.leadership_announced:
+            group.leadership_announced = True
             for callback in group.on_leader:
                 callback(group.term)
         if not membership.is_voter(group.members, group.disk_id):
@@ -130,7 +130,7 @@
     group.store.install(snapshot)
     restore(group, snapshot)
     group.members_changed()
-    for index, (_, future) in group.waiting.items():
+    for index, (_, future) in group.pending_proposals.items():
         if index <= snapshot.index and not future.done():
             future.set_exception(
                 errors.CommitUnknownError(
--- a/amaranthring/keepers/consensus.py
+++ b/amaranthring/keepers/consensus.py
@@ -133,15 +133,15 @@
         self.empty_state = machine.snapshot()
         self._use_store(self.open_store())
         self.leading = False
-        self.announced = False
+        self.leadership_announced = False
         self.leader_disk = ""
-        self.led_at = 0.0
-        self.led_from = 0
+        self.leader_since = 0.0
+        self.term_start_index = 0
         self.changed_at = 0.0
         self.fault: errors.StorageError | None = None
         self.recoverable = False
-        self.waiting: dict[int, tuple[int, asyncio.Future]] = {}
-        self.committed = asyncio.Event()
+        self.pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
+        self.commit_advanced = asyncio.Event()
         self.snapshot_due = asyncio.Event()
         self.lease_changed = asyncio.Event()
         self.applied_changed = asyncio.Event()
@@ -150,7 +150,7 @@
         self.on_follower: list[t.Callable[[], None]] = []
         # A promise not to vote against a heard leader is kept in memory
         # only; counting a start as hearing one keeps it over restarts.
-        self.heard_at = self.options.began_at or self.clocks.monotonic()
+        self.heard_at = self.options.process_started_at or self.clocks.monotonic()
         self.campaign_at = 0.0
         self.favoured: election.PreVoteGrant | None = None
         election.schedule_first_campaign(self)
@@ -293,13 +293,13 @@
                 given=len(body),
                 expected=f"at most {logfile.MAX_ENTRY_BYTES} bytes",
             )
-        if len(self.waiting) >= WAITING_MOST:
+        if len(self.pending_proposals) >= WAITING_MOST:
             raise errors.QueueFullError("proposals waiting", retry_after=1.0)
         entry = self.new_entry(
             wire.tag_of(type(command)), body, self.fleet_time()
         )
         future = asyncio.get_running_loop().create_future()
-        self.waiting[entry.index] = (entry.term, future)
+        self.pending_proposals[entry.index] = (entry.term, future)
         self.metrics.count("keeper.proposed")
         try:
             return await asyncio.wait_for(future, timeout)
@@ -309,7 +309,7 @@
                 retry_after=1.0,
             ) from error
         finally:
-            self.waiting.pop(entry.index, None)
+            self.pending_proposals.pop(entry.index, None)
 
     async def read_barrier(self, timeout: float = 2.0) -> None:
         """Return once the machine holds everything committed before the call.
@@ -326,7 +326,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         self._require_leader()
-        index = max(self.commit_index, self.led_from)
+        index = max(self.commit_index, self.term_start_index)
         while self.applied_index < index:
             await self._wait(self.applied_changed, deadline - loop.time())
             self._require_leader()
@@ -373,7 +373,7 @@
         """Note that everything up to `index` is committed."""
         if index > self.commit_index:
             self.commit_index = index
-            self.committed.set()
+            self.commit_advanced.set()
 
     def add_peer(self, name, address, data_centre) -> replication.Peer:
         """Return the peer `name`, made and dialled if it is new."""
--- a/amaranthring/keepers/dispatch.py
+++ b/amaranthring/keepers/dispatch.py
@@ -35,7 +35,7 @@
 
     def greet(link, message):
         group = _group(groups, message)
-        if not group.options.admits or link.peer.role != KEEPER_ROLE:
+        if not group.options.auto_admit or link.peer.role != KEEPER_ROLE:
             _check_peer(group, link)
         return genesis.on_greet(group, link.peer.name, message)
 
--- a/amaranthring/keepers/election.py
+++ b/amaranthring/keepers/election.py
@@ -72,7 +72,7 @@
         if group.leading:
             # Without this a leader behind a cut would go on taking
             # proposals that nobody can ever commit.
-            heard = max(quorum_acked_at(group), group.led_at)
+            heard = max(quorum_acked_at(group), group.leader_since)
             due = heard + options.election_seconds
             if now > due:
                 roles.step_down(group, "lost its quorum")
@@ -106,7 +106,7 @@
     0.9 s, in which every caller was refused.
     """
     options = group.options
-    if options.began_at is None:
+    if options.process_started_at is None:
         reset_election_timer(group)
         return
     spread = options.election_seconds * FIRST_SHARE
--- a/amaranthring/keepers/genesis.py
+++ b/amaranthring/keepers/genesis.py
@@ -43,7 +43,7 @@
         if (
             not known
             and not group.members.voters
-            and _may_begin(group, replies)
+            and _may_bootstrap(group, replies)
         ):
             await _begin(group, replies)
             return
@@ -58,7 +58,7 @@
     """
     while True:
         await asyncio.sleep(REJOIN_SECONDS)
-        if not group.options.admits or not _settled(group):
+        if not group.options.auto_admit or not _settled(group):
             continue
         if group.leading or election.hears_leader(group):
             continue
@@ -71,15 +71,15 @@
 def _settled(group) -> bool:
     if not group.members.voters:
         return False
-    if not group.options.admits:
+    if not group.options.auto_admit:
         return True
     # A keeper that was taken out while it was down finds its own disk in
     # the old list; it asks to be taken in again until a leader sends to it.
     return group.leading or bool(group.leader_disk)
 
 
-def _may_begin(group, replies) -> bool:
-    if not group.options.may_begin:
+def _may_bootstrap(group, replies) -> bool:
+    if not group.options.may_bootstrap:
         # Others hold the group, or lost it: a disk that came later must not
         # begin an empty one beside them.
         return False
@@ -104,7 +104,7 @@
 
 
 def _meet(group, members: messages.Members) -> None:
-    if not group.options.admits:
+    if not group.options.auto_admit:
         return
     for member in members.voters:
         if member.name != group.keeper.name:
@@ -139,7 +139,7 @@
 
 def on_greet(group, name: str, message: messages.Greet) -> messages.Greeted:
     """Answer keeper `name` with this disk and the group that it knows."""
-    if group.options.admits and message.address:
+    if group.options.auto_admit and message.address:
         group.add_peer(name, message.address, message.data_centre)
     known = group.members if group.members.voters else None
     return messages.Greeted(group.disk_id, known)
--- a/amaranthring/keepers/membership.py
+++ b/amaranthring/keepers/membership.py
@@ -85,7 +85,7 @@
     for peer in group.peers.values():
         known = find(members, peer.disk)
         expected = peer.name in names(members) or (
-            group.options.admits and peer.dialler.link is not None
+            group.options.auto_admit and peer.dialler.link is not None
         )
         if known is None and peer.disk and expected:
             member = messages.Member(
@@ -98,12 +98,12 @@
         for voter in members.voters:
             if voter.name == learner.name:
                 return _without_lost(group, voter)
-        if not group.options.admits:
+        if not group.options.auto_admit:
             return promoted(members, learner.disk)
         step = _take_in(group, learner)
         if step is not None:
             return step
-    return _without_silent_learner(group) if group.options.admits else None
+    return _without_silent_learner(group) if group.options.auto_admit else None
 
 
 def _take_in(group, learner) -> messages.Members | None:
@@ -136,7 +136,7 @@
     if member.disk == group.disk_id:
         return False
     heard = max(
-        election.acked_at(group, member), group.led_at, group.changed_at
+        election.acked_at(group, member), group.leader_since, group.changed_at
     )
     now = group.clocks.monotonic()
     return now - heard > group.options.replace_seconds
@@ -180,7 +180,7 @@
     if not group.has_lease():
         return False
     last_change = group.store.member_history[-1][0]
-    return group.commit_index >= max(last_change, group.led_from)
+    return group.commit_index >= max(last_change, group.term_start_index)
 
 
 async def repair(group) -> None:
--- a/amaranthring/keepers/options.py
+++ b/amaranthring/keepers/options.py
@@ -44,16 +44,16 @@
     kept_entries : int
         Entries kept in memory and on disk behind a snapshot, for followers
         that lag a little.
-    may_begin : bool
+    may_bootstrap : bool
         Whether this keeper may begin a group where it finds none.
-    admits : bool
+    auto_admit : bool
         Whether keepers that nobody named are taken in, and voters that
         stay silent are replaced by them, without an operator.
     replace_seconds : float
         Silence after which a voter is replaced if another disk is ready.
     voters_most : int
-        Voters that a group with `admits` grows to.
-    began_at : float, optional
+        Voters that a group with `auto_admit` grows to.
+    process_started_at : float, optional
         Monotonic seconds at which this process began. Given where the
         process holds a single group for its whole life: what its
         predecessor promised was promised before. Otherwise a group counts
@@ -64,11 +64,11 @@
     election_seconds: float = 0.6
     snapshot_entries: int = 5000
     kept_entries: int = 1000
-    may_begin: bool = True
-    admits: bool = False
+    may_bootstrap: bool = True
+    auto_admit: bool = False
     replace_seconds: float = 2.0
     voters_most: int = 7
-    began_at: float | None = None
+    process_started_at: float | None = None
 
     @property
     def silent_seconds(self) -> float:
--- a/amaranthring/keepers/roles.py
+++ b/amaranthring/keepers/roles.py
@@ -34,7 +34,7 @@
     now = group.clocks.monotonic()
     group.leading = True
     group.leader_disk = group.disk_id
-    group.led_at = now
+    group.leader_since = now
     for peer in group.peers.values():
         peer.reset(group.log.last_index + 1, now)
         peer.disk = peer.disk or membership.disk_of(group.members, peer.name)
@@ -53,7 +53,7 @@
         wire.encode_value(group.members),
         group.log.last_stamp,
     )
-    group.led_from = entry.index
+    group.term_start_index = entry.index
 
 
 def follow(group, term: int, leader_disk: str) -> None:
@@ -102,8 +102,8 @@
     election.reset_election_timer(group)
     group.lease_changed.set()
     group.applied_changed.set()
-    if group.announced:
-        group.announced = False
+    if group.leadership_announced:
+        group.leadership_announced = False
         for callback in group.on_follower:
             callback()
 
@@ -125,7 +125,7 @@
     log.error("keeper.fault group={} fault={}", group.name, error)
     group.metrics.count("keeper.faults")
     step_down(group, "fault")
-    for _, future in group.waiting.values():
+    for _, future in group.pending_proposals.values():
         if not future.done():
             future.set_exception(
                 errors.CommitUnknownError(str(error), retry_after=1.0)
--- a/amaranthring/keepers/status.py
+++ b/amaranthring/keepers/status.py
@@ -50,7 +50,7 @@
     if group.leading:
         match = replication.match_index_of(group, member)
         lag = group.log.last_index - match
-        heard = max(election.acked_at(group, member), group.led_at)
+        heard = max(election.acked_at(group, member), group.leader_since)
         silent = round(max(0.0, group.clocks.monotonic() - heard), 3)
     return messages.MemberStatus(
         name=member.name,
--- a/amaranthring/platform/keeper.py
+++ b/amaranthring/platform/keeper.py
@@ -16,11 +16,11 @@
         address=f"{node.ip}:{node.fleet_port}",
         data_centre=node.data_centre,
         seeds=node.keepers(),
-        may_begin=node.first_start,
+        may_bootstrap=node.first_start,
         folder=node.data_folder,
         announce_seconds=node.beat,
         link_rate=node.link_rate,
-        began_at=clocks.STARTED_AT,
+        process_started_at=clocks.STARTED_AT,
     )
     return plan_keeper.KeeperProcess(
         place,
--- a/amaranthring/registry/keeper.py
+++ b/amaranthring/registry/keeper.py
@@ -48,7 +48,7 @@
         ``host:port`` of its streams; it also names the keeper.
     seeds : list of str
         Addresses of keepers to begin with or to ask to be taken in.
-    may_begin : bool
+    may_bootstrap : bool
         Whether it may begin a group with the seeds.
     folder : str
         For its durable state.
@@ -56,18 +56,18 @@
         How often targets announce themselves.
     link_rate : float
         Bytes a second that this VM's link carries; 0 if not told.
-    began_at : float, optional
+    process_started_at : float, optional
         As in :class:`options.Options`.
     """
 
     address: str
     data_centre: str
     seeds: list[str]
-    may_begin: bool
+    may_bootstrap: bool
     folder: str
     announce_seconds: float
     link_rate: float = 0.0
-    began_at: float | None = None
+    process_started_at: float | None = None
 
 
 class PlanKeeper:
@@ -153,14 +153,14 @@
             election_seconds=ELECTION_SECONDS,
             snapshot_entries=SNAPSHOT_ENTRIES,
             kept_entries=KEPT_ENTRIES,
-            may_begin=self._may_begin(),
-            admits=True,
-            began_at=self.config.began_at,
+            may_bootstrap=self._may_bootstrap(),
+            auto_admit=True,
+            process_started_at=self.config.process_started_at,
         )
 
-    def _may_begin(self) -> bool:
+    def _may_bootstrap(self) -> bool:
         # With more keepers than seeds, the others join what the seeds begin.
-        return self.config.may_begin and self.config.address in self.config.seeds
+        return self.config.may_bootstrap and self.config.address in self.config.seeds
 
     def _everyone(self) -> list[str]:
         return sorted({*self.config.seeds, self.config.address})
--- a/amaranthring/testing/plan_keepers.py
+++ b/amaranthring/testing/plan_keepers.py
@@ -74,8 +74,8 @@
             election_seconds=0.2,
             snapshot_entries=self.snapshot_entries,
             kept_entries=self.kept_entries,
-            may_begin=first and address in self.seeds,
-            admits=True,
+            may_bootstrap=first and address in self.seeds,
+            auto_admit=True,
             replace_seconds=0.5,
         )
         files = disk.FileOps(write=functools.partial(self._write, address))
@@ -112,7 +112,7 @@
     def leader(self) -> keepers.PlanKeeper | None:
         """Return the keeper that leads, if one does."""
         for one in self.running.values():
-            if one.group.has_lease() and one.group.announced:
+            if one.group.has_lease() and one.group.leadership_announced:
                 return one
         return None
 
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -415,7 +415,7 @@
     def group(self, began_at):
         made = mock.Mock()
         made.options = options.Options(
-            election_seconds=0.45, began_at=began_at
+            election_seconds=0.45, process_started_at=began_at
         )
         made.clocks.monotonic.return_value = self.NOW
         made.heard_at = began_at or self.NOW
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -246,7 +246,7 @@
         self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
 
     def address(self):
-        return self.leader.place.address
+        return self.leader.config.address
 
 
 class TestChangesInQuickSuccession(keepers_case.KeepersCase):
@@ -273,7 +273,7 @@
         ).encode()
 
     async def test_heartbeats_do_not_wait_for_changes(self):
-        address = self.leader.place.address
+        address = self.leader.config.address
         follower = next(a for a in self.keepers.running if a != address)
         await self.keepers.put(1, self.document(1), address)
         await asyncio.sleep(0.5)
--- a/tests/test_plan_keepers.py
+++ b/tests/test_plan_keepers.py
@@ -89,7 +89,7 @@
 
     async def fill(self, keeper):
         """Fill the disk of `keeper` until it has noticed."""
-        self.keepers.full.add(keeper.place.address)
+        self.keepers.full.add(keeper.config.address)
         version = self.version = getattr(self, "version", 1) + 1
         await self.keepers.put(version, b"while full")
         await self.until(lambda: keeper.group.fault)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -567,10 +567,10 @@
         await self.write(before)
         after = self.opened()
         after.load()
-        self.assertEqual(["a"], [one.id for one in after.table.current()])
+        self.assertEqual(["a"], [one.id for one in after.table.active()])
         # One that has ended meanwhile does not count for long.
         self.now += 2.3
-        self.assertEqual(["a"], [r.id for r in after.table.silence(4.2)])
+        self.assertEqual(["a"], [r.id for r in after.table.mark_silent(4.2)])
         self.assertTrue(after.table.merge(record("a", 6)))
 
     async def test_target_that_took_an_address_meanwhile_gets_it(self):
