--- a/amaranthring/bench/revisions.py
+++ b/amaranthring/bench/revisions.py
@@ -22,7 +22,7 @@
 from amaranthring.core import parts
 from amaranthring.core import wire
 from amaranthring.keepers import commands
-from amaranthring.keepers import machine as machines
+from amaranthring.keepers import state_machine as machines
 from amaranthring.routers import revision_messages
 from amaranthring.routers import revisions
 from amaranthring.testing import local_fleet
--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -7,7 +7,7 @@
 from amaranthring import errors
 from amaranthring.forwarding import events
 from amaranthring.forwarding import records
-from amaranthring.forwarding import replies
+from amaranthring.forwarding import responses
 from amaranthring.registry import messages
 from amaranthring.targets import pool
 from amaranthring.targets import upstream
@@ -188,7 +188,7 @@
     async def relay_events(
         self,
         cutter: events.EventSplitter,
-        reply: replies.ResponseWriter,
+        reply: responses.ResponseWriter,
         pause: float,
     ) -> None:
         """Pass the events of the answer on to its end.
--- a/amaranthring/forwarding/standing.py
+++ b/amaranthring/forwarding/failures.py
@@ -1,7 +1,7 @@
 """What the outcome of an attempt says of the target's standing here."""
 
 from amaranthring import errors
-from amaranthring.forwarding import placing
+from amaranthring.forwarding import placement
 from amaranthring.forwarding import records
 from amaranthring.registry import messages
 from amaranthring.targets import pool
@@ -13,7 +13,7 @@
 
 
 def record(
-    placer: placing.Placer,
+    placer: placement.Placer,
     connections: pool.Pool,
     passage: records.RequestContext,
     target: messages.TargetRecord,
@@ -36,7 +36,7 @@
 
 
 def record_refusals(
-    placer: placing.Placer, passage: records.RequestContext
+    placer: placement.Placer, passage: records.RequestContext
 ) -> None:
     """Hold refusals against targets, now that another took the request.
 
--- a/amaranthring/forwarding/front.py
+++ b/amaranthring/forwarding/frontend.py
@@ -12,12 +12,14 @@
 from amaranthring.core import connections
 from amaranthring.core import listeners
 from amaranthring.forwarding import records
-from amaranthring.forwarding import replies
+from amaranthring.forwarding import responses
 from amaranthring.routing import plan as plans
 
 log = logbook.Logger(__name__)
 
-Serve = t.Callable[[records.Incoming, replies.ResponseWriter], t.Awaitable[None]]
+Serve = t.Callable[
+    [records.Incoming, responses.ResponseWriter], t.Awaitable[None]
+]
 
 # Bounds of the server itself, above any that a plan may set: the plan's own
 # are checked for each request and answered with their type.
@@ -127,7 +129,9 @@
         self.front = front
         self.server_conn = server_conn
         self.connection = connection
-        self.reply = replies.ResponseWriter(connection, lambda: front.closing)
+        self.reply = responses.ResponseWriter(
+            connection, lambda: front.closing
+        )
         self.incoming: records.Incoming | None = None
         self.fault: errors.AmaranthringError | None = None
         self.body: list[bytes] = []
--- a/amaranthring/forwarding/placing.py
+++ b/amaranthring/forwarding/placement.py
@@ -4,7 +4,7 @@
 import time
 import typing as t
 
-from amaranthring.forwarding import prompts
+from amaranthring.forwarding import prefixes
 from amaranthring.forwarding import records
 from amaranthring.forwarding import views
 from amaranthring.policy import affinity
@@ -72,12 +72,14 @@
         self.data_centres: dict[str, views.DataCentreView] = (
             collections.defaultdict(views.DataCentreView)
         )
-        self.prefixes = prompts.PrefixIndex(clock)
+        self.prefixes = prefixes.PrefixIndex(clock)
         self.views: dict[str, views.TargetView] = collections.defaultdict(
             views.TargetView
         )
 
-    def choose(self, passage: records.RequestContext) -> messages.TargetRecord | None:
+    def choose(
+        self, passage: records.RequestContext
+    ) -> messages.TargetRecord | None:
         """Return the target for the next attempt, or None."""
         now = self.clock()
         able = self._able(passage)
@@ -106,7 +108,9 @@
         if passage.route.with_prompt and parts:
             holders = self._holders(passage)
             for one in candidates:
-                one.uncached_tokens = self.prefixes.uncached_tokens(parts, one.id)
+                one.uncached_tokens = self.prefixes.uncached_tokens(
+                    parts, one.id
+                )
                 copy = self._copy(passage, by_id[one.id], holders)
                 one.copied_tokens = copy.tokens if copy else 0
                 one.pending_tokens = self.views[one.id].waiting
@@ -188,7 +192,9 @@
             record = entry.record
             if record.service != passage.service:
                 continue
-            kept = self.prefixes.copyable_tokens(passage.incoming.parts, record.id)
+            kept = self.prefixes.copyable_tokens(
+                passage.incoming.parts, record.id
+            )
             if not kept or not self._may_copy_from(entry, now):
                 continue
             stays = record.state == messages.State.READY
@@ -238,7 +244,9 @@
             What the target copies of the prompt instead of reading it.
         """
         parts = passage.incoming.parts
-        passage.prefill_tokens = self.prefixes.uncached_tokens(parts, target.id)
+        passage.prefill_tokens = self.prefixes.uncached_tokens(
+            parts, target.id
+        )
         passage.prefill_tokens -= copy.tokens if copy else 0
         self.prefixes.record_sent(parts, target.id)
         view = self.views[target.id]
@@ -321,7 +329,9 @@
         view = self.data_centres.get(target.data_centre)
         return view is not None and view.cut_until > now
 
-    def record_failure(self, target: messages.TargetRecord, reached: bool) -> None:
+    def record_failure(
+        self, target: messages.TargetRecord, reached: bool
+    ) -> None:
         """Note an attempt that the target did not answer.
 
         Parameters
@@ -394,7 +404,9 @@
                 continue
             view = self.views[name]
             if now - view.succeeded_at > TRUSTED_SECONDS:
-                view.avoid_until = max(view.avoid_until, now + PEER_REPORT_SECONDS)
+                view.avoid_until = max(
+                    view.avoid_until, now + PEER_REPORT_SECONDS
+                )
 
     def prune(self) -> None:
         """Drop what was seen of targets that are gone, and what is old."""
--- a/amaranthring/forwarding/prompts.py
+++ b/amaranthring/forwarding/prefixes.py
@@ -68,7 +68,9 @@
         )
         self._told: dict[tuple[str, str], float] = {}
 
-    def uncached_tokens(self, parts: t.Sequence[records.PromptPart], target_id: str) -> int:
+    def uncached_tokens(
+        self, parts: t.Sequence[records.PromptPart], target_id: str
+    ) -> int:
         """Return how many tokens of `parts` the target would have to read.
 
         A part is found only if all parts before it are.
@@ -82,7 +84,9 @@
             left -= part.tokens
         return left
 
-    def copyable_tokens(self, parts: t.Sequence[records.PromptPart], target_id: str) -> int:
+    def copyable_tokens(
+        self, parts: t.Sequence[records.PromptPart], target_id: str
+    ) -> int:
         """Return how many tokens of `parts` others can copy from the target.
 
         A part that it has yet to read cannot be copied.
@@ -108,7 +112,9 @@
             if place is not None:
                 place.read_at = min(place.read_at, now)
 
-    def record_sent(self, parts: t.Sequence[records.PromptPart], target_id: str) -> None:
+    def record_sent(
+        self, parts: t.Sequence[records.PromptPart], target_id: str
+    ) -> None:
         """Note that a request with `parts` goes to a target."""
         now = self.clock()
         for part in parts:
--- a/amaranthring/forwarding/records.py
+++ b/amaranthring/forwarding/records.py
@@ -150,7 +150,9 @@
 
     read_request: t.Callable[..., Incoming]
     request_headers: t.Callable[[Incoming, AttemptInfo], t.Mapping[str, str]]
-    read_response: t.Callable[[int, tornado.httputil.HTTPHeaders], ResponseHead]
+    read_response: t.Callable[
+        [int, tornado.httputil.HTTPHeaders], ResponseHead
+    ]
 
 
 @dataclasses.dataclass
--- a/amaranthring/forwarding/relay.py
+++ b/amaranthring/forwarding/relay.py
@@ -11,14 +11,14 @@
 from amaranthring.core import timeouts
 from amaranthring.forwarding import attempts
 from amaranthring.forwarding import events
-from amaranthring.forwarding import outcomes
-from amaranthring.forwarding import placing
+from amaranthring.forwarding import failures
+from amaranthring.forwarding import placement
 from amaranthring.forwarding import records
-from amaranthring.forwarding import replies
-from amaranthring.forwarding import standing
-from amaranthring.forwarding import starting
+from amaranthring.forwarding import request_log
+from amaranthring.forwarding import responses
+from amaranthring.forwarding import startup
 from amaranthring.policy import budgets
-from amaranthring.policy import patience
+from amaranthring.policy import response_times
 from amaranthring.routing import plan as plans
 from amaranthring.routing import table as route_tables
 from amaranthring.targets import pool
@@ -68,12 +68,12 @@
         dialect: records.Dialect,
         table: t.Callable[[], route_tables.RouteTable | None],
         may_admit: t.Callable[[], bool],
-        placer: placing.Placer,
+        placer: placement.Placer,
         budget: t.Callable[[], budgets.WindowBudget],
         routers: t.Callable[[], int],
         metrics: metrics_module.Metrics,
         connections: pool.Pool | None = None,
-        start: starting.StartupGate | None = None,
+        start: startup.StartupGate | None = None,
     ):
         self.connections = connections or pool.Pool()
         self.dialect = dialect
@@ -82,15 +82,15 @@
         self.placer = placer
         self.routers = routers
         self.metrics = metrics
-        self.note = functools.partial(outcomes.record, metrics)
-        self.startup = start or starting.StartupGate(metrics)
-        self.response_times = patience.ResponseTimes()
+        self.note = functools.partial(request_log.record, metrics)
+        self.startup = start or startup.StartupGate(metrics)
+        self.response_times = response_times.ResponseTimes()
         self.budgets: dict[str, budgets.WindowBudget] = (
             collections.defaultdict(budget)
         )
 
     async def serve(
-        self, incoming: records.Incoming, reply: replies.ResponseWriter
+        self, incoming: records.Incoming, reply: responses.ResponseWriter
     ) -> None:
         """Answer one request.
 
@@ -188,7 +188,7 @@
     # -- attempts ----------------------------------------------------
 
     async def _attempt_all(
-        self, passage: records.RequestContext, reply: replies.ResponseWriter
+        self, passage: records.RequestContext, reply: responses.ResponseWriter
     ) -> None:
         after = passage.incoming.resume_after
         cutter = events.EventSplitter(int(after) if after.isdigit() else None)
@@ -201,7 +201,7 @@
                 return
             except errors.UpstreamError as error:
                 passage.tried.add(target.id)
-                standing.record(
+                failures.record(
                     self.placer, self.connections, passage, target, error
                 )
                 if not self._may_repeat(passage, error):
@@ -245,7 +245,7 @@
                 await self._pass_whole(passage, attempt, reply)
             whole = True
             self.placer.record_success(target)
-            standing.record_refusals(self.placer, passage)
+            failures.record_refusals(self.placer, passage)
             outcome = str(answer.status)
         except errors.TargetUnreachedError:
             outcome = UNREACHED
@@ -269,7 +269,9 @@
         try:
             answer = await attempt.open(self._patience(passage))
         except errors.UpstreamTimeoutError:
-            self.response_times.record_timeout(*asked, time.monotonic() - began)
+            self.response_times.record_timeout(
+                *asked, time.monotonic() - began
+            )
             raise
         self.response_times.record(*asked, time.monotonic() - began)
         return answer
--- a/amaranthring/forwarding/outcomes.py
+++ b/amaranthring/forwarding/request_log.py
@@ -9,7 +9,7 @@
 from amaranthring.core import logs
 from amaranthring.core import metrics as metrics_module
 from amaranthring.forwarding import records
-from amaranthring.forwarding import replies
+from amaranthring.forwarding import responses
 
 log = logbook.Logger(__name__)
 
@@ -18,7 +18,7 @@
     metrics: metrics_module.Metrics,
     incoming: records.Incoming,
     passage: records.RequestContext | None,
-    reply: replies.ResponseWriter,
+    reply: responses.ResponseWriter,
     fault: BaseException | None,
 ) -> None:
     """Log and count how a request ended.
--- a/amaranthring/keeper_parts.py
+++ b/amaranthring/keeper_parts.py
@@ -1,17 +1,17 @@
 """Wiring of a keeper, part of the composition root."""
 
 from amaranthring import settings as settings_module
-from amaranthring.keepers import machine as machines
+from amaranthring.keepers import fleet_service
 from amaranthring.keepers import reconciler
 from amaranthring.keepers import server
-from amaranthring.keepers import service
+from amaranthring.keepers import state_machine as machines
 
 SECONDS_PER_HOUR = 3600.0
 
 
 def make(
     settings: settings_module.Settings,
-) -> tuple[server.Keeper, service.FleetService]:
+) -> tuple[server.Keeper, fleet_service.FleetService]:
     """Return a keeper, and the state of the fleet that it serves.
 
     Raises
@@ -24,7 +24,7 @@
         section.claim_hours * SECONDS_PER_HOUR, section.answer_bytes_most
     )
     keeper = server.Keeper(settings, machine)
-    served = service.FleetService(
+    served = fleet_service.FleetService(
         keeper.group,
         machine,
         keeper.handlers,
--- a/amaranthring/keepers/consensus.py
+++ b/amaranthring/keepers/consensus.py
@@ -15,7 +15,7 @@
 from amaranthring.core import metrics as metrics_module
 from amaranthring.core import pacing
 from amaranthring.core import wire
-from amaranthring.keepers import applying
+from amaranthring.keepers import applier
 from amaranthring.keepers import disk
 from amaranthring.keepers import election
 from amaranthring.keepers import genesis
@@ -150,7 +150,9 @@
         self.on_follower: list[t.Callable[[], None]] = []
         # A promise not to vote against a heard leader is kept in memory
         # only; counting a start as hearing one keeps it over restarts.
-        self.heard_at = self.options.process_started_at or self.clocks.monotonic()
+        self.heard_at = (
+            self.options.process_started_at or self.clocks.monotonic()
+        )
         self.campaign_at = 0.0
         self.favoured: election.PreVoteGrant | None = None
         election.schedule_first_campaign(self)
@@ -188,7 +190,7 @@
         self.receiver = snapshots.Receiver(opened.folder, opened.files)
         self.commit_index = self.applied_index = 0
         if opened.snapshot:
-            applying.restore(self, opened.snapshot)
+            applier.restore(self, opened.snapshot)
             opened.snapshot = None
 
     def resume(self, opened: store.Store) -> None:
@@ -212,8 +214,8 @@
         """Start the tasks of this group."""
         self._start_tasks(
             self.writer.run(),
-            applying.run(self),
-            applying.take_snapshots(self),
+            applier.run(self),
+            applier.take_snapshots(self),
             election.run(self),
             membership.repair(self),
             genesis.join(self),
--- a/amaranthring/keepers/service.py
+++ b/amaranthring/keepers/fleet_service.py
@@ -13,10 +13,10 @@
 from amaranthring.core import links
 from amaranthring.core import logs
 from amaranthring.keepers import commands
-from amaranthring.keepers import initial
-from amaranthring.keepers import machine as machines
+from amaranthring.keepers import initial_config
 from amaranthring.keepers import queries as queries_module
 from amaranthring.keepers import reconciler as reconcilers
+from amaranthring.keepers import state_machine as machines
 
 log = logbook.Logger(__name__)
 
@@ -61,7 +61,7 @@
         )
         self.bootstrap = None
         if initial_file:
-            self.bootstrap = initial.load(initial_file)
+            self.bootstrap = initial_config.load(initial_file)
         self.task: asyncio.Task | None = None
         self.queries.handlers[commands.ReadyTargets] = self._targets_seen
         for kind in (commands.ConfigSince, *self.queries.handlers):
--- a/amaranthring/keepers/ledger.py
+++ b/amaranthring/keepers/ledger.py
@@ -322,7 +322,9 @@
                 return records.Claim(records.ClaimState.UNKNOWN, "")
         return None
 
-    def _find(self, key: bytes) -> tuple[dict[bytes, bytes], ClaimRecord | None]:
+    def _find(
+        self, key: bytes
+    ) -> tuple[dict[bytes, bytes], ClaimRecord | None]:
         for bucket in self.buckets.values():
             data = bucket.get(key)
             if data is not None:
--- a/amaranthring/keepers/log.py
+++ b/amaranthring/keepers/log.py
@@ -51,7 +51,9 @@
     payload: bytes = b""
 
 
-def make_entry(index: int, term: int, stamp: float, tag: str, body: bytes) -> Entry:
+def make_entry(
+    index: int, term: int, stamp: float, tag: str, body: bytes
+) -> Entry:
     """Return a new entry with its payload."""
     payload = msgpack.packb((index, term, stamp, tag, body))
     return Entry(index, term, stamp, tag, body, payload)
@@ -195,7 +197,9 @@
         for path in paths:
             segment, found = _read(path, torn_allowed=path == paths[-1])
             if entries and found and found[0].index != entries[-1].index + 1:
-                raise disk.damage_error(path, "does not follow the file before it")
+                raise disk.damage_error(
+                    path, "does not follow the file before it"
+                )
             entries.extend(found)
             self.segments.append(segment)
         if self.segments:
--- a/amaranthring/keepers/presets.py
+++ b/amaranthring/keepers/presets.py
@@ -107,7 +107,9 @@
                 self._note(stamp, "initial", "preset-put", preset)
         return self.accepted()
 
-    def apply_command(self, stamp: float, command: commands.OperatorCommand) -> t.Any:
+    def apply_command(
+        self, stamp: float, command: commands.OperatorCommand
+    ) -> t.Any:
         """Apply a command of an operator.
 
         Raises
--- a/amaranthring/keepers/queries.py
+++ b/amaranthring/keepers/queries.py
@@ -12,8 +12,8 @@
 from amaranthring import errors
 from amaranthring.core import parts
 from amaranthring.keepers import commands
-from amaranthring.keepers import machine as machines
 from amaranthring.keepers import quarantine
+from amaranthring.keepers import state_machine as machines
 
 WAIT_SECONDS_MOST = 10.0
 ROUTERS_MOST = 5000
@@ -95,7 +95,9 @@
             if not future.done():
                 future.set_result(None)
 
-    def _confirmed(self, message: commands.RouterRevisions) -> commands.StateView:
+    def _confirmed(
+        self, message: commands.RouterRevisions
+    ) -> commands.StateView:
         now = self.clock()
         for name, revision in message.routers.items():
             heard = now - message.ages.get(name, 0.0)
--- a/amaranthring/keepers/replication.py
+++ b/amaranthring/keepers/replication.py
@@ -11,7 +11,7 @@
 from amaranthring import errors
 from amaranthring.core import links
 from amaranthring.core import logs
-from amaranthring.keepers import applying
+from amaranthring.keepers import applier
 from amaranthring.keepers import log as logfile
 from amaranthring.keepers import membership
 from amaranthring.keepers import messages
@@ -286,7 +286,9 @@
     """Raise the commit index to what a quorum of voters has synced."""
     if not group.leading:
         return
-    matches = [match_index_of(group, member) for member in group.members.voters]
+    matches = [
+        match_index_of(group, member) for member in group.members.voters
+    ]
     matches.sort(reverse=True)
     index = matches[membership.quorum(group.members) - 1]
     # An entry of an earlier term may be on a quorum and still be lost to
@@ -455,7 +457,7 @@
             message.data,
         )
         if offset == message.total:
-            await applying.install(group)
+            await applier.install(group)
     except (OSError, errors.StorageError) as error:
         roles.fail_disk(group, error)
         raise group.fault from error
--- a/amaranthring/keepers/snapshots.py
+++ b/amaranthring/keepers/snapshots.py
@@ -48,7 +48,9 @@
     return folder / f"{PREFIX}{index:020d}"
 
 
-def save(folder: pathlib.Path, snapshot: Snapshot, files: disk.FileOps) -> None:
+def save(
+    folder: pathlib.Path, snapshot: Snapshot, files: disk.FileOps
+) -> None:
     """Write `snapshot` durably, then remove older ones."""
     data = disk.with_checksum(wire.encode_value(snapshot))
     path = path_of(folder, snapshot.index)
--- a/amaranthring/keepers/store.py
+++ b/amaranthring/keepers/store.py
@@ -115,7 +115,9 @@
             self._restart_from(snapshot)
             entries = self._after_snapshot(snapshot, entries)
         if entries and entries[0].index != self.log.base_index + 1:
-            raise disk.damage_error(self.folder, "the log's first file is missing")
+            raise disk.damage_error(
+                self.folder, "the log's first file is missing"
+            )
         if not self.segments.segments:
             self._begin_log(snapshot)
         self.log.append(entries)
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -19,11 +19,11 @@
 from amaranthring.core import listeners
 from amaranthring.core import logs
 from amaranthring.core import metrics as metrics_module
-from amaranthring.forwarding import front as fronts
-from amaranthring.forwarding import placing
+from amaranthring.forwarding import frontend as fronts
+from amaranthring.forwarding import placement
 from amaranthring.forwarding import records
 from amaranthring.forwarding import relay as relays
-from amaranthring.forwarding import starting
+from amaranthring.forwarding import startup
 from amaranthring.policy import budgets
 from amaranthring.registry import messages
 from amaranthring.registry import reporting
@@ -114,7 +114,9 @@
         self.subscriber = subscribers.Subscriber(
             identity, keys, self.take_plan
         )
-        self.placer = placing.Placer(self.subscriber.table, place.data_centre)
+        self.placer = placement.Placer(
+            self.subscriber.table, place.data_centre
+        )
         self.reporter = reporting.Reporter(
             self.subscriber.handlers,
             self.subscriber.home_link,
@@ -136,7 +138,7 @@
             lambda: self.subscriber.routers,
             self.metrics,
             pool.Pool(self.kept_most),
-            starting.StartupGate(
+            startup.StartupGate(
                 self.metrics,
                 self.subscriber.first_confirmed,
                 self.subscriber.is_cut_off,
--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -9,8 +9,8 @@
 from amaranthring.core import hashing
 from amaranthring.core import records
 from amaranthring.policy import bounds
-from amaranthring.policy import counts
-from amaranthring.policy import outages
+from amaranthring.policy import breakers
+from amaranthring.policy import leases
 from amaranthring.policy import queues
 
 SIBLING_SECONDS = 3.0
@@ -53,7 +53,7 @@
 class Request:
     """A request as the owner sees it; see the message ``Admit``."""
 
-    key: counts.Key
+    key: leases.Key
     account: str
     priority: int
     chat: str
@@ -82,7 +82,7 @@
         one included, and targets of the cell.
     """
 
-    key: counts.Key
+    key: leases.Key
     target: str
     queued_seconds: float = 0.0
     load: int = 0
@@ -110,10 +110,10 @@
         self.name = name
         self.refreshed_at = now
         self.targets: dict[str, records.Target] = {}
-        self.counts = counts.LeaseTable()
+        self.counts = leases.LeaseTable()
         self.siblings: dict[str, SiblingLoad] = {}
         self.queue = queues.FairQueue()
-        self.breakers = outages.CircuitBreakers()
+        self.breakers = breakers.CircuitBreakers()
         self.bound = 1.25
         self.released = 0.0
         self.released_at = now
@@ -227,7 +227,7 @@
 
     def release(
         self,
-        key: counts.Key,
+        key: leases.Key,
         now: float,
         end: records.End = records.End.DONE,
     ) -> None:
@@ -244,7 +244,9 @@
     def serve(self, now: float) -> None:
         """Grant waiting requests for which there is room, into `placed`."""
         while len(self.queue) and self.has_room(now):
-            found = self.queue.pop(lambda w: self.choose_target(w.ask, now), now)
+            found = self.queue.pop(
+                lambda w: self.choose_target(w.ask, now), now
+            )
             if found is None:
                 break
             waiter, target = found
@@ -253,7 +255,7 @@
             self.granted.append(self._placed(waiter.key, target, waited))
 
     def _placed(
-        self, key: counts.Key, target: str, queued_seconds: float = 0.0
+        self, key: leases.Key, target: str, queued_seconds: float = 0.0
     ) -> Grant:
         load = self.counts.load
         total = sum(load[name] for name in self.targets)
@@ -351,7 +353,7 @@
             if now - sibling.heard < SIBLING_SECONDS
         }
 
-    def _taken(self, key: counts.Key) -> Grant | None:
+    def _taken(self, key: leases.Key) -> Grant | None:
         for placed in self.granted:
             if placed.key == key:
                 self.granted.remove(placed)
@@ -394,6 +396,6 @@
         return math.exp(-(now - self.released_at) / RATE_SECONDS)
 
     def _grant(self, ask: Request, target: str, now: float) -> None:
-        expires = now + counts.LEASE_SECONDS
-        held = counts.Lease(target, expires, ask.suspect)
+        expires = now + leases.LEASE_SECONDS
+        held = leases.Lease(target, expires, ask.suspect)
         self.counts.add(ask.key, held)
--- a/amaranthring/policy/affinity.py
+++ b/amaranthring/policy/affinity.py
@@ -107,7 +107,11 @@
     free = [one for one in candidates if one.load + 1 <= bound]
 
     def cost(one: Candidate) -> tuple[float, int]:
-        reading = (one.uncached_tokens - one.copied_tokens) / 1000 * REQUESTS_PER_1000_TOKENS
+        reading = (
+            (one.uncached_tokens - one.copied_tokens)
+            / 1000
+            * REQUESTS_PER_1000_TOKENS
+        )
         reading += one.copied_tokens / 1000 * REQUESTS_PER_1000_COPIED
         extra = max(0.0, one.load - mean - EVEN_LOAD)
         extra += one.pending_tokens / 1000 * REQUESTS_PER_1000_WAITING
--- a/amaranthring/policy/outages.py
+++ b/amaranthring/policy/breakers.py
@@ -123,7 +123,9 @@
             return most
         return 0 if now < outage.open_until else min(1, most)
 
-    def _close(self, target: str, known: OpenBreaker | None, now: float) -> None:
+    def _close(
+        self, target: str, known: OpenBreaker | None, now: float
+    ) -> None:
         failures = known.failures + 1 if known else 1
         wait = min(FIRST_SECONDS * 2 ** (failures - 1), MOST_SECONDS)
         self.by_target[target] = OpenBreaker(failures, now + wait)
--- a/amaranthring/policy/copies.py
+++ b/amaranthring/policy/copies.py
@@ -90,6 +90,8 @@
 
     others = [one for one in holders if one.id != asked.id]
     found = max(others, key=order, default=None)
-    if found is None or not is_worthwhile(found.cached_tokens - asked.cached_tokens, rate):
+    if found is None or not is_worthwhile(
+        found.cached_tokens - asked.cached_tokens, rate
+    ):
         return None
     return Copy(found.id, found.cached_tokens - asked.cached_tokens)
--- a/amaranthring/policy/patience.py
+++ b/amaranthring/policy/response_times.py
@@ -67,7 +67,9 @@
         """Note that a target began to answer after `seconds`."""
         self._estimate(service, reading).note(seconds)
 
-    def record_timeout(self, service: str, reading: int, seconds: float) -> None:
+    def record_timeout(
+        self, service: str, reading: int, seconds: float
+    ) -> None:
         """Note that an answer was awaited for `seconds` and did not come."""
         self._estimate(service, reading).note(seconds * EXPIRED_FACTOR)
 
--- a/amaranthring/registry/backlogs.py
+++ b/amaranthring/registry/backlogs.py
@@ -53,7 +53,10 @@
     def _take_rank(self, most: int) -> list[list[str]]:
         """Remove and return up to `most` pairs of the highest rank."""
         rank = max(self.updates, default=-1)
-        if self.remaining and self.priority(self.initial[self.remaining - 1][0]) > rank:
+        if (
+            self.remaining
+            and self.priority(self.initial[self.remaining - 1][0]) > rank
+        ):
             return self._take_known(most, rank)
         held = self.updates[rank]
         taken = held[-most:]
--- a/amaranthring/registry/hub.py
+++ b/amaranthring/registry/hub.py
@@ -13,9 +13,9 @@
 from amaranthring.keepers import dispatch
 from amaranthring.keepers import messages as keeper_messages
 from amaranthring.keepers import plans
-from amaranthring.registry import bodies
 from amaranthring.registry import messages
-from amaranthring.registry import news
+from amaranthring.registry import plan_source
+from amaranthring.registry import publisher
 from amaranthring.registry import sharing
 from amaranthring.registry import targets
 
@@ -79,8 +79,8 @@
             pacer,
         )
         self.tasks: list[asyncio.Task] = []
-        self.plan_source = bodies.PlanSource(machine, pacer)
-        self.publisher = news.TargetPublisher(
+        self.plan_source = plan_source.PlanSource(machine, pacer)
+        self.publisher = publisher.TargetPublisher(
             lambda: self.routers, self.table.records, pacer
         )
         self.notified_version = machine.version
@@ -317,7 +317,7 @@
     def _notify(self) -> None:
         self.notice_due = False
         notice = messages.PlanNotice(self.machine.version, self.group.leading)
-        news.broadcast(self.routers, notice)
+        publisher.broadcast(self.routers, notice)
 
     # -- routers -----------------------------------------------------
 
--- a/amaranthring/registry/keeper.py
+++ b/amaranthring/registry/keeper.py
@@ -160,7 +160,10 @@
 
     def _may_bootstrap(self) -> bool:
         # With more keepers than seeds, the others join what the seeds begin.
-        return self.config.may_bootstrap and self.config.address in self.config.seeds
+        return (
+            self.config.may_bootstrap
+            and self.config.address in self.config.seeds
+        )
 
     def _everyone(self) -> list[str]:
         return sorted({*self.config.seeds, self.config.address})
--- a/amaranthring/registry/sharing.py
+++ b/amaranthring/registry/sharing.py
@@ -278,7 +278,9 @@
         One whose disk was wiped knows no place, and the routers that report
         to it would send prompts where they have to be read again.
         """
-        self.keeper_backlogs[dialler] = backlogs.Backlog(self.priority, self._known())
+        self.keeper_backlogs[dialler] = backlogs.Backlog(
+            self.priority, self._known()
+        )
 
     def _own_totals(self) -> Totals:
         totals = Totals()
@@ -320,7 +322,9 @@
     ) -> None:
         places = self._next(self.router_backlogs, link, allowed)
         message = totals.without(report).message(Others, places)
-        message.all_told = link not in self.router_backlogs and self._hears_all()
+        message.all_told = (
+            link not in self.router_backlogs and self._hears_all()
+        )
         send_if_open(link, message)
 
     def _hears_all(self) -> bool:
@@ -344,7 +348,9 @@
     def _room(self) -> int:
         """Return how many pairs may go now to all together."""
         if self.pacer is None:
-            return LOCATIONS_PER_MESSAGE * (len(self.router_backlogs) + len(self.keeper_backlogs))
+            return LOCATIONS_PER_MESSAGE * (
+                len(self.router_backlogs) + len(self.keeper_backlogs)
+            )
         return int(self.pacer.room() / PAIR_BYTES)
 
     def _allowed(self, room: int) -> dict[t.Any, int]:
@@ -396,7 +402,9 @@
         self.sums[link.peer.name] = (self.clock(), sums)
         self.merge_tokens(sums.tokens)
         self._pass_on(sums.places, but=link)
-        lost = [pair for pair in sums.known if tuple(pair) not in self.stored_at]
+        lost = [
+            pair for pair in sums.known if tuple(pair) not in self.stored_at
+        ]
         self._pass_on(lost, but=link)
 
     def _pass_on(self, places: list[list[str]], but: links.Link) -> None:
@@ -422,7 +430,10 @@
             self.stored_at.move_to_end((part_id, target_id))
         while self.stored_at:
             pair, since = next(iter(self.stored_at.items()))
-            if len(self.stored_at) <= MAX_LOCATIONS and now - since < RETENTION_SECONDS:
+            if (
+                len(self.stored_at) <= MAX_LOCATIONS
+                and now - since < RETENTION_SECONDS
+            ):
                 break
             del self.stored_at[pair]
         if len(self.tokens) > MAX_LOCATIONS:
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -28,16 +28,16 @@
 from amaranthring.routers import admission
 from amaranthring.routers import attempts
 from amaranthring.routers import directory
-from amaranthring.routers import explaining
+from amaranthring.routers import explainer
 from amaranthring.routers import limits
 from amaranthring.routers import mesh
-from amaranthring.routers import placing
+from amaranthring.routers import placement
 from amaranthring.routers import readiness
 from amaranthring.routers import regions
 from amaranthring.routers import revisions
-from amaranthring.routers import spread
 from amaranthring.routers import suspicion
 from amaranthring.routers import target_reports
+from amaranthring.routers import target_sync
 from amaranthring.targets import announce
 from amaranthring.targets import table
 
@@ -127,7 +127,9 @@
             os.path.join(folder, REVISION_FILE) if folder else "",
         )
         self.table = table.TargetTable(place, self.config, self.metrics)
-        self.target_sync = spread.TargetSync(self.mesh, self.table, self.metrics)
+        self.target_sync = target_sync.TargetSync(
+            self.mesh, self.table, self.metrics
+        )
         self.readiness = readiness.Readiness(
             self.mesh, self.table, self.target_sync
         )
@@ -166,7 +168,7 @@
         )
         self.revisions.subscribe(lambda _: self.owners.config_changed())
         self.owners.ready = lambda: not self.readiness.missing()
-        self.placer = placing.Placer(
+        self.placer = placement.Placer(
             self.name,
             process.data_centre,
             process.region,
@@ -187,7 +189,7 @@
         self.budget = retries.RetryBudget(
             lambda: self.config().preset.retry_budget, time.monotonic
         )
-        self.explainer = explaining.Explainer(
+        self.explainer = explainer.Explainer(
             self.name, self.mesh, self.decisions
         )
         self.attempts = attempts.Attempts(
--- a/amaranthring/routers/admission.py
+++ b/amaranthring/routers/admission.py
@@ -17,7 +17,7 @@
 from amaranthring.core import metrics as counters
 from amaranthring.policy import admission
 from amaranthring.policy import cells
-from amaranthring.policy import counts
+from amaranthring.policy import leases
 from amaranthring.routers import admission_messages as messages
 
 log = logbook.Logger(__name__)
@@ -402,7 +402,7 @@
             self._drop(waiter.key, cell.queue_full_error())
         cell.evicted.clear()
 
-    def _drop(self, key: counts.Key, error) -> None:
+    def _drop(self, key: leases.Key, error) -> None:
         self._send(key[0], messages.Dropped(key[1], error.to_record()))
 
     def _send(self, router: str, message) -> None:
--- a/amaranthring/routers/directory.py
+++ b/amaranthring/routers/directory.py
@@ -153,7 +153,9 @@
 
     # -- this shard --
 
-    def on_find(self, _link, ask: messages.FindLocations) -> messages.LocationsFound:
+    def on_find(
+        self, _link, ask: messages.FindLocations
+    ) -> messages.LocationsFound:
         """Answer from this shard."""
         targets = self.locations.get(ask.chat, [])
         if targets:
--- a/amaranthring/routers/holdings.py
+++ b/amaranthring/routers/grants.py
@@ -12,7 +12,7 @@
 
 from amaranthring.core import records
 from amaranthring.routers import admission_messages as messages
-from amaranthring.routers import owner_calls
+from amaranthring.routers import owner_client
 
 RENEW_SECONDS = 1.0
 
@@ -55,7 +55,9 @@
         Returns the serial that will be used next.
     """
 
-    def __init__(self, name: str, calls: owner_calls.OwnerClient, next_serial):
+    def __init__(
+        self, name: str, calls: owner_client.OwnerClient, next_serial
+    ):
         self.name = name
         self.calls = calls
         self.next_serial = next_serial
@@ -147,7 +149,9 @@
         forced = pointed or asked == [followed]
         self.renew_cell(message.cell, forced)
 
-    def on_grant_report_request(self, _link, message: messages.GrantReportRequest) -> None:
+    def on_grant_report_request(
+        self, _link, message: messages.GrantReportRequest
+    ) -> None:
         """Tell a deputy what is held, and stay with the owner."""
         cell = message.cell
         here = {s: h for s, h in self.by_serial.items() if h.cell == cell}
@@ -157,7 +161,9 @@
             told.partial = True
             self.calls.mesh.send(message.deputy, told)
 
-    def _told(self, cell: str, here: dict[int, HeldGrant]) -> messages.GrantReport:
+    def _told(
+        self, cell: str, here: dict[int, HeldGrant]
+    ) -> messages.GrantReport:
         told = messages.GrantReport(cell, self.name, self.next_serial(), {})
         for serial, holding in here.items():
             self._note(told, serial, holding)
--- a/amaranthring/routers/peers.py
+++ b/amaranthring/routers/peers.py
@@ -64,4 +64,7 @@
     @property
     def is_live(self) -> bool:
         """Return whether it is linked and did not say that it goes."""
-        return self.link is not None and self.leaving_incarnation != self.incarnation
+        return (
+            self.link is not None
+            and self.leaving_incarnation != self.incarnation
+        )
--- a/amaranthring/routers/placing.py
+++ b/amaranthring/routers/placement.py
@@ -18,8 +18,8 @@
 from amaranthring.policy import cells
 from amaranthring.policy import estimates
 from amaranthring.routers import admission_messages as messages
-from amaranthring.routers import holdings
-from amaranthring.routers import owner_calls
+from amaranthring.routers import grants
+from amaranthring.routers import owner_client
 
 DESCRIBE_SECONDS = 0.4
 ELSEWHERE_MOST = 3
@@ -105,10 +105,10 @@
         # Grows over restarts, so that an owner never takes a grant of this
         # process for one of its predecessor.
         self.serial = int(time.time() * SERIAL_PER_SECOND)
-        self.calls = owner_calls.OwnerClient(
+        self.calls = owner_client.OwnerClient(
             name, data_centre, table, mesh, self.metrics, clock
         )
-        self.held = holdings.HeldGrants(
+        self.held = grants.HeldGrants(
             name, self.calls, lambda: self.serial + 1
         )
         self.groups: dict[tuple, tuple[float, dict[str, list]]] = {}
@@ -353,7 +353,7 @@
             import_from=self._import_from(search, target),
             cell=cell,
         )
-        held = holdings.HeldGrant(
+        held = grants.HeldGrant(
             cell, owner, grant, search.request, search.suspect
         )
         self.held.add(serial, held)
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -279,7 +279,9 @@
         return found
 
     async def _compare_with(self, name: str) -> None:
-        ours = revision_messages.RunningRevision(self.name, self.parts.revision)
+        ours = revision_messages.RunningRevision(
+            self.name, self.parts.revision
+        )
         theirs = await self.mesh.call(name, ours, PULL_SECONDS)
         if theirs.revision > self.parts.revision:
             self._pull(name, self.parts.revision)
@@ -289,7 +291,9 @@
             self.heard[message.router] = (message.revision, time.monotonic())
         if message.revision > self.parts.revision:
             self._pull(message.router, self.parts.revision)
-        return revision_messages.RunningRevision(self.name, self.parts.revision)
+        return revision_messages.RunningRevision(
+            self.name, self.parts.revision
+        )
 
     def _on_config_since(self, _link, message):
         return self.parts.since(message.revision)
--- a/amaranthring/routers/suspicion.py
+++ b/amaranthring/routers/suspicion.py
@@ -216,7 +216,9 @@
             found.extend(shards.holders_of(message.key))
         return found
 
-    async def _report(self, holder: str, message: messages.TargetCrashed) -> bool:
+    async def _report(
+        self, holder: str, message: messages.TargetCrashed
+    ) -> bool:
         try:
             answer = await self.mesh.call(holder, message, REPORT_SECONDS)
         except errors.AmaranthringError:
--- a/amaranthring/routers/spread.py
+++ b/amaranthring/routers/target_sync.py
@@ -23,9 +23,9 @@
 from amaranthring.core import records
 from amaranthring.core import repeating
 from amaranthring.routers import lateness
-from amaranthring.routers import member_messages as messages
 from amaranthring.routers import mesh as mesh_module
 from amaranthring.routers import peers
+from amaranthring.routers import target_sync_messages as messages
 from amaranthring.targets import entries
 from amaranthring.targets import table as table_module
 
@@ -153,7 +153,9 @@
     # -- sending --
 
     def _batch(self, now: float) -> messages.Batch:
-        beats = [self._beat(name, now) for name in sorted(self.table.heard_directly)]
+        beats = [
+            self._beat(name, now) for name in sorted(self.table.heard_directly)
+        ]
         self.table.heard_directly.clear()
         records_ = self._records(self._repeat, now)
         self._repeat = {
@@ -262,7 +264,9 @@
 
     def _send_digest(self, place: str, now: float) -> None:
         known = self.mesh.peers
-        names = [n for n in self.remote_links() if known[n].data_centre == place]
+        names = [
+            n for n in self.remote_links() if known[n].data_centre == place
+        ]
         if not names:
             return
         here = self.mesh.data_centre
--- a/amaranthring/targets/announce.py
+++ b/amaranthring/targets/announce.py
@@ -11,7 +11,7 @@
 
 from amaranthring import errors
 from amaranthring.core import metrics as metrics_module
-from amaranthring.targets import conventions
+from amaranthring.targets import protocol
 from amaranthring.targets import table as table_module
 
 
@@ -29,9 +29,9 @@
     def post(self):
         """Check, decode and act; answer with the lease or a typed error."""
         try:
-            header = self.request.headers.get(conventions.KEY_HEADER, "")
-            conventions.verify(self.keys, header, self.request.body)
-            self.act(conventions.decode(self.model, self.request.body))
+            header = self.request.headers.get(protocol.KEY_HEADER, "")
+            protocol.verify(self.keys, header, self.request.body)
+            self.act(protocol.decode(self.model, self.request.body))
         except errors.AmaranthringError as error:
             self.refuse(error)
             return
@@ -78,10 +78,10 @@
         table.leave(body.name, body.incarnation, body.sequence)
 
     acts = {
-        "announce": (conventions.Announcement, announce),
-        "renew": (conventions.Renewal, renew),
-        "report": (conventions.LoadReport, report),
-        "leave": (conventions.Renewal, leave),
+        "announce": (protocol.Announcement, announce),
+        "renew": (protocol.Renewal, renew),
+        "report": (protocol.LoadReport, report),
+        "leave": (protocol.Renewal, leave),
     }
     return [
         (
--- a/amaranthring/targets/entries.py
+++ b/amaranthring/targets/entries.py
@@ -6,7 +6,7 @@
 from amaranthring.core import hashing
 from amaranthring.core import records
 from amaranthring.core import wire
-from amaranthring.policy import flapping
+from amaranthring.policy import flap_damping
 
 RENEWED_SECONDS = 0.5
 
@@ -101,8 +101,8 @@
     ready_at: float = 0.0
     last_sequence: int = 0
     heard_here_at: float = 0.0
-    history: flapping.History = dataclasses.field(
-        default_factory=flapping.History
+    history: flap_damping.History = dataclasses.field(
+        default_factory=flap_damping.History
     )
     report: records.Report | None = None
 
--- a/amaranthring/targets/pool.py
+++ b/amaranthring/targets/pool.py
@@ -66,7 +66,9 @@
     ):
         self.max_idle = most
         self.clock = clock
-        self.idle: dict[str, list[IdleConnection]] = collections.defaultdict(list)
+        self.idle: dict[str, list[IdleConnection]] = collections.defaultdict(
+            list
+        )
 
     async def acquire(self, name: str, idle_most: float):
         """Return a kept connection to target `name`, or None.
--- a/amaranthring/targets/table.py
+++ b/amaranthring/targets/table.py
@@ -27,7 +27,7 @@
 from amaranthring.core import pauses
 from amaranthring.core import records
 from amaranthring.core import repeating
-from amaranthring.policy import flapping
+from amaranthring.policy import flap_damping
 from amaranthring.targets import claims
 from amaranthring.targets import entries
 
@@ -470,14 +470,18 @@
             if not old.lost:
                 self._departed(old, now)
             entry.history = old.history
-            entry.ready_at = now + flapping.readmission_delay(entry.history, now)
+            entry.ready_at = now + flap_damping.readmission_delay(
+                entry.history, now
+            )
         if record.leaving:
             entry.left_at = heard
         # A record whose evidence is already old comes from another router's
         # memory of a lost target: it is kept as a tombstone only.
         entry.lost = self._ran_out(entry, now)
         self.entries[name] = entry
-        self.by_data_centre.setdefault(record.target.data_centre, {})[name] = entry
+        self.by_data_centre.setdefault(record.target.data_centre, {})[name] = (
+            entry
+        )
         self.by_key[entries.target_key(record.target)] = entry
         self._toggle(entry)
         incarnation = record.target.incarnation
@@ -511,7 +515,9 @@
         if entry.lost and not self._ran_out(entry, now):
             entry.lost = False
             self._toggle(entry)
-            entry.ready_at = now + flapping.readmission_delay(entry.history, now)
+            entry.ready_at = now + flap_damping.readmission_delay(
+                entry.history, now
+            )
             self.metrics.count("targets.returned")
             logs.event(log, "target.returned", name=entry.target.name)
             self._tell(entry.target.name)
@@ -526,7 +532,9 @@
 
     def _departed(self, entry: entries.Entry, now: float) -> None:
         orderly = entry.version.leaving
-        entry.history = flapping.record_departure(entry.history, now, orderly)
+        entry.history = flap_damping.record_departure(
+            entry.history, now, orderly
+        )
         future = self._lost.pop(entry.target.name, None)
         if future is not None and not future.done():
             future.set_result(entry.target.name)
--- a/amaranthring/targets/upstream.py
+++ b/amaranthring/targets/upstream.py
@@ -20,7 +20,7 @@
 from amaranthring import errors
 from amaranthring.core import records
 from amaranthring.core import timeouts
-from amaranthring.targets import chunks
+from amaranthring.targets import http_body
 
 READ_BYTES = 64 * 1024
 CONNECT_SECONDS = 1.0
@@ -97,7 +97,7 @@
         self.writer: asyncio.StreamWriter | None = None
         self.call: Call | None = None
         self.abort_error: errors.AmaranthringError | None = None
-        self.body: chunks.Decoder | None = None
+        self.body: http_body.Decoder | None = None
         self.paused = False
         self._allowed = connect_seconds
         self.progress_at = time.monotonic()
@@ -142,7 +142,12 @@
         """
         body = self.body
         closing = self.headers.get("Connection", "").lower()
-        if body is None or not body.ended or not body.clean or self.abort_error:
+        if (
+            body is None
+            or not body.ended
+            or not body.clean
+            or self.abort_error
+        ):
             return None
         # An answer can come before the target has read the whole request;
         # what is still to be written belongs to that one.
@@ -260,14 +265,19 @@
                 line, _, rest = text.partition("\r\n")
                 start = tornado.httputil.parse_response_start_line(line)
                 headers = tornado.httputil.HTTPHeaders.parse(rest)
-            except (*CONNECTION_ERRORS, tornado.httputil.HTTPInputError) as error:
+            except (
+                *CONNECTION_ERRORS,
+                tornado.httputil.HTTPInputError,
+            ) as error:
                 raise self._broken(error) from error
             if start.code >= 200:
                 break
         else:
             raise self._broken()
         self.status, self.headers = start.code, headers
-        self.body = chunks.decoder_for(headers, start.code, self.call.method)
+        self.body = http_body.decoder_for(
+            headers, start.code, self.call.method
+        )
 
     async def skip_body(self, most: int) -> None:
         """Pass over an answer to an earlier call, and nothing behind it.
--- a/amaranthring/testing/announcing.py
+++ b/amaranthring/testing/announcing.py
@@ -14,7 +14,7 @@
 import tornado.httpclient
 
 from amaranthring.core import records
-from amaranthring.targets import conventions
+from amaranthring.targets import protocol
 
 FIRST_RENEW_SECONDS = 0.5
 TRY_SECONDS = 1.0
@@ -72,9 +72,7 @@
         body = json.dumps(record).encode()
         headers = {
             "Content-Type": "application/json",
-            conventions.KEY_HEADER: conventions.sign(
-                self.key_id, self.key, body
-            ),
+            protocol.KEY_HEADER: protocol.sign(self.key_id, self.key, body),
         }
         status = 599
         for _ in range(len(self.routers)):
--- a/amaranthring/testing/assembled.py
+++ b/amaranthring/testing/assembled.py
@@ -8,7 +8,7 @@
 from amaranthring.routers import admission
 from amaranthring.routers import directory
 from amaranthring.routers import limits
-from amaranthring.routers import placing
+from amaranthring.routers import placement
 from amaranthring.routers import regions
 from amaranthring.routers import suspicion
 from amaranthring.testing import routers as fakes
@@ -34,7 +34,7 @@
     table: fakes.Table
     owners: admission.Controller
     directory: directory.Directory
-    placer: placing.Placer
+    placer: placement.Placer
     suspicion: suspicion.CrashTracker
     limits: limits.AccountLimits
 
@@ -102,7 +102,7 @@
             lambda: self.configured,
             clock=self.clock,
         )
-        placer = placing.Placer(
+        placer = placement.Placer(
             name,
             mesh.data_centre_of(name),
             "north",
--- a/amaranthring/testing/members.py
+++ b/amaranthring/testing/members.py
@@ -18,7 +18,7 @@
 from amaranthring.core import metrics
 from amaranthring.core import records
 from amaranthring.routers import mesh
-from amaranthring.routers import spread
+from amaranthring.routers import target_sync
 from amaranthring.targets import table
 from amaranthring.testing import cuts
 
@@ -66,7 +66,9 @@
             identity, peers, KEYS, self.handlers, self.metrics
         )
         self.table = table.TargetTable(peer.data_centre, config, self.metrics)
-        self.target_sync = spread.TargetSync(self.mesh, self.table, self.metrics)
+        self.target_sync = target_sync.TargetSync(
+            self.mesh, self.table, self.metrics
+        )
         self.server = links.LinkServer(
             identity,
             KEYS,
--- a/amaranthring/testing/scripted.py
+++ b/amaranthring/testing/scripted.py
@@ -16,15 +16,15 @@
 from amaranthring import errors
 from amaranthring import routing
 from amaranthring.core import metrics
-from amaranthring.forwarding import front as fronts
-from amaranthring.forwarding import placing
+from amaranthring.forwarding import frontend as fronts
+from amaranthring.forwarding import placement
 from amaranthring.forwarding import records
 from amaranthring.forwarding import relay as relays
-from amaranthring.forwarding import starting
+from amaranthring.forwarding import startup
 from amaranthring.policy import budgets
 from amaranthring.registry import messages
 from amaranthring.registry import targets
-from amaranthring.targets import chunks
+from amaranthring.targets import http_body
 
 ID = "Test-Id"
 PATIENCE = "Test-Patience"
@@ -324,9 +324,11 @@
         self.first_plan.set()
         self.table: routing.RouteTable | None = routing.RouteTable(plan)
         self.targets = targets.TargetTable(time.monotonic, 0.0)
-        self.placer = placing.Placer(self.targets, "here")
+        self.placer = placement.Placer(self.targets, "here")
         counters = metrics.Metrics()
-        start = starting.StartupGate(counters, self.first_plan, lambda: self.cut_off)
+        start = startup.StartupGate(
+            counters, self.first_plan, lambda: self.cut_off
+        )
         self.relay = relays.Relay(
             DIALECT,
             lambda: self.table,
@@ -400,7 +402,7 @@
     line, _, rest = data.partition("\r\n")
     status = tornado.httputil.parse_response_start_line(line).code
     headers = tornado.httputil.HTTPHeaders.parse(rest)
-    decoder = chunks.decoder_for(headers, status, method)
+    decoder = http_body.decoder_for(headers, status, method)
     parts = []
     try:
         while not decoder.ended and (more := await reader.read(65536)):
--- a/amaranthring/testing/state.py
+++ b/amaranthring/testing/state.py
@@ -12,8 +12,8 @@
 from amaranthring.core import metrics
 from amaranthring.core import wire
 from amaranthring.keepers import commands
-from amaranthring.keepers import machine as machines
 from amaranthring.keepers import queries
+from amaranthring.keepers import state_machine as machines
 from amaranthring.routers import revisions
 
 
--- a/tests/test_bench_retries.py
+++ b/tests/test_bench_retries.py
@@ -4,7 +4,7 @@
 
 from amaranthring.bench import fairness
 from amaranthring.bench import retries
-from amaranthring.policy import outages
+from amaranthring.policy import breakers
 
 
 class TestRetries(unittest.TestCase):
@@ -26,7 +26,7 @@
         # One account's malformed requests fail on every engine; believing
         # it of every engine would refuse all other accounts.
         names = [f"e{number}" for number in range(4)]
-        seen = outages.CircuitBreakers()
+        seen = breakers.CircuitBreakers()
         for turn in range(20):
             for name in names:
                 seen.record_error(name, names, turn / 10)
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -5,7 +5,7 @@
 from amaranthring import errors
 from amaranthring.core import records
 from amaranthring.policy import admission
-from amaranthring.policy import counts
+from amaranthring.policy import leases
 from amaranthring.testing import routers as fakes
 
 
@@ -135,8 +135,8 @@
         # A router froze; what it held kept targets busy for ever.
         self.fill()
         self.ask(router="alive")
-        self.cell.expire(counts.LEASE_SECONDS)
-        self.cell.serve(counts.LEASE_SECONDS)
+        self.cell.expire(leases.LEASE_SECONDS)
+        self.cell.serve(leases.LEASE_SECONDS)
         self.assertEqual(len(self.cell.granted), 1)
 
     def test_unreachable_target_is_no_part_of_the_mean(self):
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -21,7 +21,7 @@
         for one in (self.group, self.other):
             # Only the campaign of the test.
             one.campaign_at = float("inf")
-        await self.keepers.stop(leader.place.address)
+        await self.keepers.stop(leader.config.address)
 
     async def test_who_voted_meanwhile_does_not_campaign(self):
         """Two keepers ask for pre-votes at once, and both may campaign.
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from amaranthring.policy import flapping
+from amaranthring.policy import flap_damping
 from amaranthring.routers import lateness
 
 
@@ -11,27 +11,35 @@
     """Waits grow with each return and decay with time."""
 
     def test_each_return_waits_longer_up_to_the_bound(self):
-        history = flapping.History()
+        history = flap_damping.History()
         waits = []
         for number in range(12):
-            history = flapping.record_departure(history, float(number), False)
-            waits.append(flapping.readmission_delay(history, float(number)))
+            history = flap_damping.record_departure(
+                history, float(number), False
+            )
+            waits.append(
+                flap_damping.readmission_delay(history, float(number))
+            )
         self.assertEqual(waits[0], 0.0)
         self.assertGreater(waits[1], 0.0)
         self.assertEqual(waits, sorted(waits))
-        self.assertEqual(waits[-1], flapping.LONGEST_WAIT_SECONDS)
+        self.assertEqual(waits[-1], flap_damping.LONGEST_WAIT_SECONDS)
 
     def test_a_quiet_time_clears_it(self):
-        history = flapping.History()
+        history = flap_damping.History()
         for number in range(5):
-            history = flapping.record_departure(history, float(number), False)
-        later = 5.0 + 4 * flapping.HALF_LIFE_SECONDS
-        self.assertEqual(flapping.readmission_delay(history, later), 0.0)
+            history = flap_damping.record_departure(
+                history, float(number), False
+            )
+        later = 5.0 + 4 * flap_damping.HALF_LIFE_SECONDS
+        self.assertEqual(flap_damping.readmission_delay(history, later), 0.0)
 
     def test_orderly_departures_count_half(self):
-        history = flapping.record_departure(flapping.History(), 0.0, True)
-        history = flapping.record_departure(history, 0.0, True)
-        self.assertEqual(flapping.readmission_delay(history, 0.0), 0.0)
+        history = flap_damping.record_departure(
+            flap_damping.History(), 0.0, True
+        )
+        history = flap_damping.record_departure(history, 0.0, True)
+        self.assertEqual(flap_damping.readmission_delay(history, 0.0), 0.0)
 
 
 class TestLateness(unittest.TestCase):
@@ -45,4 +53,6 @@
             sent = 1e6 + second * 1.0001
             late = known.measure(sent, second + delay)
             self.assertLess(late, 0.01)
-        self.assertAlmostEqual(known.measure(1e6 + 99.0, 107.0), 8.0, delta=0.1)
+        self.assertAlmostEqual(
+            known.measure(1e6 + 99.0, 107.0), 8.0, delta=0.1
+        )
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -8,7 +8,7 @@
 from amaranthring import errors
 from amaranthring import routing
 from amaranthring.forwarding import records
-from amaranthring.forwarding import starting
+from amaranthring.forwarding import startup
 from amaranthring.testing import scripted
 
 SAFE = routing.Route(
@@ -141,7 +141,7 @@
         to itself. They were answered 2.1 s later, by the other four.
         """
         await self.begin(scripted.whole())
-        self.router.relay.startup.started_at -= starting.START_SECONDS
+        self.router.relay.startup.started_at -= startup.START_SECONDS
         self.router.fresh = False
         got = await self.ask("/e/x", Test_Key="key-1")
         self.assertEqual("2", got.headers["Retry-After"])
@@ -206,7 +206,7 @@
 
     async def test_nobody_waits_once_the_start_is_over(self):
         await self.begin_without_plan()
-        self.router.relay.startup.started_at -= starting.START_SECONDS
+        self.router.relay.startup.started_at -= startup.START_SECONDS
         got = await self.ask("/d/x", "POST", Test_Patience="10")
         self.assertEqual(503, got.status)
         self.assertLess(got.seconds, 0.2)
--- a/tests/test_initial.py
+++ b/tests/test_initial.py
@@ -5,7 +5,7 @@
 import unittest
 
 from amaranthring import errors
-from amaranthring.keepers import initial
+from amaranthring.keepers import initial_config
 
 INI = """
 [fleet]
@@ -30,7 +30,7 @@
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "initial"
             path.write_text(text)
-            return initial.load(str(path))
+            return initial_config.load(str(path))
 
     def test_ini(self):
         made = self.load(INI % ("ab" * 32))
@@ -45,7 +45,7 @@
     def test_example_of_the_fleet(self):
         root = pathlib.Path(__file__).resolve().parent.parent
         path = root / "examples" / "fleet" / "initial.json"
-        made = initial.load(str(path))
+        made = initial_config.load(str(path))
         self.assertEqual(made.in_force, "ordinary")
 
     def test_faults_are_told_with_the_file(self):
@@ -63,4 +63,4 @@
             self.assertIn(told, str(caught.exception))
             self.assertIn("/initial", str(caught.exception))
         with self.assertRaises(errors.SettingsError):
-            initial.load("/none/such")
+            initial_config.load("/none/such")
--- a/tests/test_keeper_dispatch.py
+++ b/tests/test_keeper_dispatch.py
@@ -173,7 +173,9 @@
         first = await dialler.call(self.vote(), 5)
         self.assertTrue(first.granted)
         path = self.group.store.folder / disk.HARD_STATE_FILE
-        saved = wire.decode_value(disk.verify_checksum(path.read_bytes(), path))
+        saved = wire.decode_value(
+            disk.verify_checksum(path.read_bytes(), path)
+        )
         self.assertEqual((saved["term"], saved["vote"]), (9, "d2"))
         other = await dialler.call(self.vote(disk="d3"), 5)
         self.assertFalse(other.granted)
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -13,11 +13,11 @@
 from amaranthring.core import metrics
 from amaranthring.core import pacing
 from amaranthring.keepers import plans
-from amaranthring.registry import bodies
 from amaranthring.registry import fetching
 from amaranthring.registry import hub as hubs
 from amaranthring.registry import keeper as keepers
 from amaranthring.registry import messages
+from amaranthring.registry import plan_source
 from amaranthring.registry import sharing
 from amaranthring.testing import plan_keepers
 from tests import keepers_case
@@ -303,7 +303,7 @@
         machine.apply(1, 0.0, plans.PutPlan(7, plans.compress(b"plan")))
         sent = collections.Counter()
         pacer = pacing.Pacer(sent, time.monotonic, LINK_RATE)
-        made = bodies.PlanSource(machine, pacer)
+        made = plan_source.PlanSource(machine, pacer)
         router, other = object(), object()
         sent["others"] += int(LINK_RATE * 0.15)
         waiting = [
--- a/tests/test_keeper_store.py
+++ b/tests/test_keeper_store.py
@@ -19,7 +19,9 @@
 
 
 def entries(begin, end, term=1):
-    return [log.make_entry(i, term, 0.0, "x", b"body") for i in range(begin, end)]
+    return [
+        log.make_entry(i, term, 0.0, "x", b"body") for i in range(begin, end)
+    ]
 
 
 class FolderCase(unittest.TestCase):
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -7,7 +7,7 @@
 from amaranthring.core import records
 from amaranthring.keepers import commands
 from amaranthring.keepers import ledger
-from amaranthring.keepers import machine
+from amaranthring.keepers import state_machine
 from amaranthring.testing import state
 
 STATES = records.ClaimState
@@ -19,7 +19,7 @@
     """One account's keys, through snapshots."""
 
     def setUp(self):
-        self.machine = machine.StateMachine()
+        self.machine = state_machine.StateMachine()
         self.stamp = 10_000.0
 
     def apply(self, command):
@@ -37,7 +37,7 @@
 
     def restart(self):
         data = self.machine.snapshot()
-        self.machine = machine.StateMachine()
+        self.machine = state_machine.StateMachine()
         self.machine.restore(data)
 
     def test_second_attempt_is_told_the_state_through_every_step(self):
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -8,7 +8,7 @@
 from amaranthring.core import fleet
 from amaranthring.core import parts
 from amaranthring.keepers import commands
-from amaranthring.keepers import machine
+from amaranthring.keepers import state_machine
 from amaranthring.testing import state
 
 
@@ -24,7 +24,7 @@
     """Operators' commands."""
 
     def setUp(self):
-        self.machine = machine.StateMachine()
+        self.machine = state_machine.StateMachine()
         self.stamp = 1000.0
         self.apply(state.bootstrap())
 
@@ -39,7 +39,7 @@
 
     def restart(self):
         data = self.machine.snapshot()
-        self.machine = machine.StateMachine()
+        self.machine = state_machine.StateMachine()
         self.machine.restore(data)
 
     def in_force(self):
@@ -88,17 +88,17 @@
         # The answer is gone after a day. The resend still names the
         # revision that its first copy was sent under, so it conflicts.
         self.switch("peak", "command-1", 1)
-        self.stamp += machine.ANSWER_RETENTION_SECONDS
+        self.stamp += state_machine.ANSWER_RETENTION_SECONDS
         self.switch("ordinary", "command-2", 2)
         self.assertNotIn("command-1", self.machine.answers)
         with self.assertRaises(errors.RevisionConflictError):
             self.switch("peak", "command-1", 1)
 
     def test_answers_kept_are_bounded(self):
-        for number in range(machine.MAX_ANSWERS + 5):
+        for number in range(state_machine.MAX_ANSWERS + 5):
             name = "peak" if number % 2 else "ordinary"
             self.switch(name, f"command-{number}", number + 1)
-        self.assertEqual(len(self.machine.answers), machine.MAX_ANSWERS)
+        self.assertEqual(len(self.machine.answers), state_machine.MAX_ANSWERS)
 
     def test_clock_set_back_does_not_set_the_state_back(self):
         self.machine.apply(0, 5.0, commands.AddQuarantine("f", 60.0))
@@ -202,7 +202,7 @@
     """Deltas between two holders of the configuration."""
 
     def setUp(self):
-        self.machine = machine.StateMachine()
+        self.machine = state_machine.StateMachine()
         self.machine.apply(1, 1.0, state.bootstrap(20, True))
         self.held = parts.Parts()
         self.held.apply(state.copied(self.machine.config_since(0)))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,8 +4,8 @@
 import unittest
 
 from amaranthring import errors
-from amaranthring.routers import member_messages
 from amaranthring.routers import peers
+from amaranthring.routers import target_sync_messages
 from amaranthring.targets import table
 from amaranthring.testing import members
 
@@ -95,7 +95,10 @@
         broadcast = mesh.broadcast
 
         def lossy(message):
-            if isinstance(message, member_messages.Batch) and message.records:
+            if (
+                isinstance(message, target_sync_messages.Batch)
+                and message.records
+            ):
                 return 0
             return broadcast(message)
 
@@ -218,7 +221,7 @@
         await members.until(lambda: "r1" not in self.all[0].mesh.live())
 
     async def test_calls_to_itself_and_to_strangers(self):
-        pull = member_messages.Pull("dc1", [])
+        pull = target_sync_messages.Pull("dc1", [])
         answer = await self.all[0].mesh.call("r0", pull, 1)
         self.assertEqual(answer.routers, ["r0", "r1", "r2"])
         with self.assertRaises(errors.NotFoundError):
@@ -287,12 +290,12 @@
         await self.until_eligible(["e2"])
         first = self.all[int(self.all[0].mesh.ordered_relays("dc2")[0][1:])]
         handlers = first.mesh.handlers.by_class
-        handlers[member_messages.Digest] = lambda link, digest: None
+        handlers[target_sync_messages.Digest] = lambda link, digest: None
         await asyncio.sleep(3.0)
         await self.until_eligible(["e2"])
 
     async def test_call_across_dials_where_no_link_is(self):
-        pull = member_messages.Pull("dc2", [])
+        pull = target_sync_messages.Pull("dc2", [])
         for name in ("r3", "r4", "r5"):
             answer = await self.all[0].mesh.call(name, pull, 5)
             self.assertEqual(answer.routers, ["r3", "r4", "r5"])
@@ -307,7 +310,7 @@
         there = self.all[3].mesh.ordered_relays("dc1")
         one = next(m for m in self.all[:3] if m.name not in here)
         other = next(m for m in self.all[3:] if m.name not in there)
-        answer = member_messages.Digest("dc1", 0, 0, 0, [], False)
+        answer = target_sync_messages.Digest("dc1", 0, 0, 0, [], False)
         await members.until(lambda: one.mesh.send(other.name, answer))
         await members.until(lambda: other.mesh.peers[one.name].link)
         await asyncio.sleep(0.2)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -14,10 +14,10 @@
 from amaranthring.core import fleet
 from amaranthring.core import records
 from amaranthring.keepers import commands
-from amaranthring.keepers import machine
 from amaranthring.keepers import orders
 from amaranthring.keepers import planner
 from amaranthring.keepers import reconciler
+from amaranthring.keepers import state_machine
 from amaranthring.targets import orders as target_orders
 from amaranthring.testing import state
 
@@ -98,7 +98,7 @@
     """The log's side: numbers, weight store, tries."""
 
     def setUp(self):
-        self.machine = machine.StateMachine()
+        self.machine = state_machine.StateMachine()
         self.stamp = 1000.0
 
     def apply(self, command):
@@ -116,7 +116,7 @@
     def test_numbers_grow_through_snapshots_and_supersession(self):
         self.assertEqual(self.begin("e1"), 1)
         data = self.machine.snapshot()
-        self.machine = machine.StateMachine()
+        self.machine = state_machine.StateMachine()
         self.machine.restore(data)
         with self.assertRaises(errors.RefusedError):
             self.begin("e1")
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -4,7 +4,7 @@
 
 from amaranthring.core import records
 from amaranthring.policy import admission
-from amaranthring.policy import outages
+from amaranthring.policy import breakers
 
 UNREACHABLE = records.End.UNREACHABLE
 DONE = records.End.DONE
@@ -82,8 +82,10 @@
         Its callers fail everywhere. Believing its word about every engine
         would refuse all other callers of the cell with it.
         """
-        cell = outages.CircuitBreakers()
+        cell = breakers.CircuitBreakers()
         names = ("e1", "e2", "e3")
-        closed = [cell.record_unreachable(n, "broken", names, 0.0) for n in names]
+        closed = [
+            cell.record_unreachable(n, "broken", names, 0.0) for n in names
+        ]
         self.assertEqual(closed.count(True), 1)
         self.assertTrue(cell.record_unreachable("e2", "other", names, 0.1))
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -5,7 +5,7 @@
 
 from amaranthring import errors
 from amaranthring.core import records
-from amaranthring.policy import counts
+from amaranthring.policy import leases
 from amaranthring.testing import assembled
 
 
@@ -74,7 +74,7 @@
             self.fleet.release(grant)
         self.fleet.net.lose = lambda *_: False
         self.fleet.renew()
-        self.fleet.tick(counts.LEASE_SECONDS)
+        self.fleet.tick(leases.LEASE_SECONDS)
         self.assertEqual(self.fleet.counted(), 0)
 
     async def test_lost_grant_message_is_repeated(self):
@@ -98,7 +98,7 @@
         at = self.other()
         await self.fill(7, at.name)
         self.fleet.net.frozen.add(at.name)
-        self.fleet.tick(counts.LEASE_SECONDS + 0.1)
+        self.fleet.tick(leases.LEASE_SECONDS + 0.1)
         self.assertEqual(len(self.fleet.owner().owners.cells), 1)
         self.assertEqual(self.fleet.counted(), 0)
 
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -10,7 +10,7 @@
 import random
 import unittest
 
-from amaranthring.policy import patience
+from amaranthring.policy import response_times
 
 OBJECTIVE = 0.4
 # Below it lies what a second target needs to answer on time.
@@ -26,7 +26,7 @@
 
     def setUp(self):
         self.random = random.Random(5)
-        self.times = patience.ResponseTimes()
+        self.times = response_times.ResponseTimes()
         for _ in range(200):
             self.times.record("s", 0, first_event(self.random))
 
@@ -63,10 +63,10 @@
 
     def test_prompts_to_be_read_have_a_time_of_their_own(self):
         self.assertIsNone(self.wait(reading=10_000))
-        for _ in range(patience.SAMPLES_LEAST):
+        for _ in range(response_times.SAMPLES_LEAST):
             self.times.record("s", 9_000, 0.2)
         self.assertGreater(self.wait(reading=10_000), 0.2)
         self.assertLess(self.wait(), 0.3)
 
     def test_nothing_is_known_at_first(self):
-        self.assertIsNone(patience.ResponseTimes().timeout("s", 0, 0.4))
+        self.assertIsNone(response_times.ResponseTimes().timeout("s", 0, 0.4))
--- a/tests/test_plan_deltas.py
+++ b/tests/test_plan_deltas.py
@@ -10,7 +10,7 @@
 from amaranthring.core import pacing
 from amaranthring.keepers import deltas
 from amaranthring.keepers import plans
-from amaranthring.registry import bodies
+from amaranthring.registry import plan_source
 
 LINK_RATE = 0.75e6  # bytes a second: 6 Mbit/s
 
@@ -123,7 +123,7 @@
         self.machine = plans.PlanStateMachine()
         self.sent = collections.Counter()
         pacer = pacing.Pacer(self.sent, lambda: self.now, LINK_RATE)
-        self.bodies = bodies.PlanSource(self.machine, pacer)
+        self.bodies = plan_source.PlanSource(self.machine, pacer)
 
     def put(self, version, size=3):
         made = document(version, [(f"r{n}", n) for n in range(size)])
@@ -142,7 +142,7 @@
 
     def test_others_get_it_whole(self):
         self.put(1)
-        for version in range(2, 3 + bodies.MAX_HISTORY):
+        for version in range(2, 3 + plan_source.MAX_HISTORY):
             new = self.put(version)
         for held in (-1, 1, 77, version):
             body = self.bodies.body_for(held)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -300,7 +300,9 @@
     def test_account_is_not_forged_on_a_public_route(self):
         found = request(Amaranthring_Tenant="forged")
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
-        sent = headers.request_headers(found, records.AttemptInfo(target, "", 1.0))
+        sent = headers.request_headers(
+            found, records.AttemptInfo(target, "", 1.0)
+        )
         self.assertNotIn("Amaranthring-Tenant", sent)
 
 
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -14,8 +14,8 @@
 import unittest
 
 from amaranthring import routing
-from amaranthring.forwarding import placing
-from amaranthring.forwarding import prompts
+from amaranthring.forwarding import placement
+from amaranthring.forwarding import prefixes
 from amaranthring.forwarding import records
 from amaranthring.policy import copies
 from amaranthring.registry import messages
@@ -57,7 +57,7 @@
         self.random = random.Random(seed)
         self.engine = engine
         self.table = targets.TargetTable(lambda: self.now, 0.0)
-        self.placer = placing.Placer(self.table, "here", lambda: self.now)
+        self.placer = placement.Placer(self.table, "here", lambda: self.now)
         self.keeps: dict[str, set[str]] = collections.defaultdict(set)
         self.used: dict[str, float] = {}
         self.read_again = 0
@@ -202,14 +202,18 @@
         near = copies.Holder("near", "here", 5_000)
         most = copies.Holder("most", "there", 9_000)
         rate = ENGINE.copy_rate
-        self.assertEqual("near", copies.choose([far, near], asked, rate).source)
+        self.assertEqual(
+            "near", copies.choose([far, near], asked, rate).source
+        )
         best = copies.choose([far, most, near], asked, rate)
         self.assertEqual(copies.Copy("most", 9_000), best)
 
     def test_nobody_keeps_more(self):
         asked = copies.Holder("a", "here", 5_000)
         same = copies.Holder("b", "here", 5_000)
-        self.assertIsNone(copies.choose([asked, same], asked, ENGINE.copy_rate))
+        self.assertIsNone(
+            copies.choose([asked, same], asked, ENGINE.copy_rate)
+        )
         self.assertIsNone(copies.choose([], asked, ENGINE.copy_rate))
 
 
@@ -223,8 +227,11 @@
             self.table.merge(
                 messages.TargetRecord(name, "s", f"{name}:1", "here")
             )
-        self.placer = placing.Placer(self.table, "here", lambda: self.now)
-        self.parts = (records.PromptPart("a", 10_000), records.PromptPart("own", 10))
+        self.placer = placement.Placer(self.table, "here", lambda: self.now)
+        self.parts = (
+            records.PromptPart("a", 10_000),
+            records.PromptPart("own", 10),
+        )
         self.old = self.table.entries["e0"].record
         self.new = self.table.entries["e1"].record
         self.placer.prefixes.record_sent(self.parts, "e0")
@@ -233,7 +240,9 @@
         incoming = records.Incoming(
             "r", "POST", "/", "/", "h", None, self.now, parts=self.parts
         )
-        return records.RequestContext(incoming, route(), "", "s", 1, 200.0, engine)
+        return records.RequestContext(
+            incoming, route(), "", "s", 1, 200.0, engine
+        )
 
     def copy(self, engine=ENGINE):
         return self.placer.copy_for(self.passage(engine), self.new)
@@ -245,7 +254,7 @@
         the prompt is read twice.
         """
         self.assertIsNone(self.copy())
-        self.now += prompts.PREFILL_SECONDS
+        self.now += prefixes.PREFILL_SECONDS
         self.assertEqual("e0", self.copy().source)
         self.assertEqual("e0:1", self.placer.source_address(self.copy()))
 
@@ -273,7 +282,7 @@
         gone = dataclasses.replace(self.old, state=messages.State.GONE)
         self.table.merge(gone)
         self.assertEqual("e0", self.copy().source)
-        self.now += placing.LINGER_SECONDS
+        self.now += placement.LINGER_SECONDS
         self.assertIsNone(self.copy())
 
     def test_engine_whose_address_another_has_is_none(self):
--- a/tests/test_prompt_placing.py
+++ b/tests/test_prompt_placing.py
@@ -11,8 +11,8 @@
 import unittest
 
 from amaranthring import routing
-from amaranthring.forwarding import placing
-from amaranthring.forwarding import prompts
+from amaranthring.forwarding import placement
+from amaranthring.forwarding import prefixes
 from amaranthring.forwarding import records
 from amaranthring.policy import affinity
 from amaranthring.policy import budgets
@@ -44,7 +44,7 @@
         self.random = random.Random(seed)
         self.hot_share = hot_share
         self.now = 1000.0
-        self.places = prompts.PrefixIndex(lambda: self.now)
+        self.places = prefixes.PrefixIndex(lambda: self.now)
         self.running: list[tuple[float, float, str]] = []
         self.read: dict[str, set[str]] = collections.defaultdict(set)
         self.read_again = 0
@@ -191,7 +191,7 @@
 
     def setUp(self):
         self.now = 1000.0
-        self.places = prompts.PrefixIndex(lambda: self.now)
+        self.places = prefixes.PrefixIndex(lambda: self.now)
         self.parts = (
             records.PromptPart("a", 100),
             records.PromptPart("b", 1000),
@@ -210,7 +210,7 @@
         self.places.record_sent(self.parts, "e0")
         told = [("a", "e0"), ("b", "e0")]
         self.assertEqual(told, self.places.take_updates())
-        self.now += prompts.TELL_AGAIN_SECONDS + 1
+        self.now += prefixes.TELL_AGAIN_SECONDS + 1
         self.places.record_sent(self.parts, "e0")
         self.assertEqual(told, self.places.take_updates())
 
@@ -228,15 +228,15 @@
 
     def test_what_is_not_used_is_forgotten(self):
         self.places.record_sent(self.parts, "e0")
-        self.now += prompts.KEPT_SECONDS + 1
+        self.now += prefixes.KEPT_SECONDS + 1
         self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e0"))
         self.places.prune({"e0"})
         self.assertEqual({}, dict(self.places._places))
 
     def test_number_of_parts_is_bounded(self):
-        for number in range(prompts.PARTS_MOST + 10):
+        for number in range(prefixes.PARTS_MOST + 10):
             self.places.merge([(str(number), "e0")])
-        self.assertEqual(prompts.PARTS_MOST, len(self.places._places))
+        self.assertEqual(prefixes.PARTS_MOST, len(self.places._places))
 
 
 class TestPlainRequests(unittest.TestCase):
@@ -293,8 +293,11 @@
         table = targets.TargetTable(lambda: self.now, 0.0)
         for name in ("e0", "e1"):
             table.merge(messages.TargetRecord(name, "s", f"{name}:1", "here"))
-        self.placer = placing.Placer(table, "here", lambda: self.now)
-        self.parts = (records.PromptPart("a", 10_000), records.PromptPart("own", 10))
+        self.placer = placement.Placer(table, "here", lambda: self.now)
+        self.parts = (
+            records.PromptPart("a", 10_000),
+            records.PromptPart("own", 10),
+        )
         self.first = self.chosen()
 
     def chosen(self, idempotent=True):
@@ -331,7 +334,7 @@
         self.assertEqual(self.first, other)
         self.placer.record_failure(self.first, reached=True)
         self.assertNotEqual(self.first, self.chosen(idempotent=False))
-        self.now += placing.FAILING_SECONDS
+        self.now += placement.FAILING_SECONDS
         self.assertEqual(self.first, self.chosen(idempotent=False))
         self.placer.update_from_others(
             sharing.Others({}, [], failing={self.first.id: 1})
@@ -347,7 +350,7 @@
     def test_target_that_is_not_there_is_left_at_once(self):
         self.placer.record_failure(self.first, reached=False)
         self.assertNotEqual(self.first, self.chosen())
-        self.now += placing.BACKOFF_SECONDS
+        self.now += placement.BACKOFF_SECONDS
         self.assertEqual(self.first, self.chosen())
 
     def test_an_answer_makes_good(self):
@@ -366,7 +369,7 @@
         self.hear({self.first.id: 2})
         self.assertNotEqual(self.first, self.chosen())
         self.assertTrue(self.placer.failed_recently(self.first))
-        self.now += placing.PEER_REPORT_SECONDS
+        self.now += placement.PEER_REPORT_SECONDS
         self.assertEqual(self.first, self.chosen())
 
     def test_word_of_others_does_not_count_against_own_answers(self):
@@ -389,7 +392,7 @@
         for record in list(self.placer.table.active()):
             self.placer.record_failure(record, reached=False)
         self.assertIsNone(self.chosen())
-        self.now += placing.BACKOFF_SECONDS
+        self.now += placement.BACKOFF_SECONDS
         self.assertIsNotNone(self.chosen())
 
     def test_silent_target_that_answers_keeps_its_prompts(self):
@@ -402,7 +405,7 @@
         self.placer.record_success(self.first)
         self.placer.table.merge(record)
         self.assertEqual(self.first.id, self.chosen().id)
-        self.now += placing.ANSWERED_SECONDS
+        self.now += placement.ANSWERED_SECONDS
         self.assertNotEqual(self.first.id, self.chosen().id)
 
 
@@ -422,7 +425,7 @@
         for number in range(30):
             name = f"e{number}"
             table.merge(messages.TargetRecord(name, "s", f"{name}:1", "here"))
-        placer = placing.Placer(table, "here", lambda: now)
+        placer = placement.Placer(table, "here", lambda: now)
         placer.record_success(table.entries["e0"].record)
         unreached = dict.fromkeys(table.entries, 3)
         placer.update_from_others(sharing.Others({}, [], unreached))
@@ -450,7 +453,7 @@
             table.merge(
                 messages.TargetRecord(f"e{number}", "s", f"e{number}:1", place)
             )
-        self.placer = placing.Placer(table, "here", lambda: self.now)
+        self.placer = placement.Placer(table, "here", lambda: self.now)
         self.records = {r.id: r for r in table.active()}
 
     def places(self):
@@ -464,7 +467,9 @@
                 "r", "POST", "/", "/", "h", None, self.now,
                 parts=(records.PromptPart(f"p{number}", 10),),
             )  # fmt: skip
-            passage = records.RequestContext(incoming, route, "", "s", 1, 200.0)
+            passage = records.RequestContext(
+                incoming, route, "", "s", 1, 200.0
+            )
             found.add(self.placer.choose(passage).data_centre)
         return found
 
@@ -477,7 +482,7 @@
         self.assertEqual({"here", "there"}, self.places())
         self.placer.record_failure(self.records["e1"], reached=False)
         self.assertEqual({"here"}, self.places())
-        self.now += placing.PARTITION_SECONDS
+        self.now += placement.PARTITION_SECONDS
         self.assertEqual({"here", "there"}, self.places())
 
     def test_word_from_one_ends_it(self):
@@ -489,5 +494,5 @@
     def test_own_data_centre_is_never_left(self):
         self.placer.record_failure(self.records["e4"], reached=False)
         self.placer.record_failure(self.records["e5"], reached=False)
-        self.now += placing.BACKOFF_SECONDS
+        self.now += placement.BACKOFF_SECONDS
         self.assertEqual({"here", "there"}, self.places())
--- a/tests/test_prompt_spread.py
+++ b/tests/test_prompt_spread.py
@@ -117,7 +117,7 @@
         self.asked += tokens
         holders = self.places[part]
         if chosen.id not in holders:
-            if holders and chosen.copied:
+            if holders and chosen.copied_tokens:
                 self.copied += tokens
             elif holders:
                 self.read_again += tokens
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -6,7 +6,7 @@
 
 from amaranthring import errors
 from amaranthring.core import wire
-from amaranthring.forwarding import placing
+from amaranthring.forwarding import placement
 from amaranthring.forwarding import records
 from amaranthring.registry import messages
 from amaranthring.registry import targets
@@ -177,7 +177,7 @@
 
     def test_requests_of_the_start_before_are_not_counted(self):
         self.table.merge(self.start(self.OLD, 40))
-        placer = placing.Placer(self.table, "here", lambda: self.now)
+        placer = placement.Placer(self.table, "here", lambda: self.now)
         old = next(self.table.active())
         placer.views[old.id].running = 7
         placer.prefixes.merge([["part", old.id]])
@@ -200,7 +200,9 @@
         self.table.mark_gone_by_name("a", 0)
         self.now += 61.0
         self.table.remove_expired(60.0)
-        self.assertEqual(({}, {}), (self.table.entries, self.table.newest_by_name))
+        self.assertEqual(
+            ({}, {}), (self.table.entries, self.table.newest_by_name)
+        )
 
 
 class TestAllTargets(unittest.TestCase):
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -3,7 +3,7 @@
 import unittest
 
 from amaranthring import errors
-from amaranthring.targets import chunks
+from amaranthring.targets import http_body
 from amaranthring.targets import sse
 
 
@@ -64,7 +64,7 @@
     def test_any_cut_gives_the_same_body(self):
         whole = b"5\r\nhello\r\n1;ext=1\r\n \r\nA\r\nworld12345\r\n0\r\n\r\n"
         for size in range(1, len(whole) + 1):
-            body = chunks.Chunked()
+            body = http_body.Chunked()
             parts = range(0, len(whole), size)
             taken = [body.take(whole[at : at + size]) for at in parts]
             self.assertEqual(b"".join(taken), b"hello world12345")
@@ -84,7 +84,7 @@
         )
         for data in bad:
             with self.subTest(data), self.assertRaises(errors.UpstreamError):
-                chunks.Chunked().take(data)
+                http_body.Chunked().take(data)
 
     def test_length_given_twice_or_beside_chunks(self):
         bad = (
@@ -98,4 +98,4 @@
                 self.subTest(headers),
                 self.assertRaises(errors.UpstreamError),
             ):
-                chunks.decoder_for(headers, 200, "GET")
+                http_body.decoder_for(headers, 200, "GET")
--- a/tests/test_targets_announce.py
+++ b/tests/test_targets_announce.py
@@ -7,7 +7,7 @@
 
 from amaranthring.core import metrics
 from amaranthring.targets import announce
-from amaranthring.targets import conventions
+from amaranthring.targets import protocol
 from amaranthring.targets import table
 
 KEYS = {"old": b"o" * 32, "new": b"n" * 32}
@@ -37,12 +37,12 @@
             body = json.dumps(record).encode()
         if header is None:
             signing = key or KEYS[key_id]
-            header = conventions.sign(key_id, signing, body)
+            header = protocol.sign(key_id, signing, body)
         return self.fetch(
             f"/targets/{path}",
             method="POST",
             body=body,
-            headers={conventions.KEY_HEADER: header},
+            headers={protocol.KEY_HEADER: header},
         )
 
     def assert_refused(self, answer, status, code):
@@ -80,7 +80,7 @@
         self.assertEqual(self.table.entries, {})
 
     def test_mac_of_another_body_is_refused(self):
-        header = conventions.sign("new", KEYS["new"], b"{}")
+        header = protocol.sign("new", KEYS["new"], b"{}")
         answer = self.post("announce", TARGET, header=header)
         self.assert_refused(answer, 401, "unauthenticated")
 
@@ -107,7 +107,7 @@
         self.assertEqual(self.table.entries, {})
 
     def test_oversize_body(self):
-        body = b" " * (conventions.MAX_BODY_BYTES + 1)
+        body = b" " * (protocol.MAX_BODY_BYTES + 1)
         self.assert_refused(self.post("announce", body), 413, "too-large")
 
     def test_renewal_of_an_unknown_target_asks_for_an_announcement(self):
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -43,7 +43,9 @@
             writer.close()
             self.server.close()
 
-        self.assertFalse(await upstream.is_reachable(await self.target(ending)))
+        self.assertFalse(
+            await upstream.is_reachable(await self.target(ending))
+        )
 
     async def test_one_that_keeps_the_connection_lives(self):
         kept = []
