--- a/amaranthring/keeper_parts.py
+++ b/amaranthring/keeper_parts.py
@@ -1,10 +1,10 @@
-"""Wiring of a keeper, part of the composition root."""
+"""Builds a keeper from its settings; part of the composition root."""
 
 from amaranthring import settings as settings_module
 from amaranthring.keepers import fleet_service
 from amaranthring.keepers import reconciler
 from amaranthring.keepers import server
-from amaranthring.keepers import state_machine as machines
+from amaranthring.keepers import state_machine
 
 SECONDS_PER_HOUR = 3600.0
 
@@ -12,19 +12,19 @@
 def make(
     settings: settings_module.Settings,
 ) -> tuple[server.Keeper, fleet_service.FleetService]:
-    """Return a keeper, and the state of the fleet that it serves.
+    """Return a keeper and its service for the fleet state.
 
     Raises
     ------
     errors.SettingsError
-        If the file of the first configuration is not usable.
+        If the initial configuration file is not valid.
     """
     section = settings.keeper
-    machine = machines.StateMachine(
+    machine = state_machine.StateMachine(
         section.claim_hours * SECONDS_PER_HOUR, section.answer_bytes_most
     )
     keeper = server.Keeper(settings, machine)
-    served = fleet_service.FleetService(
+    service = fleet_service.FleetService(
         keeper.group,
         machine,
         keeper.handlers,
@@ -37,4 +37,4 @@
             loads_per_minute=section.loads_per_minute,
         ),
     )
-    return keeper, served
+    return keeper, service
--- a/amaranthring/keepers/commands.py
+++ b/amaranthring/keepers/commands.py
@@ -1,9 +1,9 @@
-"""Messages to the keepers: commands of the log, queries and results.
+"""Messages to the keepers: log commands, queries and their results.
 
-A command changes the state and goes through the log. Commands of operators
-carry an id, under which a resend gets the first answer, and the revision
-that the operator saw. A command whose repeat is harmless says so with the
-class variable ``repeatable``; the router's client then repeats it by itself.
+Commands change the replicated state and go through the log. Operator
+commands carry a command id, which makes resends idempotent, and the revision
+that the operator last saw. The class variable ``repeatable`` marks commands
+that are idempotent, so that the router's client may retry them.
 """
 
 import dataclasses
@@ -17,16 +17,16 @@
 
 @dataclasses.dataclass(kw_only=True)
 class OperatorCommand:
-    """What every command of an operator carries.
+    """Common fields of all operator commands.
 
     Attributes
     ----------
     command_id : str
-        A resend under the same id gets the first answer.
+        Idempotency key; a resend with the same id gets the first answer.
     operator : str
-        Who sent it.
+        Name of the operator.
     if_match : int
-        Revision that the operator saw.
+        Configuration revision that the operator last saw.
     """
 
     repeatable: t.ClassVar[bool] = True
@@ -38,7 +38,7 @@
 
 @wire.message("bootstrap")
 class Bootstrap:
-    """First configuration; applied only to an empty state."""
+    """Set the initial configuration; ignored unless the state is empty."""
 
     repeatable: t.ClassVar[bool] = True
 
@@ -56,7 +56,7 @@
 
 @wire.message("preset-switch")
 class SwitchPreset(OperatorCommand):
-    """Put the preset `name` in force."""
+    """Make `name` the preset in force."""
 
     name: str
 
@@ -70,10 +70,11 @@
 
 @wire.message("preset-restore")
 class RestorePresets(OperatorCommand):
-    """Take what the presets held at `revision` again, as a new revision.
+    """Restore presets to their content at `revision`, as a new revision.
 
-    With `name` only that preset, else all of them and which is in force.
-    Accounts and drains stay: a changed token must not come back.
+    Restores only the preset `name` if given, else all presets and the choice
+    of the one in force. Accounts and drains are not restored, so that a
+    replaced token does not become valid again.
     """
 
     revision: int
@@ -96,7 +97,7 @@
 
 @wire.message("target-drain")
 class DrainTarget(OperatorCommand):
-    """Give `target` no new work."""
+    """Stop sending new requests to `target`."""
 
     target: str
     reason: str = ""
@@ -104,14 +105,14 @@
 
 @wire.message("target-undrain")
 class UndrainTarget(OperatorCommand):
-    """Give `target` work again."""
+    """Resume sending requests to `target`."""
 
     target: str
 
 
 @wire.message("quarantine-add")
 class AddQuarantine:
-    """Refuse the request with `fingerprint` for `seconds`."""
+    """Reject requests with `fingerprint` for `seconds`."""
 
     repeatable: t.ClassVar[bool] = True
 
@@ -121,14 +122,14 @@
 
 @wire.message("quarantine-lift")
 class LiftQuarantine(OperatorCommand):
-    """Take `fingerprint` off the quarantine list."""
+    """Remove `fingerprint` from the quarantine list."""
 
     fingerprint: str
 
 
 @wire.message("accepted")
 class Accepted:
-    """Answer to a change of the configuration."""
+    """Result of an accepted configuration change."""
 
     revision: int
     in_force: str
@@ -141,15 +142,15 @@
     Attributes
     ----------
     account, key : str
-        Client account and its idempotency key.
+        Client account and idempotency key of the call.
     body_digest : str
-        32 hex digits; a resend must have the same.
+        Digest of the request body, 32 hex digits; must match on a resend.
     attempt : str
-        Names this attempt among all, ever.
+        Globally unique id of this attempt.
     target : str
-        Where the attempt will send the call.
+        Target to which the attempt will send the call.
     hold_seconds : float
-        After this time without a settlement the call counts as unknown.
+        Time after which an unsettled claim counts as unknown.
     """
 
     repeatable: t.ClassVar[bool] = True
@@ -164,7 +165,7 @@
 
 @wire.message("settle")
 class Settle:
-    """State what became of a claim; only its holder may.
+    """Record the outcome of a claim; only its holder may do so.
 
     `outcome` is ``not-run``, ``ran`` or ``unknown``.
     """
@@ -180,19 +181,20 @@
 
 @wire.message("claim-result")
 class ClaimResult:
-    """What the ledger says of a claim after the command."""
+    """State of a claim after the command was applied."""
 
     claim: records.Claim
 
 
-# -- queries: they change nothing ------------------------------------------
+# -- queries (read-only) -----------------------------------------------------
 
 
 @wire.message("config-since")
 class ConfigSince:
-    """Ask for the parts that changed after `revision`.
+    """Request the configuration parts that changed after `revision`.
 
-    The answer waits up to `wait_seconds` for a higher revision.
+    Long poll: the reply is held back for up to `wait_seconds` until there is
+    a higher revision.
     """
 
     revision: int
@@ -201,16 +203,16 @@
 
 @wire.message("confirmed")
 class RouterRevisions:
-    """Revisions of the routers of one data centre.
+    """Configuration revisions of the routers in one data centre.
 
     Attributes
     ----------
     data_centre : str
-        Their data centre.
+        Data centre of the routers.
     routers : dict
-        Router to its revision.
+        Revision of each router.
     ages : dict
-        Router to the seconds since it was heard.
+        Seconds since each router last reported.
     """
 
     data_centre: str
@@ -220,10 +222,10 @@
 
 @wire.message("state-query")
 class StateQuery:
-    """Ask for one view of the state: ``what`` names it.
+    """Request the view of the state named by `what`.
 
     Views are ``status``, ``config``, ``history``, ``quarantine`` and
-    ``orders``; `name` narrows it where that makes sense.
+    ``orders``; `name` filters the views that support it.
     """
 
     what: str
@@ -232,16 +234,16 @@
 
 @wire.message("state-view")
 class StateView:
-    """Plain data that answers a :class:`StateQuery`."""
+    """Reply to a :class:`StateQuery`, as plain data."""
 
     view: t.Any
 
 
-# -- orders to targets -------------------------------------------------------
+# -- orders to targets -----------------------------------------------------
 
 
 class OrderKind(enum.StrEnum):
-    """What a target is ordered to do."""
+    """Kind of an order to a target."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -249,7 +251,7 @@
 
 
 class OrderState(enum.StrEnum):
-    """How far an order is."""
+    """State of an order."""
 
     OPEN = "open"
     DONE = "done"
@@ -259,20 +261,20 @@
 
 @wire.message("order-begin")
 class BeginOrder:
-    """Take an order down before it is sent.
+    """Record an order in the log before it is sent.
 
     Attributes
     ----------
     target, incarnation : str, int
-        Whom the order is for.
+        Target that receives the order.
     kind : OrderKind
-        What it is to do.
+        Kind of the order.
     wanted : str
         ``MODEL[@VERSION][+ADAPTER]``, or the role.
     supersedes : int
-        Number of the order that is still open for this target, or 0.
+        Fencing number of the target's open order, or 0 if there is none.
     loads_at_once, loads_per_minute : int
-        Limits of the weight store.
+        Concurrency and rate limit of loads from the weight store.
     """
 
     target: str
@@ -286,27 +288,28 @@
 
 @wire.message("order-begun")
 class OrderBegun:
-    """The order may be sent under this fencing number."""
+    """Fencing number with which the order may now be sent."""
 
     fencing: int
 
 
 @wire.message("order-end")
 class EndOrder:
-    """Take down how an order ended.
+    """Record the result of an order.
 
     Attributes
     ----------
     fencing : int
-        Number of the order.
+        Fencing number of the order.
     done : bool
-        Whether the target did it.
+        Whether the target completed the order.
     detail : str
-        What the target or the connection said.
+        Message of the target, or the connection error.
     quiet_seconds : float
-        Time for which the target may still be at it; 0 if it surely ended.
+        Time for which the target may still be executing the order; 0 if it
+        has certainly ended.
     seen : int
-        Higher fencing number that the target named, or 0.
+        Higher fencing number that the target reported, or 0.
     """
 
     fencing: int
@@ -318,14 +321,14 @@
 
 @wire.message("order-ended")
 class OrderEnded:
-    """Answer to :class:`EndOrder`."""
+    """Result of :class:`EndOrder`."""
 
     state: OrderState
 
 
 @wire.message("targets-seen")
 class ReadyTargets:
-    """All ready targets of one data centre, as a router of it sees them."""
+    """All ready targets of one data centre, as reported by a router there."""
 
     data_centre: str
     targets: list[records.Target]
--- a/amaranthring/keepers/fleet_service.py
+++ b/amaranthring/keepers/fleet_service.py
@@ -1,7 +1,7 @@
-"""Joins the state of the fleet to a group of keepers.
+"""Serves the fleet state on top of a group of keepers.
 
-Answers queries under the group's read barrier, proposes the first
-configuration once, and runs the orders while this keeper leads.
+Answers queries after the group's read barrier, proposes the initial
+configuration, and runs the reconciler while this keeper is the leader.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from amaranthring.keepers import initial_config
 from amaranthring.keepers import queries as queries_module
 from amaranthring.keepers import reconciler as reconcilers
-from amaranthring.keepers import state_machine as machines
+from amaranthring.keepers import state_machine
 
 log = logbook.Logger(__name__)
 
@@ -26,29 +26,29 @@
 
 
 class FleetService:
-    """What a keeper does beside agreeing.
+    """Serves queries and reconciles targets for one keeper.
 
     Parameters
     ----------
     group : consensus.Group
-        The group whose machine this is.
-    machine : machine.Machine
-        The state.
+        The group that replicates `machine`.
+    machine : state_machine.StateMachine
+        The replicated state.
     handlers : links.Handlers
-        Of this keeper's listener.
+        Handlers of this keeper's listener.
     initial_file : str
-        First configuration; empty if another keeper brings it.
+        File with the initial configuration, or empty.
 
     Raises
     ------
     errors.SettingsError
-        If `initial_file` is not usable.
+        If `initial_file` is not valid.
     """
 
     def __init__(
         self,
         group: t.Any,
-        machine: machines.StateMachine,
+        machine: state_machine.StateMachine,
         handlers: links.Handlers,
         initial_file: str = "",
         options: reconcilers.Options | None = None,
@@ -62,35 +62,35 @@
         self.bootstrap = None
         if initial_file:
             self.bootstrap = initial_config.load(initial_file)
-        self.task: asyncio.Task | None = None
-        self.queries.handlers[commands.ReadyTargets] = self._targets_seen
-        for kind in (commands.ConfigSince, *self.queries.handlers):
-            handlers.add(kind, self._answer)
-        group.on_leader.append(self._lead)
-        group.on_follower.append(self._follow)
+        self.bootstrap_task: asyncio.Task | None = None
+        self.queries.handlers[commands.ReadyTargets] = self._ready_targets
+        for message_class in (commands.ConfigSince, *self.queries.handlers):
+            handlers.add(message_class, self._answer)
+        group.on_leader.append(self._on_leader)
+        group.on_follower.append(self._on_follower)
 
     async def _answer(self, _link: t.Any, message: t.Any) -> t.Any:
-        # A keeper that was replaced without knowing it would answer from
-        # the past; the barrier fails there.
+        # The read barrier fails on a deposed leader, whose state may be
+        # stale.
         await self.group.read_barrier(BARRIER_SECONDS)
         return await self.queries.answer(message)
 
-    def _targets_seen(self, message: commands.ReadyTargets) -> t.Any:
+    def _ready_targets(self, message: commands.ReadyTargets) -> t.Any:
         self.reconciler.update_targets(message)
         return commands.StateView(None)
 
-    def _lead(self, _term: int) -> None:
+    def _on_leader(self, _term: int) -> None:
         self.reconciler.start()
         if self.bootstrap and self.machine.book.parts.revision == 0:
-            self.task = asyncio.ensure_future(self._bootstrap())
+            self.bootstrap_task = asyncio.ensure_future(self._bootstrap())
 
-    def _follow(self) -> None:
+    def _on_follower(self) -> None:
         self.reconciler.stop()
-        if self.task is not None:
-            self.task.cancel()
+        if self.bootstrap_task is not None:
+            self.bootstrap_task.cancel()
 
     async def _bootstrap(self) -> None:
-        """Propose the first configuration until there is one."""
+        """Propose the initial configuration until there is one."""
         while self.machine.book.parts.revision == 0:
             try:
                 done = await self.group.propose(
@@ -102,5 +102,5 @@
             await asyncio.sleep(BOOTSTRAP_PAUSE_SECONDS)
 
     def stop(self) -> None:
-        """End what runs while this keeper leads."""
-        self._follow()
+        """Stop the tasks that run while this keeper is the leader."""
+        self._on_follower()
--- a/amaranthring/keepers/ledger.py
+++ b/amaranthring/keepers/ledger.py
@@ -1,15 +1,15 @@
-"""The ledger of claims: a non-idempotent call runs at most once.
-
-A claim is granted to one attempt. Only that attempt settles it: as run, with
-the answer kept for resends; as not run, which frees the key; or as unknown.
-A claim that its holder leaves unsettled past its time counts as unknown: it
-is never granted again, and what the true holder says later still counts.
-
-Claims lie in buckets by the time of their grant, packed into bytes; a bucket
-older than the retention is dropped whole, so keeping time costs nothing for
-each claim. What is left of a dropped bucket are 8 bytes for each claim that
-ran or may have run: a resend that comes days later is told so and never run
-again, although its answer is gone. All times are stamps of the log.
+"""Ledger of idempotency keys: a non-idempotent call runs at most once.
+
+A claim on a key is granted to one attempt. Only that attempt can settle it:
+as run, with the answer stored for resends; as not run, which frees the key;
+or as unknown. A claim that is not settled before its deadline counts as
+unknown: it is never granted again, but its holder may still settle it.
+
+Claims are stored as packed bytes in buckets by the time of their grant. A
+bucket older than the retention is dropped as a whole, so expiry needs no
+bookkeeping for each claim. For each of its claims that ran or may have run,
+an 8-byte mark is kept, so that a resend days later is still not run again,
+although the answer is gone. All times are log timestamps.
 """
 
 import array
@@ -22,30 +22,28 @@
 from amaranthring.core import records
 
 RETENTION_SECONDS = 72 * 3600.0
-BUCKETS = 24
+BUCKET_COUNT = 24
 MAX_ANSWER_BYTES = 16 * 1024
-HOLD_SECONDS_MOST = 3600.0
+MAX_HOLD_SECONDS = 3600.0
 MARK_RETENTION_SECONDS = 7 * 86400.0
 MAX_BYTES = 128 * 1024 * 1024
-# What a claim takes in memory beside its packed form, by measurement in
-# bench claims_memory.
-OVERHEAD_BYTES = 180
+# Memory of a claim beside its packed bytes; see bench/claims_memory.py.
+CLAIM_OVERHEAD_BYTES = 180
 MARK_BYTES = 8
 
 HELD = 0
 UNKNOWN = 1
 RAN = 2
-RAN_NOT_KEPT = 3
+RAN_ANSWER_DROPPED = 3
 RELEASED = 4
 NO_DIGEST = bytes(16)
-_HEAD = struct.Struct("<BdH16s16sBB")
-# Fields of the head: state, stamp until which the claim is held, HTTP
-# status, digest of the body, digest of the attempt, lengths of the target
-# and of the content type.
+_HEADER = struct.Struct("<BdH16s16sBB")
+# Header fields: state, deadline, HTTP status, digests of the body and of the
+# attempt, lengths of the target and of the content type.
 
 
 class ClaimRecord(t.NamedTuple):
-    """One claim, unpacked; the fields are those of the head."""
+    """An unpacked claim; the first fields are those of the header."""
 
     state: int
     until: float
@@ -57,49 +55,50 @@
     body: bytes = b""
 
 
-def pack(kept: ClaimRecord) -> bytes:
-    """Return the compact form of `kept`."""
-    target = kept.target.encode()[:255]
-    content_type = kept.content_type.encode()[:255]
-    head = _HEAD.pack(
-        *kept[:5],
+def pack(record: ClaimRecord) -> bytes:
+    """Return `record` as packed bytes."""
+    target = record.target.encode()[:255]
+    content_type = record.content_type.encode()[:255]
+    head = _HEADER.pack(
+        *record[:5],
         len(target),
         len(content_type),
     )
-    return head + target + content_type + kept.body
+    return head + target + content_type + record.body
 
 
 def unpack(data: bytes) -> ClaimRecord:
-    """Return the claim in `data`."""
-    *head, target_size, type_size = _HEAD.unpack_from(data)
-    middle = _HEAD.size + target_size
-    end = middle + type_size
-    target = data[_HEAD.size : middle].decode(errors="replace")
-    content_type = data[middle:end].decode(errors="replace")
-    return ClaimRecord(*head, target, content_type, data[end:])
+    """Return the claim that is packed in `data`."""
+    *head, target_size, type_size = _HEADER.unpack_from(data)
+    type_start = _HEADER.size + target_size
+    body_start = type_start + type_size
+    target = data[_HEADER.size : type_start].decode(errors="replace")
+    content_type = data[type_start:body_start].decode(errors="replace")
+    return ClaimRecord(*head, target, content_type, data[body_start:])
 
 
-def short(*texts: str) -> bytes:
+def digest_texts(*texts: str) -> bytes:
     """Return a 128-bit digest of `texts`."""
-    made = hashlib.blake2b(digest_size=16)
+    hasher = hashlib.blake2b(digest_size=16)
     for text in texts:
         data = text.encode()
-        made.update(len(data).to_bytes(8, "big"))
-        made.update(data)
-    return made.digest()
+        hasher.update(len(data).to_bytes(8, "big"))
+        hasher.update(data)
+    return hasher.digest()
 
 
 class Marks:
-    """What is remembered of the claims of one dropped bucket.
+    """Digests of the keys in one dropped bucket whose calls may have run.
 
-    Two sorted arrays of 64-bit digests. Two keys with one digest would make
-    a call that never ran look like one that did; among 10 million marks the
-    chance is below one in a million million for each new key.
+    Stored as sorted arrays of 64-bit digests. A digest collision would make
+    a call that never ran look like one that did; with 10 million marks its
+    probability for each new key is below 1e-12.
 
     Attributes
     ----------
     ran, unknown : array.array
-        Digests of keys whose calls ran, and of those that may have.
+        Digests of keys whose calls ran, and of keys whose calls may have
+        run.
     """
 
     def __init__(self, ran: bytes = b"", unknown: bytes = b""):
@@ -107,53 +106,54 @@
         self.unknown = array.array("Q", unknown)
 
     @classmethod
-    def of(cls, bucket: dict[bytes, bytes]) -> "Marks":
-        """Return the marks of `bucket`."""
-        made = cls()
+    def from_bucket(cls, bucket: dict[bytes, bytes]) -> "Marks":
+        """Return the marks for the claims in `bucket`."""
+        marks = cls()
         ran = []
         unknown = []
         for key, data in bucket.items():
-            if data[0] in (RAN, RAN_NOT_KEPT):
-                ran.append(_mark(key))
+            if data[0] in (RAN, RAN_ANSWER_DROPPED):
+                ran.append(_mark_of(key))
             elif data[0] != RELEASED:
-                unknown.append(_mark(key))
-        made.ran.extend(sorted(ran))
-        made.unknown.extend(sorted(unknown))
-        return made
+                unknown.append(_mark_of(key))
+        marks.ran.extend(sorted(ran))
+        marks.unknown.extend(sorted(unknown))
+        return marks
 
     def __len__(self) -> int:
         return len(self.ran) + len(self.unknown)
 
 
-def _mark(key: bytes) -> int:
+def _mark_of(key: bytes) -> int:
     return int.from_bytes(key[:8], "big")
 
 
-def _holds(marks: array.array, mark: int) -> bool:
-    place = bisect.bisect_left(marks, mark)
-    return place < len(marks) and marks[place] == mark
+def _contains(marks: array.array, mark: int) -> bool:
+    index = bisect.bisect_left(marks, mark)
+    return index < len(marks) and marks[index] == mark
 
 
 class Ledger:
-    """All claims within the retention, and marks of earlier ones.
+    """All claims within the retention, and marks of older ones.
 
     Parameters
     ----------
     retention : float
-        Seconds after its grant that a claim is kept at least.
-    answer_bytes_most : int
-        Larger answers are not kept; a resend then learns that it ran.
-    bytes_most : int
-        Memory above which no new claim is granted.
+        Minimum time for which a claim is kept after its grant, in seconds.
+    max_answer_bytes : int
+        Larger answers are not stored; a resend learns only that the call
+        ran.
+    max_bytes : int
+        Memory use above which no new claim is granted.
 
     Attributes
     ----------
     buckets : dict
-        Number of a span of time to its claims by digest of their keys.
+        Claims by bucket number and digest of the key.
     marks : dict
-        Number of a span of time to the marks of its claims.
+        Marks by bucket number.
     bytes : int
-        Memory in use, estimated.
+        Estimated memory use.
     """
 
     def __init__(
@@ -167,39 +167,38 @@
         self.marks: dict[int, Marks] = {}
         self.retention = retention
         self.max_answer_bytes = max_answer_bytes
-        self.span = retention / BUCKETS
+        self.bucket_seconds = retention / BUCKET_COUNT
         self.buckets: dict[int, dict[bytes, bytes]] = {}
 
     def __len__(self) -> int:
         return sum(len(bucket) for bucket in self.buckets.values())
 
     def claim(self, stamp: float, command) -> records.Claim:
-        """Grant the claim or say what became of it.
+        """Grant the claim, or return the state of the existing one.
 
-        The same attempt asking again, because its first answer was lost, is
-        granted again: it is still the one holder. An attempt that released
-        its claim is not: a late copy of its first command must not hold the
-        key with nobody behind it.
+        A repeated claim of the holder is granted again, as its first answer
+        may have been lost. A claim that its attempt has released is not: a
+        delayed duplicate of the command must not lock the key.
         """
         self.expire(stamp)
-        key = short(command.account, command.key)
-        attempt = short(command.attempt)
+        key = digest_texts(command.account, command.key)
+        attempt = digest_texts(command.attempt)
         digest = digest_bytes(command.body_digest)
-        bucket, kept = self._find(key)
-        if kept is None:
-            marked = self._marked(key)
-            if marked is not None:
-                return marked
-            self._check_room()
-        elif kept.body_digest not in (NO_DIGEST, digest):
+        bucket, record = self._find(key)
+        if record is None:
+            past_claim = self._claim_from_marks(key)
+            if past_claim is not None:
+                return past_claim
+            self._check_capacity()
+        elif record.body_digest not in (NO_DIGEST, digest):
             return records.Claim(records.ClaimState.KEY_REUSED, "")
-        elif kept.state != RELEASED or kept.attempt == attempt:
-            return self._told(stamp, kept, attempt, command.attempt)
-        # A freed key starts its retention anew, in the bucket of now.
+        elif record.state != RELEASED or record.attempt == attempt:
+            return self._to_claim(stamp, record, attempt, command.attempt)
+        # The retention of a released key starts again, in a new bucket.
         self._drop(bucket, key)
-        bucket = self.buckets.setdefault(int(stamp // self.span), {})
-        until = stamp + min(command.hold_seconds, HOLD_SECONDS_MOST)
-        made = ClaimRecord(
+        bucket = self.buckets.setdefault(int(stamp // self.bucket_seconds), {})
+        until = stamp + min(command.hold_seconds, MAX_HOLD_SECONDS)
+        granted = ClaimRecord(
             HELD,
             until,
             0,
@@ -207,78 +206,80 @@
             attempt,
             command.target,
         )
-        self._put(bucket, key, made)
+        self._put(bucket, key, granted)
         return records.Claim(
             records.ClaimState.GRANTED, command.attempt, command.target
         )
 
     def settle(self, stamp: float, command) -> records.Claim:
-        """Take down what the holder of a claim says of it.
+        """Record the outcome that the holder of a claim reports.
 
         Raises
         ------
         errors.NotFoundError
-            If there is no such claim within the retention, and it is not
-            said to be not run.
+            If there is no such claim within the retention, unless the
+            outcome is ``not-run`` and the key is unknown.
         errors.ForbiddenError
-            If another attempt holds it, or it was settled otherwise.
+            If another attempt holds the claim, or it was already settled
+            with a conflicting outcome.
         """
-        key = short(command.account, command.key)
-        attempt = short(command.attempt)
-        bucket, kept = self._find(key)
+        key = digest_texts(command.account, command.key)
+        attempt = digest_texts(command.attempt)
+        bucket, record = self._find(key)
         not_run = command.outcome == errors.Outcome.NOT_RUN
-        if kept is None and not_run and self._marked(key) is None:
+        if record is None and not_run and self._claim_from_marks(key) is None:
             return self._release_early(stamp, key, attempt, command)
-        if kept is None:
+        if record is None:
             raise errors.NotFoundError(
                 "no such claim", given=command.key, expected="a claimed key"
             )
-        if kept.attempt != attempt:
+        if record.attempt != attempt:
             raise errors.ForbiddenError(
-                "only the holder settles a claim",
+                "only the holder of a claim can settle it",
                 given=command.attempt,
                 expected="the attempt that was granted",
             )
-        made = self._settled(kept, command)
-        if kept.state in (RAN, RAN_NOT_KEPT, RELEASED):
-            # A repeat of the same word is harmless; another word is not.
-            if (made.state == RELEASED) != (kept.state == RELEASED):
+        updated = self._with_outcome(record, command)
+        if record.state in (RAN, RAN_ANSWER_DROPPED, RELEASED):
+            # A repeated settlement is idempotent; a conflicting one fails.
+            if (updated.state == RELEASED) != (record.state == RELEASED):
                 raise errors.ForbiddenError(
-                    "the claim was settled otherwise",
+                    "the claim was already settled with another outcome",
                     given=command.outcome,
                     expected="the first settlement",
                 )
-            made = kept
+            updated = record
         self._drop(bucket, key)
-        self._put(bucket, key, made)
-        return self._told(stamp, made, attempt, command.attempt)
+        self._put(bucket, key, updated)
+        return self._to_claim(stamp, updated, attempt, command.attempt)
 
     def _release_early(self, stamp, key, attempt, command) -> records.Claim:
-        """Note that an attempt gave up a claim that did not come yet.
+        """Release a claim whose command has not been applied yet.
 
-        Its claim may still be under way, and would hold the key with nobody
-        behind it. No body is known; a claim with any body finds the note.
+        The command may still arrive, and would then lock the key although
+        the attempt was given up. The body is not known yet, so the release
+        applies to any body.
         """
-        made = ClaimRecord(RELEASED, stamp, 0, NO_DIGEST, attempt)
-        bucket = self.buckets.setdefault(int(stamp // self.span), {})
-        self._put(bucket, key, made)
-        return self._told(stamp, made, attempt, command.attempt)
+        released = ClaimRecord(RELEASED, stamp, 0, NO_DIGEST, attempt)
+        bucket = self.buckets.setdefault(int(stamp // self.bucket_seconds), {})
+        self._put(bucket, key, released)
+        return self._to_claim(stamp, released, attempt, command.attempt)
 
     def expire(self, stamp: float) -> None:
-        """Make marks of buckets past the retention; drop old marks."""
-        oldest = int((stamp - self.retention) // self.span)
+        """Replace expired buckets by marks, and drop expired marks."""
+        oldest = int((stamp - self.retention) // self.bucket_seconds)
         for number in [n for n in self.buckets if n < oldest]:
             bucket = self.buckets.pop(number)
-            marks = Marks.of(bucket)
+            marks = Marks.from_bucket(bucket)
             self.marks[number] = marks
             self.bytes -= sum(map(_size, bucket.values()))
             self.bytes += MARK_BYTES * len(marks)
-        oldest -= int(MARK_RETENTION_SECONDS // self.span)
+        oldest -= int(MARK_RETENTION_SECONDS // self.bucket_seconds)
         for number in [n for n in self.marks if n < oldest]:
             self.bytes -= MARK_BYTES * len(self.marks.pop(number))
 
     def dump(self) -> dict[str, t.Any]:
-        """Return the plain form that :meth:`load` reads."""
+        """Return the claims as plain data for :meth:`load`."""
         return {
             "buckets": list(self.buckets.items()),
             "marks": [
@@ -288,7 +289,7 @@
         }
 
     def load(self, values: dict[str, t.Any]) -> None:
-        """Take over the claims that :meth:`dump` wrote."""
+        """Replace the claims by those from :meth:`dump`."""
         self.buckets = dict(values["buckets"])
         self.marks = {
             number: Marks(ran, unknown)
@@ -298,8 +299,10 @@
         for bucket in self.buckets.values():
             self.bytes += sum(map(_size, bucket.values()))
 
-    def _put(self, bucket: dict[bytes, bytes], key: bytes, kept: ClaimRecord):
-        bucket[key] = pack(kept)
+    def _put(
+        self, bucket: dict[bytes, bytes], key: bytes, record: ClaimRecord
+    ):
+        bucket[key] = pack(record)
         self.bytes += _size(bucket[key])
 
     def _drop(self, bucket: dict[bytes, bytes], key: bytes) -> None:
@@ -307,18 +310,18 @@
         if data is not None:
             self.bytes -= _size(data)
 
-    def _marked(self, key: bytes) -> records.Claim | None:
-        """Return what is known of a call whose claim was dropped."""
-        mark = _mark(key)
+    def _claim_from_marks(self, key: bytes) -> records.Claim | None:
+        """Return the state of a claim whose bucket was dropped."""
+        mark = _mark_of(key)
         for marks in self.marks.values():
-            if _holds(marks.ran, mark):
+            if _contains(marks.ran, mark):
                 return records.Claim(
                     records.ClaimState.SETTLED,
                     "",
                     outcome=errors.Outcome.RAN,
                     answer=records.StoredAnswer(0, "", b"", False),
                 )
-            if _holds(marks.unknown, mark):
+            if _contains(marks.unknown, mark):
                 return records.Claim(records.ClaimState.UNKNOWN, "")
         return None
 
@@ -331,7 +334,7 @@
                 return bucket, unpack(data)
         return {}, None
 
-    def _check_room(self) -> None:
+    def _check_capacity(self) -> None:
         if self.bytes >= self.max_bytes:
             raise errors.QueueFullError(
                 "the ledger of claims is full",
@@ -340,51 +343,56 @@
                 retry_after=60.0,
             )
 
-    def _settled(self, kept: ClaimRecord, command) -> ClaimRecord:
+    def _with_outcome(self, record: ClaimRecord, command) -> ClaimRecord:
         if command.outcome == errors.Outcome.NOT_RUN:
-            return kept._replace(state=RELEASED)
+            return record._replace(state=RELEASED)
         if command.outcome == errors.Outcome.UNKNOWN:
-            return kept._replace(state=UNKNOWN)
+            return record._replace(state=UNKNOWN)
         answer = command.answer
         if answer is None or not answer.kept:
-            return kept._replace(state=RAN_NOT_KEPT)
+            return record._replace(state=RAN_ANSWER_DROPPED)
         if len(answer.body) > self.max_answer_bytes:
-            return kept._replace(state=RAN_NOT_KEPT, status=answer.status)
-        return kept._replace(
+            return record._replace(
+                state=RAN_ANSWER_DROPPED, status=answer.status
+            )
+        return record._replace(
             state=RAN,
             status=answer.status,
             content_type=answer.content_type,
             body=answer.body,
         )
 
-    def _told(self, stamp, kept, attempt, name) -> records.Claim:
+    def _to_claim(self, stamp, record, attempt, attempt_id) -> records.Claim:
         states = records.ClaimState
-        if kept.state in (RAN, RAN_NOT_KEPT):
+        if record.state in (RAN, RAN_ANSWER_DROPPED):
             answer = records.StoredAnswer(
-                kept.status, kept.content_type, kept.body, kept.state == RAN
+                record.status,
+                record.content_type,
+                record.body,
+                record.state == RAN,
             )
             return records.Claim(
-                states.SETTLED, "", kept.target, errors.Outcome.RAN, answer
+                states.SETTLED, "", record.target, errors.Outcome.RAN, answer
             )
-        if kept.state == RELEASED:
+        if record.state == RELEASED:
             return records.Claim(
-                states.SETTLED, "", kept.target, errors.Outcome.NOT_RUN
+                states.SETTLED, "", record.target, errors.Outcome.NOT_RUN
             )
-        if kept.attempt == attempt and kept.state == HELD:
-            return records.Claim(states.GRANTED, name, kept.target)
-        if kept.state == UNKNOWN or stamp > kept.until:
-            return records.Claim(states.UNKNOWN, "", kept.target)
-        return records.Claim(states.IN_PROGRESS, "", kept.target)
+        if record.attempt == attempt and record.state == HELD:
+            return records.Claim(states.GRANTED, attempt_id, record.target)
+        if record.state == UNKNOWN or stamp > record.until:
+            return records.Claim(states.UNKNOWN, "", record.target)
+        return records.Claim(states.IN_PROGRESS, "", record.target)
 
 
 def _size(data: bytes) -> int:
-    return len(data) + OVERHEAD_BYTES
+    return len(data) + CLAIM_OVERHEAD_BYTES
 
 
 def digest_bytes(text: str) -> bytes:
-    """Return the 16 bytes kept of a body digest given in any form."""
+    """Return a body digest as 16 bytes, hashed if it has another form."""
     try:
         data = bytes.fromhex(text)
     except ValueError:
         data = b""
-    return data if len(data) == 16 else short(text)
+    return data if len(data) == 16 else digest_texts(text)
--- a/amaranthring/keepers/presets.py
+++ b/amaranthring/keepers/presets.py
@@ -1,9 +1,9 @@
-"""The operators' decisions: presets, accounts, drains, with their history.
+"""Fleet configuration set by operators, and the history of its changes.
 
-Exactly one preset is in force; a switch is one entry of the log. A command
-names the revision that its operator saw. It is refused when an operator's
-change was accepted since, so that of two operators with the same number one
-wins, and a command resent past the retention of answers does nothing.
+Exactly one preset is in force; switching it is a single log entry. Commands
+use optimistic concurrency: each names the revision that its operator saw and
+is rejected if another operator's change was accepted since. This also
+rejects a command that is resent after its stored answer has expired.
 """
 
 import collections
@@ -15,29 +15,29 @@
 from amaranthring.core import wire
 from amaranthring.keepers import commands
 
-HISTORY_MOST = 1000
-HISTORY_BYTES_MOST = 4 * 1024 * 1024
-PRESETS_MOST = 64
-ACCOUNTS_MOST = 10_000
-DRAINS_MOST = 10_000
+MAX_HISTORY_ENTRIES = 1000
+MAX_HISTORY_BYTES = 4 * 1024 * 1024
+MAX_PRESETS = 64
+MAX_ACCOUNTS = 10_000
+MAX_DRAINS = 10_000
 PRESET_ACTIONS = ("preset-put", "preset-restore", "preset-remove")
-SWITCHES = ("bootstrap", "preset-switch")
+SWITCH_ACTIONS = ("bootstrap", "preset-switch")
 
 
 @dataclasses.dataclass
 class Entry:
-    """One accepted change.
+    """One accepted change in the history.
 
     Attributes
     ----------
     revision : int
-        Revision that it made.
+        Revision created by the change.
     stamp : float
         Wall time of the leader, in seconds.
     operator, action, subject : str
-        Who did what to what.
+        Operator, kind of the change, and the name of what was changed.
     content : bytes
-        The preset that it made, as msgpack; empty where it made none.
+        New content of the preset as msgpack, or empty.
     """
 
     revision: int
@@ -54,27 +54,27 @@
     Attributes
     ----------
     parts : parts.Parts
-        The configuration in force.
-    base : dict
-        Contents of presets before the oldest entry of the history.
-    operated : int
-        Revision of the last change made by an operator. The quarantine
-        list moves the revision on its own and must not make operators'
+        The current configuration.
+    base_presets : dict
+        Contents of presets before the oldest history entry.
+    operator_revision : int
+        Revision of the last change by an operator. Changes of the
+        quarantine list also create revisions, but must not make operators'
         commands conflict.
     """
 
     def __init__(self):
         self.parts = parts.Parts()
-        self.operated = 0
+        self.operator_revision = 0
         self.history: collections.deque[Entry] = collections.deque()
         self.history_bytes = 0
-        self.base: dict[str, bytes] = {}
+        self.base_presets: dict[str, bytes] = {}
         self.base_in_force = ""
-        self.actions = {
+        self.handlers = {
             commands.PutPreset: self.put_preset,
             commands.SwitchPreset: self.switch_preset,
             commands.RemovePreset: self.remove_preset,
-            commands.RestorePresets: self.restore,
+            commands.RestorePresets: self.restore_presets,
             commands.PutAccount: self.put_account,
             commands.RemoveAccount: self.remove_account,
             commands.DrainTarget: self.drain,
@@ -88,14 +88,14 @@
         return self.parts.items.get(parts.IN_FORCE, "")
 
     def bootstrap(self, stamp: float, command: commands.Bootstrap) -> t.Any:
-        """Take the first configuration in, unless there is one."""
+        """Set the initial configuration, unless there already is one."""
         if self.parts.revision == 0:
             changed = {parts.IN_FORCE: command.in_force}
             for preset in command.presets:
                 changed |= parts.of_preset(preset)
             for account in command.accounts:
                 changed |= parts.of_account(account)
-            self.commit(
+            self.add_revision(
                 stamp,
                 "initial",
                 "bootstrap",
@@ -104,33 +104,37 @@
                 [],
             )
             for preset in command.presets:
-                self._note(stamp, "initial", "preset-put", preset)
+                self._append_preset(stamp, "initial", "preset-put", preset)
         return self.accepted()
 
     def apply_command(
         self, stamp: float, command: commands.OperatorCommand
     ) -> t.Any:
-        """Apply a command of an operator.
+        """Apply an operator command.
 
         Raises
         ------
         errors.RevisionConflictError
-            If the operator had not seen the last change.
+            If the operator has not seen the last operator change.
         errors.RefusedError
-            If the command does not fit the state.
+            If the command is not valid in the current state.
         """
-        if not self.operated <= command.if_match <= self.parts.revision:
+        if (
+            not self.operator_revision
+            <= command.if_match
+            <= self.parts.revision
+        ):
             raise errors.RevisionConflictError(
                 f"revision {self.parts.revision} is in force, with preset "
                 f"{self.in_force}",
                 given=command.if_match,
                 expected=self.parts.revision,
             )
-        self.actions[type(command)](stamp, command)
+        self.handlers[type(command)](stamp, command)
         return self.accepted()
 
     def accepted(self) -> commands.Accepted:
-        """Return the answer to an accepted command."""
+        """Return the result of an accepted command."""
         return commands.Accepted(self.parts.revision, self.in_force)
 
     def put_preset(self, stamp, command) -> None:
@@ -138,47 +142,47 @@
         self._put_preset(stamp, command.operator, "preset-put", command.preset)
 
     def switch_preset(self, stamp, command) -> None:
-        """Put another preset in force."""
-        self._need(f"preset/{command.name}", "preset", command.name)
+        """Make another preset the one in force."""
+        self._require(f"preset/{command.name}", "preset", command.name)
         changed = {parts.IN_FORCE: command.name}
-        self._operated(stamp, command, command.name, changed, [])
+        self._commit_command(stamp, command, command.name, changed, [])
 
     def remove_preset(self, stamp, command) -> None:
         """Remove a preset that is not in force."""
-        self._need(f"preset/{command.name}", "preset", command.name)
+        self._require(f"preset/{command.name}", "preset", command.name)
         if command.name == self.in_force:
             raise errors.BadRequestError(
                 "the preset in force cannot be removed",
                 given=command.name,
                 expected="a preset that is not in force",
             )
-        removed = self._parts_of(command.name)
-        self._operated(stamp, command, command.name, {}, removed)
+        removed = self._preset_parts(command.name)
+        self._commit_command(stamp, command, command.name, {}, removed)
 
-    def restore(self, stamp, command) -> None:
-        """Take an earlier content of presets again, as a new revision."""
-        wanted = self._presets_at(command.revision)
+    def restore_presets(self, stamp, command) -> None:
+        """Restore presets to an earlier revision, as a new revision."""
+        contents = self._presets_at(command.revision)
         name = command.name
         if name:
-            if wanted.get(name) is None:
+            if contents.get(name) is None:
                 raise errors.NotFoundError(
                     f"no preset {name} at revision {command.revision}",
                     given=name,
-                    expected=f"one of {sorted(wanted)}",
+                    expected=f"one of {sorted(contents)}",
                 )
-            wanted = {name: wanted[name]}
+            contents = {name: contents[name]}
         changed = {}
         removed = []
-        for preset, content in wanted.items():
-            held = self._parts_of(preset)
-            new = {} if content is None else of_content(content)
-            removed += sorted(set(held) - new.keys())
-            changed |= self._differing(new)
+        for preset, content in contents.items():
+            current = self._preset_parts(preset)
+            new = {} if content is None else parts_of_content(content)
+            removed += sorted(set(current) - new.keys())
+            changed |= self._changed_only(new)
         if not name:
             changed[parts.IN_FORCE] = self._in_force_at(command.revision)
-        self.commit(stamp, "", "", "", changed, removed)
-        self.operated = self.parts.revision
-        for preset, content in wanted.items():
+        self.add_revision(stamp, "", "", "", changed, removed)
+        self.operator_revision = self.parts.revision
+        for preset, content in contents.items():
             self._append(
                 Entry(
                     self.parts.revision,
@@ -201,119 +205,123 @@
             )
 
     def _presets_at(self, revision: int) -> dict[str, bytes | None]:
-        """Return contents of presets at `revision`; None where absent.
+        """Return the contents of presets at `revision`; None if absent.
 
         Raises
         ------
         errors.NotFoundError
-            If the history does not reach back to `revision`.
+            If `revision` is not covered by the history.
         """
         oldest = self.history[0].revision if self.history else 0
         if not oldest <= revision <= self.parts.revision:
             raise errors.NotFoundError(
-                "the history does not hold this revision",
+                "the history does not contain this revision",
                 given=revision,
                 expected=f"{oldest} to {self.parts.revision}",
             )
-        found: dict[str, bytes | None] = dict(self.base)
+        contents: dict[str, bytes | None] = dict(self.base_presets)
         for entry in self.history:
             if entry.action not in PRESET_ACTIONS:
                 continue
             if entry.revision <= revision:
-                found[entry.subject] = entry.content or None
+                contents[entry.subject] = entry.content or None
             else:
-                found.setdefault(entry.subject, None)
-        return found
+                contents.setdefault(entry.subject, None)
+        return contents
 
     def _in_force_at(self, revision: int) -> str:
-        found = self.base_in_force
+        name = self.base_in_force
         for entry in self.history:
-            if entry.revision <= revision and entry.action in SWITCHES:
-                found = entry.subject
-        return found
+            if entry.revision <= revision and entry.action in SWITCH_ACTIONS:
+                name = entry.subject
+        return name
 
     def put_account(self, stamp, command) -> None:
         """Create or replace an account."""
         changed = parts.of_account(command.account)
-        self._bound("account/", next(iter(changed)), ACCOUNTS_MOST)
-        self._operated(stamp, command, command.account.name, changed, [])
+        self._check_limit("account/", next(iter(changed)), MAX_ACCOUNTS)
+        self._commit_command(stamp, command, command.account.name, changed, [])
 
     def remove_account(self, stamp, command) -> None:
         """Remove an account."""
         part = f"account/{command.name}"
-        self._need(part, "account", command.name)
-        self._operated(stamp, command, command.name, {}, [part])
+        self._require(part, "account", command.name)
+        self._commit_command(stamp, command, command.name, {}, [part])
 
     def drain(self, stamp, command) -> None:
         """Drain a target."""
         part = f"drained/{command.target}"
-        self._bound("drained/", part, DRAINS_MOST)
+        self._check_limit("drained/", part, MAX_DRAINS)
         changed = {part: command.reason}
-        self._operated(stamp, command, command.target, changed, [])
+        self._commit_command(stamp, command, command.target, changed, [])
 
     def undrain(self, stamp, command) -> None:
-        """End the drain of a target."""
+        """Stop draining a target."""
         part = f"drained/{command.target}"
-        self._need(part, "drained target", command.target)
-        self._operated(stamp, command, command.target, {}, [part])
+        self._require(part, "drained target", command.target)
+        self._commit_command(stamp, command, command.target, {}, [part])
 
     def lift_quarantine(self, stamp, command) -> None:
-        """Take a request off the quarantine list."""
+        """Remove a request from the quarantine list."""
         part = f"quarantined/{command.fingerprint}"
-        self._need(part, "quarantined request", command.fingerprint)
-        self._operated(stamp, command, command.fingerprint, {}, [part])
+        self._require(part, "quarantined request", command.fingerprint)
+        self._commit_command(stamp, command, command.fingerprint, {}, [part])
 
-    def _parts_of(self, preset: str) -> list[str]:
+    def _preset_parts(self, preset: str) -> list[str]:
         return [p for p in self.parts.items if parts.belongs(p, preset)]
 
     def _put_preset(self, stamp, operator, action, preset) -> None:
         changed = parts.of_preset(preset)
-        own = f"preset/{preset.name}"
-        self._bound("preset/", own, PRESETS_MOST)
-        removed = set(self._parts_of(preset.name)) - changed.keys()
-        changed = self._differing(changed)
-        self.commit(stamp, operator, "", "", changed, sorted(removed))
-        self.operated = self.parts.revision
-        self._note(stamp, operator, action, preset)
-
-    def _differing(self, changed: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Return what differs from what is held; only that travels."""
-        held = self.parts.items
-        return {p: v for p, v in changed.items() if held.get(p) != v}
-
-    def _need(self, part: str, kind: str, name: str) -> None:
+        part = f"preset/{preset.name}"
+        self._check_limit("preset/", part, MAX_PRESETS)
+        removed = set(self._preset_parts(preset.name)) - changed.keys()
+        changed = self._changed_only(changed)
+        self.add_revision(stamp, operator, "", "", changed, sorted(removed))
+        self.operator_revision = self.parts.revision
+        self._append_preset(stamp, operator, action, preset)
+
+    def _changed_only(self, changed: dict[str, t.Any]) -> dict[str, t.Any]:
+        """Return the parts whose value changes; only these are sent."""
+        current = self.parts.items
+        return {p: v for p, v in changed.items() if current.get(p) != v}
+
+    def _require(self, part: str, kind: str, name: str) -> None:
         if part not in self.parts.items:
             raise errors.NotFoundError(
                 f"no such {kind}", given=name, expected=f"a known {kind}"
             )
 
-    def _bound(self, prefix: str, part: str, most: int) -> None:
-        known = self.parts.items
-        if part in known:
+    def _check_limit(self, prefix: str, part: str, limit: int) -> None:
+        items = self.parts.items
+        if part in items:
             return
-        held = [p for p in known if p.startswith(prefix)]
+        existing = [p for p in items if p.startswith(prefix)]
         if prefix == "preset/":
-            held = [p for p in held if p.count("/") == 1]
-        if len(held) >= most:
+            existing = [p for p in existing if p.count("/") == 1]
+        if len(existing) >= limit:
             raise errors.RefusedError(
-                f"no room for another {prefix.rstrip('/')}",
-                given=most + 1,
-                expected=f"at most {most}",
+                f"too many {prefix.rstrip('/')} entries",
+                given=limit + 1,
+                expected=f"at most {limit}",
             )
 
-    def _operated(self, stamp, command, subject, changed, removed) -> None:
+    def _commit_command(
+        self, stamp, command, subject, changed, removed
+    ) -> None:
         action = wire.tag_of(type(command))
-        self.commit(stamp, command.operator, action, subject, changed, removed)
-        self.operated = self.parts.revision
+        self.add_revision(
+            stamp, command.operator, action, subject, changed, removed
+        )
+        self.operator_revision = self.parts.revision
 
-    def commit(self, stamp, operator, action, subject, changed, removed):
-        """Make one revision and note `action`, if any, in the history."""
+    def add_revision(self, stamp, operator, action, subject, changed, removed):
+        """Create a revision; record `action`, if any, in the history."""
         revision = self.parts.revision + 1
         self.parts.change(revision, changed, removed)
         if action:
             self._append(Entry(revision, stamp, operator, action, subject))
 
-    def _note(self, stamp, operator, action, preset) -> None:
+    def _append_preset(self, stamp, operator, action, preset) -> None:
         content = wire.encode_value(preset)
         revision = self.parts.revision
         self._append(
@@ -324,45 +332,45 @@
         self.history.append(entry)
         self.history_bytes += len(entry.content)
         while (
-            len(self.history) > HISTORY_MOST
-            or self.history_bytes > HISTORY_BYTES_MOST
+            len(self.history) > MAX_HISTORY_ENTRIES
+            or self.history_bytes > MAX_HISTORY_BYTES
         ):
-            self._forget(self.history.popleft())
+            self._fold_into_base(self.history.popleft())
 
-    def _forget(self, entry: Entry) -> None:
+    def _fold_into_base(self, entry: Entry) -> None:
         self.history_bytes -= len(entry.content)
-        # What held before the oldest entry is still asked for when an
-        # operator goes back to a revision of the history.
-        if entry.action in SWITCHES:
+        # Restoring the oldest revisions in the history needs the contents
+        # set by entries that were dropped from it.
+        if entry.action in SWITCH_ACTIONS:
             self.base_in_force = entry.subject
         elif entry.content:
-            self.base[entry.subject] = entry.content
+            self.base_presets[entry.subject] = entry.content
         elif entry.action in PRESET_ACTIONS:
-            self.base.pop(entry.subject, None)
+            self.base_presets.pop(entry.subject, None)
 
     def dump(self) -> dict[str, t.Any]:
-        """Return the plain form that :meth:`load` reads."""
+        """Return the state as plain data for :meth:`load`."""
         return {
             "parts": self.parts.dump(),
-            "operated": self.operated,
-            "base": self.base,
+            "operated": self.operator_revision,
+            "base": self.base_presets,
             "base_in_force": self.base_in_force,
             "history": [dataclasses.astuple(e) for e in self.history],
         }
 
     @classmethod
     def load(cls, values: dict[str, t.Any]) -> "Book":
-        """Return the book that :meth:`dump` wrote."""
-        made = cls()
-        made.parts = parts.Parts.load(values["parts"])
-        made.operated = values["operated"]
-        made.base = values["base"]
-        made.base_in_force = values["base_in_force"]
+        """Return an instance with the state from :meth:`dump`."""
+        book = cls()
+        book.parts = parts.Parts.load(values["parts"])
+        book.operator_revision = values["operated"]
+        book.base_presets = values["base"]
+        book.base_in_force = values["base_in_force"]
         for entry in values["history"]:
-            made._append(Entry(*entry))
-        return made
+            book._append(Entry(*entry))
+        return book
 
 
-def of_content(content: bytes) -> dict[str, t.Any]:
-    """Return the parts of a preset kept as `content` in the history."""
+def parts_of_content(content: bytes) -> dict[str, t.Any]:
+    """Return the parts of a preset from the history."""
     return parts.of_plain_preset(wire.decode_value(content))
--- a/amaranthring/keepers/quarantine.py
+++ b/amaranthring/keepers/quarantine.py
@@ -1,38 +1,39 @@
-"""The quarantine list: requests refused everywhere until they expire.
+"""The quarantine list: requests that all routers reject until they expire.
 
-The list is part of the configuration, so it reaches every router as a
-revision. It is bounded: the entry that expires first makes room.
+The list is part of the configuration, so every change of it is distributed
+to the routers as a revision. When it is full, the entry that expires first
+is dropped.
 """
 
-QUARANTINE_MOST = 1000
-SECONDS_MOST = 7 * 86400.0
+MAX_ENTRIES = 1000
+MAX_SECONDS = 7 * 86400.0
 PREFIX = "quarantined/"
 
 
 def entries(book) -> dict[str, float]:
-    """Return fingerprints and the stamps of their expiry."""
+    """Return the expiry time of each quarantined fingerprint."""
     items = book.parts.items
     found = {p: v for p, v in items.items() if p.startswith(PREFIX)}
     return {part.removeprefix(PREFIX): until for part, until in found.items()}
 
 
 def add(book, stamp: float, command) -> None:
-    """Add a fingerprint to `book` and drop those that expired.
+    """Add a fingerprint and drop expired ones.
 
-    Two routers that report the same request make one entry; the later
-    expiry holds. A report that changes nothing makes no revision.
+    If the fingerprint is already listed, the later expiry applies. No
+    revision is created if nothing changes.
     """
-    seconds = min(command.seconds, SECONDS_MOST)
-    known = entries(book)
-    wanted = max(stamp + seconds, known.get(command.fingerprint, 0.0))
-    if known.get(command.fingerprint) == wanted:
+    seconds = min(command.seconds, MAX_SECONDS)
+    current = entries(book)
+    expiry = max(stamp + seconds, current.get(command.fingerprint, 0.0))
+    if current.get(command.fingerprint) == expiry:
         return
-    known.pop(command.fingerprint, None)
-    live = sorted((u, f) for f, u in known.items() if u > stamp)
-    kept = live[-(QUARANTINE_MOST - 1) :]
-    gone = known.keys() - {fingerprint for _, fingerprint in kept}
-    changed = {PREFIX + command.fingerprint: wanted}
-    removed = sorted(PREFIX + fingerprint for fingerprint in gone)
-    book.commit(
+    current.pop(command.fingerprint, None)
+    live = sorted((u, f) for f, u in current.items() if u > stamp)
+    retained = live[-(MAX_ENTRIES - 1) :]
+    dropped = current.keys() - {fingerprint for _, fingerprint in retained}
+    changed = {PREFIX + command.fingerprint: expiry}
+    removed = sorted(PREFIX + fingerprint for fingerprint in dropped)
+    book.add_revision(
         stamp, "fleet", "quarantine", command.fingerprint, changed, removed
     )
--- a/amaranthring/keepers/queries.py
+++ b/amaranthring/keepers/queries.py
@@ -1,7 +1,7 @@
-"""What a keeper answers to questions that change nothing.
+"""Answers read-only queries of routers and operators.
 
-The keeper's process calls :meth:`Queries.answer` only after it made sure
-that it leads, so that what it answers is not older than any accepted change.
+:meth:`Queries.answer` is called only after the read barrier of the leader,
+so that answers reflect every accepted change.
 """
 
 import asyncio
@@ -13,20 +13,20 @@
 from amaranthring.core import parts
 from amaranthring.keepers import commands
 from amaranthring.keepers import quarantine
-from amaranthring.keepers import state_machine as machines
+from amaranthring.keepers import state_machine
 
-WAIT_SECONDS_MOST = 10.0
-ROUTERS_MOST = 5000
-HISTORY_SHOWN = 200
+MAX_WAIT_SECONDS = 10.0
+MAX_ROUTERS = 5000
+MAX_HISTORY_ROWS = 200
 
 
 @dataclasses.dataclass
-class Seen:
-    """Last word of one router: its revision, and when it was heard."""
+class RouterState:
+    """Last reported revision of a router, and the time of the report."""
 
     data_centre: str
     revision: int
-    heard: float
+    reported_at: float
 
 
 class Queries:
@@ -35,18 +35,20 @@
     Attributes
     ----------
     routers : dict
-        What each router last confirmed. It lives in memory only: a new
-        leader knows it again within the routers' reporting period.
+        Last reported revision of each router. Kept in memory only: a new
+        leader receives it within one reporting period of the routers.
     views : dict
-        Name of a view to the function of a name that makes it; other parts
-        of the keeper add theirs.
+        Function that builds each view, called with the ``name`` of the
+        query.
     """
 
-    def __init__(self, machine: machines.StateMachine, clock=time.monotonic):
+    def __init__(
+        self, machine: state_machine.StateMachine, clock=time.monotonic
+    ):
         self.machine = machine
         self.clock = clock
-        self.routers: dict[str, Seen] = {}
-        self.waiting: set[asyncio.Future] = set()
+        self.routers: dict[str, RouterState] = {}
+        self.waiters: set[asyncio.Future] = set()
         self.views: dict[str, t.Callable[[str], t.Any]] = {
             "config": self._config,
             "status": self._status,
@@ -56,9 +58,9 @@
         }
         self.handlers: dict[type, t.Callable[[t.Any], t.Any]] = {
             commands.StateQuery: self._view,
-            commands.RouterRevisions: self._confirmed,
+            commands.RouterRevisions: self._update_routers,
         }
-        machine.on_revision.append(self._wake)
+        machine.on_revision.append(self._wake_waiters)
 
     async def answer(self, message: t.Any) -> t.Any:
         """Return the answer to `message`.
@@ -80,43 +82,45 @@
         return handler(message)
 
     async def _config_since(self, message) -> parts.Delta:
-        wait = min(message.wait_seconds, WAIT_SECONDS_MOST)
+        wait = min(message.wait_seconds, MAX_WAIT_SECONDS)
         if self.machine.book.parts.revision <= message.revision and wait > 0:
             future = asyncio.get_running_loop().create_future()
-            self.waiting.add(future)
+            self.waiters.add(future)
             try:
                 await asyncio.wait([future], timeout=wait)
             finally:
-                self.waiting.discard(future)
+                self.waiters.discard(future)
         return self.machine.config_since(message.revision)
 
-    def _wake(self) -> None:
-        for future in self.waiting:
+    def _wake_waiters(self) -> None:
+        for future in self.waiters:
             if not future.done():
                 future.set_result(None)
 
-    def _confirmed(
+    def _update_routers(
         self, message: commands.RouterRevisions
     ) -> commands.StateView:
         now = self.clock()
         for name, revision in message.routers.items():
-            heard = now - message.ages.get(name, 0.0)
-            known = self.routers.get(name)
-            if known is None and len(self.routers) >= ROUTERS_MOST:
+            reported_at = now - message.ages.get(name, 0.0)
+            current = self.routers.get(name)
+            if current is None and len(self.routers) >= MAX_ROUTERS:
                 continue
-            if known is None or heard >= known.heard:
-                self.routers[name] = Seen(message.data_centre, revision, heard)
+            if current is None or reported_at >= current.reported_at:
+                self.routers[name] = RouterState(
+                    message.data_centre, revision, reported_at
+                )
         return commands.StateView(None)
 
     def _view(self, message: commands.StateQuery) -> commands.StateView:
-        make = self.views.get(message.what)
-        if make is None:
+        build_view = self.views.get(message.what)
+        if build_view is None:
             raise errors.NotFoundError(
                 "no such view",
                 given=message.what,
                 expected=f"one of {sorted(self.views)}",
             )
-        return commands.StateView(make(message.name))
+        return commands.StateView(build_view(message.name))
 
     def _config(self, _: str) -> t.Any:
         book = self.machine.book
@@ -132,11 +136,11 @@
             "claims": len(self.machine.ledger),
             "routers": {
                 name: {
-                    "data_centre": seen.data_centre,
-                    "revision": seen.revision,
-                    "age_seconds": round(now - seen.heard, 1),
+                    "data_centre": router.data_centre,
+                    "revision": router.revision,
+                    "age_seconds": round(now - router.reported_at, 1),
                 }
-                for name, seen in sorted(self.routers.items())
+                for name, router in sorted(self.routers.items())
             },
         }
 
@@ -153,7 +157,7 @@
                 "operator": entry.operator,
                 "change": f"{entry.action} {entry.subject}".rstrip(),
             }
-            for entry in entries[-HISTORY_SHOWN:]
+            for entry in entries[-MAX_HISTORY_ROWS:]
         ]
 
     def _quarantine(self, _: str) -> t.Any:
--- a/amaranthring/keepers/state_machine.py
+++ b/amaranthring/keepers/state_machine.py
@@ -1,7 +1,8 @@
-"""The replicated state: what every keeper computes from the log.
+"""Replicated state machine of the fleet state.
 
-Deterministic: the result of a command depends on the state, the command and
-the stamp of its entry only, so that every keeper and every replay agree.
+Applying commands is deterministic: the result depends only on the state, the
+command and the timestamp of its log entry, so that all keepers and every
+replay of the log agree.
 """
 
 import collections
@@ -27,38 +28,38 @@
 
     Parameters
     ----------
-    claim_seconds : float
+    claim_retention_seconds : float
         Retention of claims.
-    answer_bytes_most : int
-        Bound on a stored answer.
+    max_answer_bytes : int
+        Maximum size of a stored answer.
 
     Attributes
     ----------
     book : presets.Book
-        Configuration and history.
+        Configuration and its history.
     ledger : ledger.Ledger
-        Claims.
+        Claims of idempotency keys.
     orders : orders.Orders
         Orders to targets and the fencing number.
     answers : dict
-        First answers to operators' commands, by command id, oldest first.
+        First answers to operator commands by command id, oldest first.
     stamp : float
-        Highest stamp applied, in seconds.
+        Highest log timestamp applied, in seconds.
     index : int
-        Last entry applied.
+        Index of the last log entry applied.
     on_revision : list of callable
-        Called without arguments after the revision moved.
+        Called without arguments after the revision changed.
     """
 
     def __init__(
         self,
-        claim_seconds: float = ledger.RETENTION_SECONDS,
+        claim_retention_seconds: float = ledger.RETENTION_SECONDS,
         max_answer_bytes: int = ledger.MAX_ANSWER_BYTES,
     ):
-        self.claim_seconds = claim_seconds
+        self.claim_retention_seconds = claim_retention_seconds
         self.max_answer_bytes = max_answer_bytes
         self.book = presets.Book()
-        self.ledger = ledger.Ledger(claim_seconds, max_answer_bytes)
+        self.ledger = ledger.Ledger(claim_retention_seconds, max_answer_bytes)
         self.orders = orders.Orders()
         self.answers: collections.OrderedDict[str, list[t.Any]]
         self.answers = collections.OrderedDict()
@@ -72,7 +73,7 @@
         Parameters
         ----------
         index : int
-            Position in the log.
+            Index of the log entry.
         stamp : float
             Wall time of the leader at the proposal, in seconds.
         command : object
@@ -81,20 +82,21 @@
         Raises
         ------
         errors.AmaranthringError
-            Which is the result of this command; nothing changed.
+            If the command is rejected; the state is unchanged.
         """
-        # A clock that was set back must not bring expired things to life.
+        # Time must not go backwards when a leader's clock is set back, or
+        # expired entries would become valid again.
         self.stamp = max(self.stamp, stamp)
         self.index = index
         revision = self.book.parts.revision
         try:
-            return self._applied(command)
+            return self._dispatch(command)
         finally:
             if self.book.parts.revision != revision:
-                self.orders.set_desired(self._desired())
-                self._tell()
+                self.orders.set_desired(self._desired_digest())
+                self._notify()
 
-    def _applied(self, command: t.Any) -> t.Any:
+    def _dispatch(self, command: t.Any) -> t.Any:
         if isinstance(command, commands.Claim):
             claim = self.ledger.claim(self.stamp, command)
             return commands.ClaimResult(claim)
@@ -102,7 +104,7 @@
             claim = self.ledger.settle(self.stamp, command)
             return commands.ClaimResult(claim)
         if isinstance(command, commands.OperatorCommand):
-            return self._once(command)
+            return self._apply_once(command)
         if isinstance(command, commands.AddQuarantine):
             quarantine.add(self.book, self.stamp, command)
             return self.book.accepted()
@@ -113,47 +115,47 @@
         if isinstance(command, commands.Bootstrap):
             return self.book.bootstrap(self.stamp, command)
         raise errors.BadRequestError(
-            "not a command of the log",
+            "not a log command",
             given=type(command).__name__,
             expected="a command",
         )
 
-    def _desired(self) -> str:
-        """Return a digest of the desired models and roles in force."""
-        base = f"preset/{self.book.in_force}/desired_"
+    def _desired_digest(self) -> str:
+        """Return a digest of the desired models and roles."""
+        prefix = f"preset/{self.book.in_force}/desired_"
         items = self.book.parts.items.items()
-        found = sorted(i for i in items if i[0].startswith(base))
-        return hashing.digest(wire.encode_value(found))
+        desired = sorted(i for i in items if i[0].startswith(prefix))
+        return hashing.digest(wire.encode_value(desired))
 
-    def _once(self, command: commands.OperatorCommand) -> t.Any:
-        """Apply an operator's command, or give its first answer again."""
+    def _apply_once(self, command: commands.OperatorCommand) -> t.Any:
+        """Apply an operator command, or repeat its first answer."""
         content = hashing.digest(
             wire.tag_of(type(command)), wire.encode_value(command)
         )
-        known = self.answers.get(command.command_id)
-        if known is not None:
-            return self._again(known, content)
+        stored = self.answers.get(command.command_id)
+        if stored is not None:
+            return self._repeat_answer(stored, content)
         try:
             result = self.book.apply_command(self.stamp, command)
         except errors.AmaranthringError as error:
-            self._keep(command, content, "", error.to_record())
+            self._store_answer(command, content, "", error.to_record())
             raise
-        self._keep(command, content, *wire.encode_message(result))
+        self._store_answer(command, content, *wire.encode_message(result))
         return result
 
-    def _again(self, known: list[t.Any], content: str) -> t.Any:
-        _, first, tag, body = known
-        if first != content:
+    def _repeat_answer(self, stored: list[t.Any], content: str) -> t.Any:
+        _, stored_content, tag, body = stored
+        if stored_content != content:
             raise errors.CommandReusedError(
                 "the command id was used for another command",
-                given="another content",
-                expected="the first content or a new command id",
+                given="different content",
+                expected="the original content or a new command id",
             )
         if tag == "":
             raise errors.from_record(body)
         return wire.decode_message(tag, body)
 
-    def _keep(self, command, content, tag, body) -> None:
+    def _store_answer(self, command, content, tag, body) -> None:
         self.answers[command.command_id] = [self.stamp, content, tag, body]
         while len(self.answers) > MAX_ANSWERS or self._oldest_expired():
             self.answers.popitem(last=False)
@@ -162,12 +164,12 @@
         stamp = next(iter(self.answers.values()))[0]
         return stamp < self.stamp - ANSWER_RETENTION_SECONDS
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         for callback in self.on_revision:
             callback()
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the state as bytes for :meth:`restore`."""
         return wire.encode_value(
             {
                 "version": SNAPSHOT_VERSION,
@@ -181,12 +183,13 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Take over the state in `data`, or change nothing.
+        """Replace the state by that from :meth:`snapshot`.
 
         Raises
         ------
         errors.StorageError
-            If `data` is not a snapshot that this version reads.
+            If `data` is not a snapshot of a supported version; the state is
+            unchanged.
         """
         try:
             values = wire.decode_value(data)
@@ -195,7 +198,7 @@
             raise errors.StorageError("not a snapshot") from error
         if version != SNAPSHOT_VERSION:
             raise errors.StorageError(
-                "version of the snapshot",
+                "unsupported snapshot version",
                 given=version,
                 expected=SNAPSHOT_VERSION,
             )
@@ -205,8 +208,8 @@
         self.answers = collections.OrderedDict(values["answers"])
         self.stamp = values["stamp"]
         self.index = values["index"]
-        self._tell()
+        self._notify()
 
     def config_since(self, revision: int) -> parts.Delta:
-        """Return what a holder of `revision` lacks."""
+        """Return the configuration changes after `revision`."""
         return self.book.parts.since(revision)
