--- a/amaranthring/keepers/orders.py
+++ b/amaranthring/keepers/orders.py
@@ -1,12 +1,12 @@
-"""Orders to targets, as the log holds them.
+"""Replicated state of the orders to targets.
 
-An order is in the log, under a fencing number of its own, before it is sent.
-Numbers grow over all leaders, so a target that checks them refuses an order
-of a leader that was replaced. One order at most is open for a target.
+An order is recorded in the log under its own fencing number before it is
+sent. Fencing numbers grow across leaders, so a target that checks them
+rejects orders of a deposed leader. At most one order is open for a target.
 
-A pair of target and model that failed is tried again after a growing pause
-and a few times only; then it stays failed until the desired state changes,
-so that a model which does not load does not keep the fleet loading it.
+A failed order is retried with exponential backoff and a limited number of
+attempts, until the desired state changes. This keeps a model that cannot be
+loaded from occupying the weight store.
 """
 
 import collections
@@ -17,14 +17,14 @@
 from amaranthring.core import parts
 from amaranthring.keepers import commands
 
-FINISHED_MOST = 500
+MAX_FINISHED = 500
 MAX_ATTEMPTS = 3
 MAX_MODEL_FAILURES = 6
-PAUSE_FIRST_SECONDS = 30.0
-PAUSE_MOST_SECONDS = 600.0
-FORGET_SECONDS = 3600.0
-DETAIL_MOST = 200
-MINUTE = 60.0
+INITIAL_BACKOFF_SECONDS = 30.0
+MAX_BACKOFF_SECONDS = 600.0
+ATTEMPTS_RETENTION_SECONDS = 3600.0
+MAX_DETAIL_CHARS = 200
+LOAD_WINDOW_SECONDS = 60.0
 
 
 @dataclasses.dataclass
@@ -34,9 +34,9 @@
     Attributes
     ----------
     fencing : int
-        Its number, which also names it.
+        Fencing number, which also identifies the order.
     began, ended : float
-        Stamps; `ended` is 0 while it is open.
+        Log timestamps; `ended` is 0 while the order is open.
     """
 
     fencing: int
@@ -51,17 +51,17 @@
 
 
 @dataclasses.dataclass
-class Tries:
-    """Tries of one order at one incarnation of a target.
+class Attempts:
+    """Attempts of the same order at one incarnation of a target.
 
     Attributes
     ----------
     count : int
-        Orders begun in this desired state.
+        Number of attempts since the desired state changed.
     failed : bool
-        Whether the last one failed.
+        Whether the last attempt failed.
     until : float
-        Stamp before which it is not tried again.
+        Log timestamp before which the order is not retried.
     """
 
     count: int = 0
@@ -69,8 +69,8 @@
     until: float = 0.0
 
 
-def tries_key(target: str, incarnation: int, kind: str, wanted: str) -> str:
-    """Return the key under which tries are counted."""
+def attempts_key(target: str, incarnation: int, kind: str, wanted: str) -> str:
+    """Return the key under which attempts are counted."""
     return f"{target}\0{incarnation}\0{kind}\0{wanted}"
 
 
@@ -80,51 +80,52 @@
     Attributes
     ----------
     fencing : int
-        Highest number given out.
+        Highest fencing number assigned so far.
     open : dict
-        Target to its open order.
+        Open order of each target.
     finished : deque
-        Orders that ended, oldest first.
-    quiet : dict
-        Target to the stamp until which it may still be at an order whose
-        end is unknown.
+        Finished orders, oldest first.
+    busy_until : dict
+        Log timestamp until which a target may still be executing an order
+        whose result is unknown.
     """
 
     def __init__(self):
         self.fencing = 0
         self.open: dict[str, Order] = {}
         self.finished: collections.deque[Order]
-        self.finished = collections.deque(maxlen=FINISHED_MOST)
-        self.tries: dict[str, Tries] = {}
+        self.finished = collections.deque(maxlen=MAX_FINISHED)
+        self.attempts: dict[str, Attempts] = {}
         self.failures: collections.Counter[str] = collections.Counter()
-        self.quiet: dict[str, float] = {}
-        self.loads: collections.deque[float] = collections.deque()
+        self.busy_until: dict[str, float] = {}
+        self.load_times: collections.deque[float] = collections.deque()
         self.desired = ""
 
     def begin(self, stamp: float, command) -> commands.OrderBegun:
-        """Take an order down and give it a number.
+        """Record an order and assign its fencing number.
 
         Raises
         ------
         errors.RefusedError
-            If another order is open for the target, or it failed too often.
+            If another order is open for the target, or the order must not
+            be retried now.
         errors.RateLimitedError
-            If the weight store is busy.
+            If the limits of the weight store are reached.
         """
-        self._forget(stamp)
-        known = self.open.get(command.target)
-        if (known.fencing if known else 0) != command.supersedes:
+        self._drop_expired(stamp)
+        current = self.open.get(command.target)
+        if (current.fencing if current else 0) != command.supersedes:
             raise errors.RefusedError(
                 f"another order is open for {command.target}",
                 given=command.supersedes,
-                expected=known.fencing if known else 0,
+                expected=current.fencing if current else 0,
             )
-        if known is None:
-            self._check(stamp, command)
-        if known is not None:
-            self._finish(known, stamp, commands.OrderState.SUPERSEDED, "")
+        if current is None:
+            self._check_allowed(stamp, command)
+        if current is not None:
+            self._finish(current, stamp, commands.OrderState.SUPERSEDED, "")
         if command.kind == commands.OrderKind.LOAD:
-            self.loads.append(stamp)
+            self.load_times.append(stamp)
         self.fencing += 1
         self.open[command.target] = Order(
             self.fencing,
@@ -134,19 +135,19 @@
             command.wanted,
             stamp,
         )
-        key = tries_key(
+        key = attempts_key(
             command.target, command.incarnation, command.kind, command.wanted
         )
-        self.tries.setdefault(key, Tries()).count += 1
+        self.attempts.setdefault(key, Attempts()).count += 1
         return commands.OrderBegun(self.fencing)
 
     def end(self, stamp: float, command) -> commands.OrderEnded:
-        """Take down how an order ended; a repeat changes nothing.
+        """Record the result of an order.
 
         Raises
         ------
         errors.NotFoundError
-            If no such order is open.
+            If no such order is open, as when the result is recorded again.
         """
         self.fencing = max(self.fencing, command.seen)
         order = next(
@@ -162,34 +163,36 @@
         states = commands.OrderState
         state = states.DONE if command.done else states.FAILED
         self._finish(order, stamp, state, command.detail)
-        self._count(order, stamp, command)
+        self._count_attempt(order, stamp, command)
         return commands.OrderEnded(state)
 
-    def blocked(self, stamp, target, incarnation, kind, wanted) -> str:
-        """Return why this must not be ordered now, or an empty string."""
-        if self.quiet.get(target, 0.0) > stamp:
+    def blocked_reason(self, stamp, target, incarnation, kind, wanted) -> str:
+        """Return why the order must not be sent now, or an empty string."""
+        if self.busy_until.get(target, 0.0) > stamp:
             return "the target may still be at an earlier order"
         if self.failures[wanted] >= MAX_MODEL_FAILURES:
             return "failed on several targets"
-        tries = self.tries.get(tries_key(target, incarnation, kind, wanted))
-        if tries is None:
+        attempts = self.attempts.get(
+            attempts_key(target, incarnation, kind, wanted)
+        )
+        if attempts is None:
             return ""
-        if tries.count >= MAX_ATTEMPTS:
+        if attempts.count >= MAX_ATTEMPTS:
             return "failed too often"
-        return "waits for its next try" if tries.until > stamp else ""
+        return "waits for its next try" if attempts.until > stamp else ""
 
     def set_desired(self, desired: str) -> None:
-        """Start counting tries anew if the desired state changed."""
+        """Reset the attempt counts if the desired state has changed."""
         if desired != self.desired:
             self.desired = desired
-            self.tries.clear()
+            self.attempts.clear()
             self.failures.clear()
 
     def view(self) -> list[dict[str, t.Any]]:
-        """Return every order known, newest first."""
-        known = [*self.finished, *self.open.values()]
+        """Return all known orders as rows, newest first."""
+        all_orders = [*self.finished, *self.open.values()]
         rows = []
-        for order in sorted(known, key=lambda o: -o.fencing):
+        for order in sorted(all_orders, key=lambda o: -o.fencing):
             row = dataclasses.asdict(order)
             row["order"] = str(order.fencing)
             row["action"] = f"{order.kind} {order.wanted}"
@@ -197,34 +200,34 @@
         return rows
 
     def dump(self) -> dict[str, t.Any]:
-        """Return the plain form that :meth:`load` reads."""
+        """Return the state as plain data for :meth:`load`."""
         return parts.plain(
             {
                 "fencing": self.fencing,
                 "open": list(self.open.values()),
                 "finished": list(self.finished),
-                "tries": self.tries,
+                "tries": self.attempts,
                 "failures": dict(self.failures),
-                "quiet": self.quiet,
-                "loads": list(self.loads),
+                "quiet": self.busy_until,
+                "loads": list(self.load_times),
                 "desired": self.desired,
             }
         )
 
     def load(self, values: dict[str, t.Any]) -> None:
-        """Take over the orders that :meth:`dump` wrote."""
+        """Replace the state by that from :meth:`dump`."""
         self.fencing = values["fencing"]
         self.open = {v["target"]: Order(**v) for v in values["open"]}
         self.finished.clear()
         self.finished.extend(Order(**v) for v in values["finished"])
-        self.tries = {k: Tries(**v) for k, v in values["tries"].items()}
+        self.attempts = {k: Attempts(**v) for k, v in values["tries"].items()}
         self.failures = collections.Counter(values["failures"])
-        self.quiet = values["quiet"]
-        self.loads = collections.deque(values["loads"])
+        self.busy_until = values["quiet"]
+        self.load_times = collections.deque(values["loads"])
         self.desired = values["desired"]
 
-    def _check(self, stamp: float, command) -> None:
-        reason = self.blocked(
+    def _check_allowed(self, stamp: float, command) -> None:
+        reason = self.blocked_reason(
             stamp,
             command.target,
             command.incarnation,
@@ -235,49 +238,56 @@
             raise errors.RefusedError(
                 f"{command.kind} {command.wanted} on {command.target}",
                 given=reason,
-                expected="a later try or another desired state",
+                expected="a later attempt or a changed desired state",
             )
         if command.kind != commands.OrderKind.LOAD:
             return
         kinds = [order.kind for order in self.open.values()]
         if (
             kinds.count(commands.OrderKind.LOAD) >= command.loads_at_once
-            or len(self.loads) >= command.loads_per_minute
+            or len(self.load_times) >= command.loads_per_minute
         ):
             raise errors.RateLimitedError(
-                "the weight store is at its limit", retry_after=1.0
+                "the load limit of the weight store is reached",
+                retry_after=1.0,
             )
 
     def _finish(self, order, stamp, state, detail) -> None:
         del self.open[order.target]
         order.state = str(state)
         order.ended = stamp
-        order.detail = detail[:DETAIL_MOST]
+        order.detail = detail[:MAX_DETAIL_CHARS]
         self.finished.append(order)
 
-    def _count(self, order: Order, stamp: float, command) -> None:
-        key = tries_key(
+    def _count_attempt(self, order: Order, stamp: float, command) -> None:
+        key = attempts_key(
             order.target, order.incarnation, order.kind, order.wanted
         )
-        tries = self.tries.setdefault(key, Tries(1))
-        tries.failed = not command.done
-        # A target that says "done" shows what it serves a little later.
-        pause = PAUSE_FIRST_SECONDS * 2 ** (tries.count - 1)
-        tries.until = stamp + min(pause, PAUSE_MOST_SECONDS)
+        attempts = self.attempts.setdefault(key, Attempts(1))
+        attempts.failed = not command.done
+        # The backoff applies after a success too, as reports reflect what
+        # the target serves only after a delay.
+        backoff = INITIAL_BACKOFF_SECONDS * 2 ** (attempts.count - 1)
+        attempts.until = stamp + min(backoff, MAX_BACKOFF_SECONDS)
         if command.quiet_seconds:
-            self.quiet[order.target] = stamp + command.quiet_seconds
+            self.busy_until[order.target] = stamp + command.quiet_seconds
         if command.done:
             self.failures.pop(order.wanted, None)
         else:
             self.failures[order.wanted] += 1
 
-    def _forget(self, stamp: float) -> None:
-        while self.loads and self.loads[0] <= stamp - MINUTE:
-            self.loads.popleft()
-        self.quiet = {k: v for k, v in self.quiet.items() if v > stamp}
-        old = stamp - FORGET_SECONDS
-        self.tries = {
-            key: tries
-            for key, tries in self.tries.items()
-            if tries.failed or tries.until > old
+    def _drop_expired(self, stamp: float) -> None:
+        while (
+            self.load_times
+            and self.load_times[0] <= stamp - LOAD_WINDOW_SECONDS
+        ):
+            self.load_times.popleft()
+        self.busy_until = {
+            k: v for k, v in self.busy_until.items() if v > stamp
+        }
+        oldest = stamp - ATTEMPTS_RETENTION_SECONDS
+        self.attempts = {
+            key: attempts
+            for key, attempts in self.attempts.items()
+            if attempts.failed or attempts.until > oldest
         }
--- a/amaranthring/keepers/planner.py
+++ b/amaranthring/keepers/planner.py
@@ -1,8 +1,7 @@
-"""Which orders lead from what targets serve to what the preset wants.
+"""Plans the orders that lead from the current to the desired state.
 
-A plain function of what is known; the leader of the keepers repeats it and
-takes its steps one by one. Models and targets that the preset does not name
-are left alone.
+A pure function of the known state, which the leading keeper evaluates
+periodically. Models and targets that the preset does not name are ignored.
 """
 
 import collections
@@ -14,19 +13,19 @@
 from amaranthring.core import records
 from amaranthring.keepers import commands
 
-Blocked = t.Callable[[records.Target, str, str], str]
+BlockCheck = t.Callable[[records.Target, str, str], str]
 
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One order that should be given.
+    """One planned order.
 
     Attributes
     ----------
     target : records.Target
-        Whom to order.
+        Target that receives the order.
     kind : commands.OrderKind
-        What.
+        Kind of the order.
     wanted : str
         Model or role.
     """
@@ -41,9 +40,9 @@
     targets: list[records.Target],
     drained: t.Collection[str],
     busy: dict[str, str],
-    blocked: Blocked,
+    blocked: BlockCheck,
 ) -> list[Step]:
-    """Return the steps that may be taken now.
+    """Return the steps that can be executed now.
 
     Parameters
     ----------
@@ -52,27 +51,28 @@
     targets : list of records.Target
         Ready targets of the whole fleet.
     drained : collection of str
-        Targets that operators drain; they get no model.
+        Names of drained targets; no model is loaded on them.
     busy : dict
-        Targets with an open order, and the model that it loads or an empty
-        string.
+        Names of targets with an open order, and the model that the order
+        loads, or an empty string.
     blocked : callable
-        Of target, kind and wanted: why that must wait, or an empty string.
+        Called with target, kind and wanted; returns why the order must not
+        be sent now, or an empty string.
     """
     engines = [t for t in targets if t.kind == records.TargetKind.ENGINE]
     engines.sort(key=lambda target: target.name)
-    steps = _roles(preset, engines, busy, blocked)
-    taken = {step.target.name for step in steps} | set(busy)
+    steps = _role_steps(preset, engines, busy, blocked)
+    assigned = {step.target.name for step in steps} | set(busy)
     for model, count in sorted(preset.desired_models.items()):
-        made = _model_steps(
-            model, count, preset, engines, drained, busy, taken, blocked
+        model_steps = _model_steps(
+            model, count, preset, engines, drained, busy, assigned, blocked
         )
-        taken.update(step.target.name for step in made)
-        steps += made
+        assigned.update(step.target.name for step in model_steps)
+        steps += model_steps
     return steps
 
 
-def _roles(preset, engines, busy, blocked) -> list[Step]:
+def _role_steps(preset, engines, busy, blocked) -> list[Step]:
     steps = []
     for engine in engines:
         role = preset.desired_roles.get(engine.name)
@@ -84,7 +84,7 @@
 
 
 def _model_steps(
-    model, count, preset, engines, drained, busy, taken, blocked
+    model, count, preset, engines, drained, busy, assigned, blocked
 ) -> list[Step]:
     serving = [engine for engine in engines if model in engine.serves]
     live = [engine for engine in serving if engine.name not in drained]
@@ -95,22 +95,22 @@
             engine
             for engine in engines
             if model not in engine.serves
-            and engine.name not in taken
+            and engine.name not in assigned
             and engine.name not in drained
             and not blocked(engine, commands.OrderKind.LOAD, model)
         ]
-        chosen = _spread(model, missing, free, live, preset)
+        chosen = _choose_engines(model, missing, free, live, preset)
         return [
             Step(engine, commands.OrderKind.LOAD, model) for engine in chosen
         ]
-    # Nothing is unloaded while a load is under way: what serves now goes
-    # only after its replacement serves.
+    # Nothing is unloaded while a load is in progress, so that a replica is
+    # removed only after its replacement serves.
     if missing == 0 or loading:
         return []
     spare = [
         engine
-        for engine in reversed(hashing_order(model, live))
-        if engine.name not in taken
+        for engine in reversed(rank_engines(model, live))
+        if engine.name not in assigned
         and not blocked(engine, commands.OrderKind.UNLOAD, model)
     ]
     return [
@@ -119,23 +119,25 @@
     ]
 
 
-def hashing_order(model: str, engines) -> list[records.Target]:
-    """Return `engines`, best first for `model`, equal on every leader."""
+def rank_engines(model: str, engines) -> list[records.Target]:
+    """Return `engines` by rendezvous rank; the same on every leader."""
     by_name = {engine.name: engine for engine in engines}
     return [by_name[name] for name in hashing.order(model, by_name)]
 
 
-def _spread(model, missing, free, live, preset) -> list[records.Target]:
-    """Choose engines: few replicas in their data centre, few models."""
+def _choose_engines(
+    model, missing, free, live, preset
+) -> list[records.Target]:
+    """Prefer data centres with few replicas, then engines with few models."""
     placed = collections.Counter(engine.data_centre for engine in live)
-    ordered = hashing_order(model, free)
+    ordered = rank_engines(model, free)
     chosen = []
     while ordered and len(chosen) < missing:
         best = min(
             ordered,
             key=lambda engine: (
                 placed[engine.data_centre],
-                _held(engine, preset),
+                _desired_models_served(engine, preset),
             ),
         )
         ordered.remove(best)
@@ -144,5 +146,7 @@
     return chosen
 
 
-def _held(engine: records.Target, preset: fleet.Preset) -> int:
+def _desired_models_served(
+    engine: records.Target, preset: fleet.Preset
+) -> int:
     return sum(model in preset.desired_models for model in engine.serves)
--- a/amaranthring/keepers/reconciler.py
+++ b/amaranthring/keepers/reconciler.py
@@ -1,10 +1,10 @@
-"""Gives targets the orders that lead to the desired state; leader only.
+"""Sends orders to targets to reach the desired state; leader only.
 
-Every order is committed to the log before it is sent and its end after. The
-lease is checked right before an order goes out. A new leader finds the open
-orders of the one before in the log: where the target checks fencing numbers
-it orders again at once under a higher one; where it does not, it first waits
-until whatever the old leader may have sent has ended.
+Every order is committed to the log before it is sent, and its result
+afterwards. The lease is checked right before an order is sent. A new leader
+takes over the open orders in the log: if the target checks fencing numbers,
+the order is sent again at once under a higher number; otherwise only after
+any order that the previous leader may have sent has certainly ended.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 log = logbook.Logger(__name__)
 
-PROPOSE_SECONDS = 5.0
+PROPOSE_TIMEOUT_SECONDS = 5.0
 
 
 @dataclasses.dataclass
@@ -33,41 +33,43 @@
 
     Attributes
     ----------
-    step_seconds : float
-        Pause between two looks at the state.
-    patience_seconds : float
-        Time for which a step must be wanted before it is taken, so that a
-        target that flaps or a report that is late orders nothing.
+    interval_seconds : float
+        Pause between two reconciliation rounds.
+    debounce_seconds : float
+        Time for which a step must be planned before it is executed, so that
+        flapping targets and late reports cause no orders.
     order_seconds : float
-        Longest time of one order.
+        Timeout of one order.
     lease_seconds : float
-        Longest lease of an earlier leader, with a margin.
-    know_seconds : float
-        Time in which a new leader hears from every data centre.
-    show_seconds : float
-        Time in which a target shows what a finished order changed.
+        Upper bound of the lease of a previous leader, with a margin.
+    discovery_seconds : float
+        Time for which a new leader waits for reports of all data centres.
+    report_lag_seconds : float
+        Time until reports reflect the effect of a finished order.
     stale_seconds : float
-        Age at which what a data centre reported counts no more.
-    at_once : int
-        Orders sent at the same time.
+        Age at which the report of a data centre is ignored.
+    max_in_flight : int
+        Maximum number of orders in flight.
     loads_at_once, loads_per_minute : int
-        Limits of the weight store.
+        Concurrency and rate limit of loads from the weight store.
     """
 
-    step_seconds: float = 1.0
+    interval_seconds: float = 1.0
     debounce_seconds: float = 10.0
     order_seconds: float = 60.0
     lease_seconds: float = 2.0
     discovery_seconds: float = 35.0
-    show_seconds: float = 20.0
+    report_lag_seconds: float = 20.0
     stale_seconds: float = 600.0
-    at_once: int = 16
+    max_in_flight: int = 16
     loads_at_once: int = 4
     loads_per_minute: int = 30
 
 
-def _after(target: records.Target, order: orders.Order) -> records.Target:
-    """Return `target` as `order` leaves it, an open load left out."""
+def _apply_order(
+    target: records.Target, order: orders.Order
+) -> records.Target:
+    """Return `target` after `order`; a load counts only once it is done."""
     if order.kind == commands.OrderKind.ROLE:
         return dataclasses.replace(target, role=order.wanted)
     serves = [model for model in target.serves if model != order.wanted]
@@ -78,31 +80,31 @@
 
 
 @dataclasses.dataclass
-class Sighting:
-    """Ready targets of one data centre and when they were reported."""
+class TargetReport:
+    """Ready targets of one data centre, and the time of the report."""
 
     targets: list[records.Target]
-    heard: float
+    received_at: float
 
 
 class Reconciler:
-    """Takes the steps of the plan while its keeper leads.
+    """Executes the planned steps while its keeper is the leader.
 
     Parameters
     ----------
-    machine : machine.Machine
-        The state.
+    machine : state_machine.StateMachine
+        The replicated state.
     propose : callable
         ``Group.propose``.
     has_lease : callable
         ``Group.has_lease``.
     send : callable, optional
-        As ``targets.orders.send``.
+        Has the signature of ``targets.orders.send``.
 
     Attributes
     ----------
-    sightings : dict
-        Data centre to its targets, in memory only.
+    reports : dict
+        Latest report of each data centre, in memory only.
     """
 
     def __init__(
@@ -122,58 +124,58 @@
         self.send = send
         self.options = options or Options()
         self.clock = clock
-        self.sightings: dict[str, Sighting] = {}
-        self.wanted_since: dict[planner.Step, float] = {}
-        self.sending: dict[int, asyncio.Task] = {}
-        # Ends that the log did not take yet.
-        self.ended: dict[int, target_orders.Result] = {}
+        self.reports: dict[str, TargetReport] = {}
+        self.planned_since: dict[planner.Step, float] = {}
+        self.in_flight: dict[int, asyncio.Task] = {}
+        # Results that are not committed to the log yet.
+        self.uncommitted: dict[int, target_orders.Result] = {}
         self.task: asyncio.Task | None = None
         self.leader_since = 0.0
 
     def update_targets(self, message: commands.ReadyTargets) -> None:
-        """Note what a data centre's router reports."""
-        sighting = Sighting(message.targets, self.clock())
-        self.sightings[message.data_centre] = sighting
+        """Store the latest report of a data centre."""
+        report = TargetReport(message.targets, self.clock())
+        self.reports[message.data_centre] = report
 
     def start(self) -> None:
-        """Begin to give orders; this keeper leads now."""
+        """Start reconciling, after this keeper became leader."""
         self.stop()
         self.leader_since = self.clock()
-        self.wanted_since.clear()
-        self.ended.clear()
+        self.planned_since.clear()
+        self.uncommitted.clear()
         self.task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """Give no more orders; what is on its way is given up on."""
+        """Stop reconciling and cancel the orders in flight."""
         if self.task is not None:
             self.task.cancel()
             self.task = None
-        for task in self.sending.values():
+        for task in self.in_flight.values():
             task.cancel()
-        self.sending.clear()
+        self.in_flight.clear()
 
     async def _run(self) -> None:
         while True:
             try:
-                await self._settle_open()
-                await self._take_steps()
+                await self._resolve_open_orders()
+                await self._execute_plan()
             except errors.AmaranthringError as error:
                 log.debug("orders.step-failed fault={}", error)
-            await asyncio.sleep(self.options.step_seconds)
+            await asyncio.sleep(self.options.interval_seconds)
 
-    # -- orders of an earlier leader ---------------------------------------
+    # -- orders of a previous leader ---------------------------------------
 
-    async def _settle_open(self) -> None:
-        for fencing, sent in list(self.ended.items()):
-            await self._end(fencing, sent)
+    async def _resolve_open_orders(self) -> None:
+        for fencing, result in list(self.uncommitted.items()):
+            await self._end_order(fencing, result)
         for order in list(self.machine.orders.open.values()):
-            if order.fencing in self.sending:
+            if order.fencing in self.in_flight:
                 continue
             if not self._has_ended(order):
                 continue
-            target = self._target(order.target)
+            target = self._find_target(order.target)
             if target is None or target.incarnation != order.incarnation:
-                await self._end(
+                await self._end_order(
                     order.fencing,
                     target_orders.Result(False, "the target is gone"),
                 )
@@ -181,29 +183,29 @@
             step = planner.Step(
                 target, commands.OrderKind(order.kind), order.wanted
             )
-            if self._still_wanted(step):
-                await self._begin(step, order.fencing)
+            if self._is_desired(step):
+                await self._begin_order(step, order.fencing)
             else:
-                sent = target_orders.Result(False, "no longer wanted")
-                await self._end(order.fencing, sent)
+                result = target_orders.Result(False, "no longer wanted")
+                await self._end_order(order.fencing, result)
 
     def _has_ended(self, order: orders.Order) -> bool:
-        """Return whether an order of an earlier leader is over for sure.
+        """Return whether an order of a previous leader has certainly ended.
 
-        A target that ignores fencing numbers would follow a late order of
-        the old leader after one of ours. The old leader sent nothing after
-        its lease, and no order takes longer than its bound.
+        A target that ignores fencing numbers could otherwise execute a late
+        order of the previous leader after a new one. The previous leader
+        sends nothing after its lease, and no order exceeds its timeout.
         """
-        led = self.clock() - self.leader_since
-        if led < self.options.discovery_seconds:
+        leading_seconds = self.clock() - self.leader_since
+        if leading_seconds < self.options.discovery_seconds:
             return False
-        target = self._target(order.target)
+        target = self._find_target(order.target)
         if target is not None and target.fencing:
             return True
         options = self.options
-        return led >= options.lease_seconds + options.order_seconds
+        return leading_seconds >= options.lease_seconds + options.order_seconds
 
-    def _still_wanted(self, step: planner.Step) -> bool:
+    def _is_desired(self, step: planner.Step) -> bool:
         preset = self.machine.book.parts.config().preset
         if step.kind == commands.OrderKind.ROLE:
             return preset.desired_roles.get(step.target.name) == step.wanted
@@ -211,23 +213,23 @@
 
     # -- the plan ------------------------------------------------------------
 
-    async def _take_steps(self) -> None:
+    async def _execute_plan(self) -> None:
         now = self.clock()
         if now - self.leader_since < self.options.discovery_seconds:
             return
         steps = self._plan()
-        self.wanted_since = {
-            step: self.wanted_since.get(step, now) for step in steps
+        self.planned_since = {
+            step: self.planned_since.get(step, now) for step in steps
         }
-        for step, since in self.wanted_since.items():
+        for step, since in self.planned_since.items():
             if now - since < self.options.debounce_seconds:
                 continue
-            if len(self.sending) >= self.options.at_once:
+            if len(self.in_flight) >= self.options.max_in_flight:
                 return
             try:
-                await self._begin(step, 0)
+                await self._begin_order(step, 0)
             except errors.RateLimitedError:
-                # The weight store is busy; other kinds go on.
+                # Only loads are limited; other orders may proceed.
                 continue
 
     def _plan(self) -> list[planner.Step]:
@@ -241,7 +243,7 @@
 
         def blocked(target, kind, wanted) -> str:
             stamp = max(self.machine.stamp, self.wall())
-            return state.blocked(
+            return state.blocked_reason(
                 stamp, target.name, target.incarnation, kind, wanted
             )
 
@@ -251,39 +253,39 @@
         )
 
     def _expected(self, target: records.Target) -> records.Target:
-        """Return `target` as it will announce itself after its orders.
+        """Return `target` as it will be after its recent orders.
 
-        A target shows what an order changed only with its next report. Taken
-        as it looks now, a replica that is being unloaded would still count,
-        and the next step would unload the last one that stays.
+        Reports reflect the effect of an order only after a delay. Without
+        this correction, a replica that is being unloaded would still count,
+        and the next step could unload the last remaining one.
         """
         state = self.machine.orders
         since = max(self.machine.stamp, self.wall())
-        since -= self.options.show_seconds
+        since -= self.options.report_lag_seconds
         done = commands.OrderState.DONE
-        known = [
+        recent = [
             order
             for order in state.finished
             if order.state == done and order.ended > since
         ]
-        for order in [*known, *state.open.values()]:
+        for order in [*recent, *state.open.values()]:
             if (order.target, order.incarnation) == (
                 target.name,
                 target.incarnation,
             ):
-                target = _after(target, order)
+                target = _apply_order(target, order)
         return target
 
     def _targets(self) -> list[records.Target]:
         now = self.clock()
         return [
             target
-            for sighting in self.sightings.values()
-            if now - sighting.heard < self.options.stale_seconds
-            for target in sighting.targets
+            for report in self.reports.values()
+            if now - report.received_at < self.options.stale_seconds
+            for target in report.targets
         ]
 
-    def _target(self, name: str) -> records.Target | None:
+    def _find_target(self, name: str) -> records.Target | None:
         for target in self._targets():
             if target.name == name:
                 return target
@@ -291,7 +293,7 @@
 
     # -- one order -----------------------------------------------------------
 
-    async def _begin(self, step: planner.Step, supersedes: int) -> None:
+    async def _begin_order(self, step: planner.Step, supersedes: int) -> None:
         begun = await self.propose(
             commands.BeginOrder(
                 step.target.name,
@@ -302,19 +304,19 @@
                 self.options.loads_at_once,
                 self.options.loads_per_minute,
             ),
-            PROPOSE_SECONDS,
+            PROPOSE_TIMEOUT_SECONDS,
         )
-        task = asyncio.ensure_future(self._give(step, begun.fencing))
-        self.sending[begun.fencing] = task
-        task.add_done_callback(lambda _: self._sent(begun.fencing, task))
+        task = asyncio.ensure_future(self._send_order(step, begun.fencing))
+        self.in_flight[begun.fencing] = task
+        task.add_done_callback(lambda _: self._on_sent(begun.fencing, task))
 
-    def _sent(self, fencing: int, task: asyncio.Task) -> None:
-        if self.sending.get(fencing) is task:
-            del self.sending[fencing]
+    def _on_sent(self, fencing: int, task: asyncio.Task) -> None:
+        if self.in_flight.get(fencing) is task:
+            del self.in_flight[fencing]
         if not task.cancelled() and task.exception() is not None:
             log.warning("order.not-ended fault={}", task.exception())
 
-    async def _give(self, step: planner.Step, fencing: int) -> None:
+    async def _send_order(self, step: planner.Step, fencing: int) -> None:
         body = target_orders.order_body(str(step.kind), step.wanted, fencing)
         fields = {
             "target": step.target.name,
@@ -323,28 +325,37 @@
         }
         logs.event(log, "order.begun", **fields)
         try:
-            sent = await self.send(
-                step.target, body, self._check, self.options.order_seconds
+            result = await self.send(
+                step.target,
+                body,
+                self._check_lease,
+                self.options.order_seconds,
             )
         except errors.NotLeaderError as error:
-            sent = target_orders.Result(False, f"not sent: {error.detail}")
-        event = "order.done" if sent.done else "order.failed"
-        logs.event(log, event, detail=sent.detail, **fields)
-        await self._end(fencing, sent)
+            result = target_orders.Result(False, f"not sent: {error.detail}")
+        event = "order.done" if result.done else "order.failed"
+        logs.event(log, event, detail=result.detail, **fields)
+        await self._end_order(fencing, result)
 
-    def _check(self) -> None:
+    def _check_lease(self) -> None:
         if not self.has_lease():
             raise errors.NotLeaderError("the lease ran out")
 
-    async def _end(self, fencing: int, sent: target_orders.Result) -> None:
-        self.ended[fencing] = sent
-        quiet = self.options.order_seconds if sent.unknown else 0.0
+    async def _end_order(
+        self, fencing: int, result: target_orders.Result
+    ) -> None:
+        self.uncommitted[fencing] = result
+        quiet_seconds = self.options.order_seconds if result.unknown else 0.0
         end = commands.EndOrder(
-            fencing, sent.done, sent.detail, quiet, sent.newer_fencing
+            fencing,
+            result.done,
+            result.detail,
+            quiet_seconds,
+            result.newer_fencing,
         )
         try:
-            await self.propose(end, PROPOSE_SECONDS)
+            await self.propose(end, PROPOSE_TIMEOUT_SECONDS)
         except errors.NotFoundError:
-            # An earlier try was committed although its answer was lost.
+            # An earlier proposal was committed, but its answer was lost.
             pass
-        del self.ended[fencing]
+        del self.uncommitted[fencing]
