--- a/amaranthring/keepers/plans.py
+++ b/amaranthring/keepers/plans.py
@@ -1,4 +1,4 @@
-"""The routing plan as durable state: the highest version is in force."""
+"""Replicated state of the routing plan; the highest version is in force."""
 
 import typing as t
 import zlib
@@ -16,12 +16,12 @@
 
 @wire.message("plan-put")
 class PutPlan:
-    """Puts a plan in force unless one of the same or a higher version is.
+    """Replace the plan, unless `version` is not higher than the current one.
 
     Attributes
     ----------
     body : bytes
-        The document as the operator sent it, compressed.
+        The plan document as the operator sent it, compressed.
     """
 
     version: int
@@ -30,16 +30,15 @@
 
 @wire.message("plan-change")
 class ChangePlan:
-    """As :class:`PutPlan`, but only if version `base` is in force.
+    """As :class:`PutPlan`, but as a delta to the plan of version `base`.
 
-    Most changes are of one route. As whole plans of 20 KB each they went to
-    five other keepers, and a few in a row held the leader's heartbeats up
-    for longer than an election time.
+    Replicating whole plans of 20 KB for changes of one route can delay the
+    leader's heartbeats for longer than the election timeout.
 
     Attributes
     ----------
     delta : bytes
-        What turns the document of `base` into this one.
+        Delta from the document of version `base` to the new one.
     """
 
     version: int
@@ -55,52 +54,51 @@
 
 
 def compress(document: bytes) -> bytes:
-    """Return `document` compressed, as it is stored and sent."""
+    """Return `document` in the compressed form for storage and transfer."""
     return zlib.compress(document, COMPRESSION_LEVEL)
 
 
 def decompress(body: bytes) -> bytes:
-    """Return the document in `body`."""
+    """Return the document that is compressed in `body`."""
     return zlib.decompress(body)
 
 
 class PlanStateMachine:
-    """Holds the plan that the log of commands leads to.
+    """Replicated state machine that holds the routing plan.
 
-    A command with a version that is not higher changes nothing. So an order
-    that is sent again after a lost acknowledgement, or that an older one
-    overtakes, leaves the newest in force, and another content under the
-    version held is never taken over.
+    A command whose version is not higher than the current one has no
+    effect. Retries and reordered commands therefore leave the newest plan in
+    force, and the content of a version never changes.
 
     Attributes
     ----------
     version : int
-        Version in force; -1 before the first.
+        Version in force; -1 if there is no plan yet.
     """
 
     def __init__(self):
         self.version = -1
-        # Each of these is made from the other when it is asked for: a change
-        # needs the document, a router that starts the compressed one.
+        # Each of these is computed lazily from the other: deltas need the
+        # document, routers that start need the compressed form.
         self._body: bytes | None = b""
         self._document: bytes | None = b""
 
     @property
     def body(self) -> bytes:
-        """Return the document compressed; empty before the first."""
+        """Return the compressed plan; empty if there is no plan yet."""
         if self._body is None:
             self._body = compress(self._document)
         return self._body
 
     @property
     def document(self) -> bytes:
-        """Return the document in force; empty before the first."""
+        """Return the plan document; empty if there is no plan yet."""
         if self._document is None:
             self._document = decompress(self._body)
         return self._document
 
     def put_command(self, version: int, document: bytes) -> t.Any:
-        """Return the smallest command that puts `document` in force."""
+        """Return the smallest command that makes `document` the plan."""
         body = compress(document)
         if 0 <= self.version < version:
             delta = deltas.diff(self.document, document)
@@ -111,27 +109,27 @@
     def apply(
         self, index: int, stamp: float, command: PutPlan | ChangePlan
     ) -> PlanVersion:
-        """Apply one command.
+        """Apply one command and return the version in force afterwards.
 
-        The version in the result is below that of a :class:`ChangePlan`
-        whose base is not in force: nothing has changed.
+        A :class:`ChangePlan` whose base is not in force has no effect; the
+        returned version is then below that of the command.
         """
         del index, stamp
         if command.version > self.version:
             if isinstance(command, ChangePlan):
-                self._change(command)
+                self._apply_delta(command)
             else:
                 self.version = command.version
                 self._body, self._document = command.body, None
         return PlanVersion(self.version)
 
-    def _change(self, command: ChangePlan) -> None:
+    def _apply_delta(self, command: ChangePlan) -> None:
         if command.base != self.version:
             return
         try:
             document = deltas.apply(self.document, command.delta)
         except errors.FrameError as error:
-            # The same on every keeper, as all hold the same document.
+            # Deterministic: all keepers hold the same document.
             log.error(
                 "plan.delta-refused version={} fault={}",
                 command.version,
@@ -142,10 +140,10 @@
         self._body, self._document = None, document
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the state as bytes for :meth:`restore`."""
         return wire.encode_value((self.version, self.body))
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by one that :meth:`snapshot` returned."""
+        """Replace the state by that from :meth:`snapshot`."""
         self.version, self._body = wire.decode_value(data)
         self._document = None if self._body else b""
--- a/amaranthring/plan_keeper.py
+++ b/amaranthring/plan_keeper.py
@@ -1,9 +1,8 @@
-"""Wiring of a keeper that holds a routing plan.
+"""Builds a keeper that replicates a routing plan.
 
-Part of the composition root. A caller such as the adapter to a platform
-hands in how targets and operators call it. Apart from the router's wiring,
-so that a keeper loads nothing that only routers use: it is restarted often,
-and must take part again within a fraction of a second.
+Part of the composition root; a platform adapter passes in the control API
+for targets and operators. Separate from the wiring of routers, so that a
+keeper imports nothing that only routers use and restarts quickly.
 """
 
 import asyncio
@@ -21,56 +20,55 @@
 
 log = logbook.Logger(__name__)
 
-# A change is confirmed within one round of the keepers, or not soon.
-CALLS_SECONDS = 0.5
+# Time limit for control calls in progress at shutdown.
+DRAIN_SECONDS = 0.5
 HTTP_MODULE = "amaranthring.core.endpoints"
 
 
 class KeeperProcess:
-    """A keeper with the platform's calls on its control address.
+    """A keeper with the platform's control API on its control address.
 
-    It takes part in the log first and loads its HTTP server meanwhile. The
-    server, with what it needs of the standard library, is a fifth of all
-    that a keeper loads, 0.15 s on a quarter of a core; where all VMs have
-    lost power, callers wait for a leader, and targets are known from before.
+    Imports the HTTP server in the background while the keeper already takes
+    part in the consensus: the import takes 0.15 s on a quarter of a core, by
+    which it would delay the election of a leader after a power failure.
 
     Parameters
     ----------
     load_answers : callable
-        Loads and returns what makes the function that answers control calls
-        from the hub. Called in a thread of its own.
+        Imports and returns the factory of the control call handler, which
+        takes the hub. Called in a separate thread.
     """
 
     def __init__(
         self,
-        place: keepers.Config,
+        config: keepers.Config,
         control: str,
         metrics_address: str,
         keys: links.Keys,
         load_answers: t.Callable[[], t.Callable],
     ):
-        self.place = place
+        self.config = config
         self.control = control
         self.metrics_address = metrics_address
         self.metrics = metrics_module.Metrics()
-        self.keeper = keepers.PlanKeeper(place, keys, self.metrics)
+        self.keeper = keepers.PlanKeeper(config, keys, self.metrics)
         self.load_answers = load_answers
-        self.listening: asyncio.Task | None = None
-        self.answering: t.Any = None
+        self.listen_task: asyncio.Task | None = None
+        self.control_server: t.Any = None
 
     def start(self) -> asyncio.Task:
-        """Take part; return the task that listens to targets and operators.
+        """Start the keeper; return the task that opens the HTTP listeners.
 
-        It ends once both listeners are there, or with the fault.
+        The task ends once both listeners are open, or with an error.
         """
-        self.keeper.start(listeners.listening(self.place.address))
-        self.listening = asyncio.ensure_future(self._listen())
-        return self.listening
+        self.keeper.start(listeners.listening(self.config.address))
+        self.listen_task = asyncio.ensure_future(self._listen())
+        return self.listen_task
 
     async def _listen(self) -> None:
-        endpoints, answers = await asyncio.to_thread(self._load)
-        answer = answers(self.keeper.hub)
-        self.answering = endpoints.serve(self.control, answer)
+        endpoints, make_answer = await asyncio.to_thread(self._load)
+        answer = make_answer(self.keeper.hub)
+        self.control_server = endpoints.serve(self.control, answer)
         endpoints.serve(self.metrics_address, endpoints.figures(self.metrics))
         logs.event(log, "keeper.listening", address=self.control)
 
@@ -78,16 +76,16 @@
         return importlib.import_module(HTTP_MODULE), self.load_answers()
 
     def use_seeds(self, addresses: list[str]) -> None:
-        """Take the keepers that the settings name now."""
+        """Set the addresses of the keepers named in the settings."""
         self.keeper.use_seeds(addresses)
 
     async def stop(self) -> None:
-        """End the calls in progress, step down and close.
+        """Finish the control calls in progress, then stop the keeper.
 
-        A call whose answer is lost leaves an operator in doubt whether the
-        change holds.
+        Dropping a call would leave its operator not knowing whether the
+        change was committed.
         """
-        self.listening.cancel()
-        if self.answering is not None:
-            await self.answering.close(CALLS_SECONDS)
+        self.listen_task.cancel()
+        if self.control_server is not None:
+            await self.control_server.close(DRAIN_SECONDS)
         await self.keeper.stop()
