--- a/amaranthring/keepers/applier.py
+++ b/amaranthring/keepers/applier.py
@@ -1,4 +1,4 @@
-"""Applies committed entries to the machine and takes its snapshots."""
+"""Applies committed entries to the state machine and takes snapshots."""
 
 import asyncio
 import typing as t
@@ -16,36 +16,36 @@
 
 log = logbook.Logger(__name__)
 
-APPLY_AT_ONCE = 200
+APPLY_BATCH = 200
 
 
 async def run(group) -> None:
-    """Apply what is committed, in order, until cancelled."""
+    """Apply committed entries in order until cancelled."""
     while True:
         await group.commit_advanced.wait()
         group.commit_advanced.clear()
-        done = 0
+        applied = 0
         while group.applied_index < group.commit_index and not group.fault:
             _apply(group, group.log.get(group.applied_index + 1))
-            done += 1
-            if done % APPLY_AT_ONCE == 0:
-                # After a restart thousands of entries are applied; the
-                # heartbeats between them must not wait.
+            applied += 1
+            if applied % APPLY_BATCH == 0:
+                # Yield so that heartbeats are not delayed while thousands
+                # of entries are applied after a restart.
                 await asyncio.sleep(0)
         group.applied_changed.set()
-        _after(group)
+        _after_batch(group)
 
 
 def _apply(group, entry: logfile.Entry) -> None:
-    result = _result(group, entry)
+    result = _execute(group, entry)
     if group.fault:
         return
     group.applied_index = entry.index
     term, future = group.pending_proposals.get(entry.index, (0, None))
     if future is not None and not future.done():
         if term != entry.term:
-            # Another leader's entry was committed in its place, so this
-            # command can never be.
+            # Another leader's entry was committed at this index, so this
+            # command will never be committed.
             result = errors.NotLeaderError(
                 "replaced by another leader",
                 given=group.keeper.name,
@@ -59,19 +59,19 @@
         callback(entry.index)
 
 
-def _result(group, entry: logfile.Entry) -> t.Any:
+def _execute(group, entry: logfile.Entry) -> t.Any:
     if entry.tag == store.MEMBERS_TAG:
         return None
     try:
         body = wire.decode_value(entry.body)
         command = wire.decode_message(entry.tag, body)
     except errors.FrameError as error:
-        # Skipping it would make this keeper's state differ from the
-        # others' without anybody noticing.
+        # Skipping the entry would silently make this keeper's state
+        # diverge from the others.
         unknown = errors.StorageError(
-            f"entry {entry.index} is not known to this version",
+            f"log entry {entry.index} is not supported by this version",
             given=str(error),
-            expected="a keeper as new as the others",
+            expected="a keeper at least as new as the others",
         )
         roles.fail(group, unknown)
         return None
@@ -84,7 +84,7 @@
         return errors.InternalError(f"command {entry.tag} failed")
 
 
-def _after(group) -> None:
+def _after_batch(group) -> None:
     if group.leading and group.applied_index >= group.term_start_index:
         if not group.leadership_announced:
             group.leadership_announced = True
@@ -98,7 +98,7 @@
 
 
 async def take_snapshots(group) -> None:
-    """Take a snapshot whenever enough entries were applied."""
+    """Take a snapshot whenever enough entries have been applied."""
     while True:
         await group.snapshot_due.wait()
         group.snapshot_due.clear()
@@ -115,13 +115,13 @@
 
 
 def restore(group, snapshot: snapshots.Snapshot) -> None:
-    """Put the machine into the state of `snapshot`."""
+    """Restore the state machine from `snapshot`."""
     group.machine.restore(snapshot.data)
     group.commit_index = group.applied_index = snapshot.index
 
 
 async def install(group) -> None:
-    """Take over a snapshot that arrived whole from the leader."""
+    """Install a snapshot that was received from the leader."""
     snapshot = await asyncio.get_running_loop().run_in_executor(
         group.store.snapshot_thread, group.receiver.finish
     )
@@ -134,7 +134,7 @@
         if index <= snapshot.index and not future.done():
             future.set_exception(
                 errors.CommitUnknownError(
-                    "overtaken by a snapshot", retry_after=1.0
+                    "superseded by a snapshot", retry_after=1.0
                 )
             )
     await group.writer.flush()
--- a/amaranthring/keepers/client.py
+++ b/amaranthring/keepers/client.py
@@ -1,8 +1,7 @@
-"""A router's client of a group of keepers: finds the leader, repeats safely.
+"""Client of a group of keepers: finds the leader and retries safely.
 
-A call is repeated only where nothing was accepted, or where the command
-carries an id that makes the repeat harmless: such a command class has the
-class variable ``repeatable = True``.
+A call is retried only if it was certainly not accepted, or if its command is
+idempotent, which its class declares with ``repeatable = True``.
 """
 
 import asyncio
@@ -15,18 +14,18 @@
 from amaranthring.core import wire
 from amaranthring.keepers import messages
 
-TRY_SECONDS = 1.0
-# With less left a command is not sent: it would only end as unknown.
-SEND_SECONDS = 0.02
-FRESH_SECONDS = 0.5
+ATTEMPT_SECONDS = 1.0
+# With less time left a command is not sent, as its outcome would be unknown.
+MIN_SEND_SECONDS = 0.02
+LINK_FRESH_SECONDS = 0.5
 PING_SECONDS = 0.5
-PAUSE_SECONDS = 0.05
-# An election takes less; a call waits that long for a new leader once, and
-# later calls find out at once that there is none.
+RETRY_PAUSE_SECONDS = 0.05
+# Longer than an election takes. After this time without a leader, calls that
+# do not wait for one fail at once.
 LEADERLESS_SECONDS = 2.0
 
 NOT_ACCEPTED = (errors.NotLeaderError, errors.NoQuorumError)
-FATE_UNKNOWN = (
+OUTCOME_UNKNOWN = (
     errors.CommitUnknownError,
     errors.LinkClosedError,
     errors.LinkTimeoutError,
@@ -34,16 +33,16 @@
 
 
 class KeeperClient:
-    """Calls to one group of keepers.
+    """Client of one group of keepers.
 
     Parameters
     ----------
     group : str
         Name of the group.
     keepers : list of settings.PeerAddress
-        Every keeper of the settings.
+        Keepers named in the settings.
     identity, keys, handlers
-        For the streams; `handlers` answers what keepers send.
+        Passed to the links; `handlers` serves messages from keepers.
     on_link : callable, optional
         Called with each new link to a keeper.
     """
@@ -66,7 +65,7 @@
         }
 
     def start(self) -> None:
-        """Dial every keeper."""
+        """Connect to every keeper."""
         for dialler in self.diallers.values():
             dialler.start()
 
@@ -76,7 +75,10 @@
             dialler.stop()
 
     async def propose(
-        self, command: t.Any, timeout: float = 5.0, patient: bool = True
+        self,
+        command: t.Any,
+        timeout: float = 5.0,
+        wait_for_leader: bool = True,
     ) -> t.Any:
         """Commit `command` and return its result.
 
@@ -85,45 +87,45 @@
         command : object
             A registered message.
         timeout : float
-            Seconds to go on for.
-        patient : bool
-            False gives up at once while there has been no leader for
-            :data:`LEADERLESS_SECONDS`, for a caller who is told when to
-            come back.
+            Time limit including retries, in seconds.
+        wait_for_leader : bool
+            If false, fail at once while there has been no leader for
+            :data:`LEADERLESS_SECONDS`; for callers that can retry later.
 
         Raises
         ------
         errors.NoQuorumError
-            Nothing was accepted.
+            If the command was certainly not accepted.
         errors.CommitUnknownError
-            The command may be committed; only for one that may not be
-            repeated, or if no keeper answered until the end.
+            If the command may have been committed.
         errors.AmaranthringError
-            The result of the command.
+            If this is the result of the command.
         """
         repeatable = getattr(command, "repeatable", False)
         tag = wire.tag_of(type(command))
 
-        def make(seconds: float) -> messages.Propose:
+        def build_message(seconds: float) -> messages.Propose:
             return messages.Propose(self.group, tag, command, seconds)
 
-        return await self._call(make, timeout, repeatable, patient)
+        return await self._call(
+            build_message, timeout, repeatable, wait_for_leader
+        )
 
     async def query(self, message: t.Any, timeout: float = 5.0) -> t.Any:
-        """Send `message`, which changes nothing, to the leader.
+        """Send the read-only `message` to the leader.
 
         Raises
         ------
         errors.NoQuorumError
-            No leader answered in time.
+            If no leader answered in time.
         errors.AmaranthringError
-            What the handler of the message raised.
+            If the handler of the message raised it.
         """
         try:
             return await self._call(lambda _: message, timeout, True)
         except errors.CommitUnknownError as error:
             raise errors.NoQuorumError(
-                "no leader of the keepers answers", retry_after=1.0
+                "no leading keeper answers", retry_after=1.0
             ) from error
 
     async def change_members(self, message: messages.Change) -> t.Any:
@@ -136,36 +138,48 @@
         return await self.diallers[name].call(query, timeout)
 
     async def _call(
-        self, make, timeout: float, repeatable: bool, patient: bool = True
+        self,
+        build_message,
+        timeout: float,
+        repeatable: bool,
+        wait_for_leader: bool = True,
     ) -> t.Any:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         unknown: errors.AmaranthringError | None = None
         tried: set[str] = set()
         leaderless: set[str] = set()
-        while (left := deadline - loop.time()) > 0:
-            if not patient and self._hopeless(leaderless, loop.time()):
+        while (remaining := deadline - loop.time()) > 0:
+            if not wait_for_leader and self._should_give_up(
+                leaderless, loop.time()
+            ):
                 break
-            name = self._choose(tried)
+            name = self._choose_keeper(tried)
             try:
-                await self._check(name, min(left, PING_SECONDS))
-                left = deadline - loop.time()
-                if left < SEND_SECONDS:
+                await self._check_link(name, min(remaining, PING_SECONDS))
+                remaining = deadline - loop.time()
+                if remaining < MIN_SEND_SECONDS:
                     break
-                seconds = min(left, TRY_SECONDS) if repeatable else left
-                reply = await self.diallers[name].call(make(seconds), seconds)
+                seconds = (
+                    min(remaining, ATTEMPT_SECONDS)
+                    if repeatable
+                    else remaining
+                )
+                reply = await self.diallers[name].call(
+                    build_message(seconds), seconds
+                )
             except NOT_ACCEPTED as error:
-                await self._learn(name, error)
+                await self._update_leader(name, error)
                 if not error.expected:
                     leaderless.add(name)
-            except FATE_UNKNOWN as error:
+            except OUTCOME_UNKNOWN as error:
                 if error.outcome != errors.Outcome.NOT_RUN:
                     unknown = error
                     if not repeatable:
                         break
-                self._forget(name)
+                self._forget_keeper(name)
             except errors.LinkOverloadedError:
-                self._forget(name)
+                self._forget_keeper(name)
             else:
                 self.leader = name
                 self.leaderless_since = None
@@ -174,47 +188,51 @@
             tried.add(name)
             if not self.leader:
                 self.leaderless_since = self.leaderless_since or loop.time()
-                await asyncio.sleep(PAUSE_SECONDS * random.uniform(0.5, 1.5))
+                await asyncio.sleep(
+                    RETRY_PAUSE_SECONDS * random.uniform(0.5, 1.5)
+                )
         if unknown is not None:
             raise errors.CommitUnknownError(
                 f"no answer in {timeout} s", retry_after=1.0
             ) from unknown
         raise errors.NoQuorumError(
-            "no leader of the keepers answers", retry_after=1.0
+            "no leading keeper answers", retry_after=1.0
         )
 
     def _linked(self) -> list[str]:
         return [n for n, dialler in self.diallers.items() if dialler.link]
 
-    def _hopeless(self, leaderless: set[str], now: float) -> bool:
-        """Return whether going on would only keep the caller waiting.
+    def _should_give_up(self, leaderless: set[str], now: float) -> bool:
+        """Return whether all reachable keepers have known no leader for long.
 
         Parameters
         ----------
         leaderless : set of str
-            Keepers that said in this call that they know of no leader. One
-            that was only slow, or names a leader, is asked again.
+            Keepers that reported during this call that they know no leader.
         """
         since = self.leaderless_since
         if since is None or now - since < LEADERLESS_SECONDS:
             return False
         return leaderless >= set(self._linked())
 
-    async def _check(self, name: str, seconds: float) -> None:
-        """Make sure that the link to keeper `name` answers.
+    async def _check_link(self, name: str, seconds: float) -> None:
+        """Ping keeper `name` unless its link has answered recently.
 
-        Behind a cut or before a frozen keeper, a command would lie in the
-        connection for as long as the fault lasts and be committed after it,
-        long after its caller was answered. Sent only on a link that has
-        just answered, its fate is known in nearly every case.
+        During a network partition, or if the keeper is frozen, a command
+        would stay in the connection and be committed after the fault, long
+        after its caller was answered. Sending it only on a link that has
+        just answered avoids nearly all of these cases.
 
         Raises
         ------
         errors.LinkClosedError
-            With outcome ``not-run``.
+            If there is no answer; the outcome is ``not-run``.
         """
         loop = asyncio.get_running_loop()
-        if loop.time() - self.last_heard.get(name, -math.inf) < FRESH_SECONDS:
+        if (
+            loop.time() - self.last_heard.get(name, -math.inf)
+            < LINK_FRESH_SECONDS
+        ):
             return
         dialler = self.diallers[name]
         link = dialler.link
@@ -229,22 +247,24 @@
             ) from error
         self.last_heard[name] = loop.time()
 
-    def _choose(self, tried: set[str]) -> str:
-        reached = self._linked() or list(self.diallers)
-        if self.leader in reached:
+    def _choose_keeper(self, tried: set[str]) -> str:
+        candidates = self._linked() or list(self.diallers)
+        if self.leader in candidates:
             return self.leader
         self.leader = ""
-        return random.choice([n for n in reached if n not in tried] or reached)
+        return random.choice(
+            [n for n in candidates if n not in tried] or candidates
+        )
 
-    async def _learn(self, name: str, error) -> None:
-        hinted = error.expected if error.expected != name else ""
-        if hinted and hinted not in self.diallers:
-            await self._find_members(name)
-        self.leader = hinted if hinted in self.diallers else ""
+    async def _update_leader(self, name: str, error) -> None:
+        hint = error.expected if error.expected != name else ""
+        if hint and hint not in self.diallers:
+            await self._discover_members(name)
+        self.leader = hint if hint in self.diallers else ""
 
-    async def _find_members(self, name: str) -> None:
-        # A keeper that operators added after this process started is not
-        # in its settings, and may be the leader.
+    async def _discover_members(self, name: str) -> None:
+        # The leader may be a keeper that was added after this process
+        # started and is therefore missing in its settings.
         try:
             status = await self.status(name)
         except errors.AmaranthringError:
@@ -255,7 +275,7 @@
                 self.diallers[member.name] = dialler
                 dialler.start()
 
-    def _forget(self, name: str) -> None:
+    def _forget_keeper(self, name: str) -> None:
         self.last_heard.pop(name, None)
         if self.leader == name:
             self.leader = ""
--- a/amaranthring/keepers/dispatch.py
+++ b/amaranthring/keepers/dispatch.py
@@ -1,4 +1,4 @@
-"""Routes incoming messages to their group, and refuses strangers."""
+"""Dispatches incoming messages to their group, after checking the peer."""
 
 from amaranthring import errors
 from amaranthring.core import links
@@ -10,31 +10,31 @@
 from amaranthring.keepers import replication
 
 KEEPER_ROLE = "keeper"
-PROPOSE_SECONDS_MOST = 60.0
+MAX_PROPOSE_SECONDS = 60.0
 
 
 def register(handlers: links.Handlers, groups: dict) -> None:
-    """Add the handlers of all keeper messages.
+    """Register the handlers of all keeper messages.
 
     Parameters
     ----------
     handlers : links.Handlers
-        Shared by the process.
+        Handlers of this process.
     groups : dict of str to consensus.Group
         Groups of this process by name.
     """
 
-    def add(kind, answer, peers_only):
+    def add(message_class, handler, peers_only):
         def handle(link, message):
-            group = _group(groups, message)
+            group = _find_group(groups, message)
             if peers_only:
                 _check_peer(group, link)
-            return answer(group, message)
+            return handler(group, message)
 
-        handlers.add(kind, handle)
+        handlers.add(message_class, handle)
 
     def greet(link, message):
-        group = _group(groups, message)
+        group = _find_group(groups, message)
         if not group.options.auto_admit or link.peer.role != KEEPER_ROLE:
             _check_peer(group, link)
         return genesis.on_greet(group, link.peer.name, message)
@@ -49,7 +49,7 @@
     add(messages.StatusQuery, lambda group, _: group.status(), False)
 
 
-def _group(groups, message):
+def _find_group(groups, message):
     group = groups.get(message.group)
     if group is None:
         raise errors.NotFoundError(
@@ -61,10 +61,10 @@
 def _check_peer(group, link) -> None:
     peer = link.peer
     if peer.role != KEEPER_ROLE or peer.name not in group.peers:
-        # A router with the fleet's key, or a keeper that was removed, must
+        # Routers, which have the fleet key too, and removed keepers must
         # not be able to win votes or write to the log.
         raise errors.ForbiddenError(
-            "message of an unknown keeper",
+            "message from a process that is not a member",
             given=f"{peer.role} {peer.name}",
             expected=f"one of {sorted(group.peers)}",
         )
@@ -72,11 +72,11 @@
 
 async def _on_propose(group, message: messages.Propose):
     command = wire.decode_message(message.tag, message.body)
-    timeout = min(max(message.timeout, 0.0), PROPOSE_SECONDS_MOST)
+    timeout = min(max(message.timeout, 0.0), MAX_PROPOSE_SECONDS)
     if isinstance(command, messages.Members):
         raise errors.ForbiddenError(
-            "command",
+            "membership cannot be changed by a proposal",
             given=message.tag,
-            expected="a change of members by its own message",
+            expected="a membership change message",
         )
     return await group.propose(command, timeout)
--- a/amaranthring/keepers/server.py
+++ b/amaranthring/keepers/server.py
@@ -1,4 +1,4 @@
-"""A keeper process from its settings; ``app.py`` passes the machine in."""
+"""A keeper process, built from its settings and a state machine."""
 
 import pathlib
 import time
@@ -12,7 +12,7 @@
 from amaranthring.keepers import dispatch
 from amaranthring.keepers import options
 
-FOLDER = "keepers"
+GROUPS_FOLDER = "keepers"
 
 
 class Keeper:
@@ -21,25 +21,26 @@
     Parameters
     ----------
     settings : settings.Settings
-        Of this process.
+        Settings of this process.
     machine : options.Machine
-        Machine of the group of the settings.
+        State machine of the group named in the settings.
     clocks, files : optional
-        Seams for tests.
+        Replaced in tests.
 
     Attributes
     ----------
     handlers : links.Handlers
-        Shared by all groups; others add their messages before `start`.
+        Message handlers, shared by all groups; more can be added before
+        :meth:`start`.
     group : consensus.Group
-        The group of the settings.
+        The group named in the settings.
 
     Raises
     ------
     errors.SettingsError
-        If this process is not among the keepers of the settings.
+        If this process is not among the keepers in the settings.
     errors.StorageError
-        If the data folder cannot be used.
+        If the data folder is not usable.
     """
 
     def __init__(
@@ -69,22 +70,22 @@
         self.group = self.add_group(settings.fleet.group, machine)
 
     def add_group(self, name: str, machine) -> consensus.Group:
-        """Return a new group `name` with its own folder."""
+        """Add and return the group `name`, with its own data folder."""
         settings = self.settings
         peers = settings.keepers()
-        own = [p for p in peers if p.name == settings.process.name]
-        if not own:
+        own_peers = [p for p in peers if p.name == settings.process.name]
+        if not own_peers:
             raise errors.SettingsError(
                 "[fleet] keepers",
-                given=", ".join(peer.name for peer in peers) or "nobody",
-                expected=f"also {settings.process.name}",
+                given=", ".join(peer.name for peer in peers) or "none",
+                expected=f"a list that includes {settings.process.name}",
             )
         keeper = settings.keeper
         group = consensus.Group(
             name,
-            own[0],
+            own_peers[0],
             peers,
-            pathlib.Path(settings.process.data_folder) / FOLDER / name,
+            pathlib.Path(settings.process.data_folder) / GROUPS_FOLDER / name,
             machine,
             self.identity,
             self.keys,
@@ -102,13 +103,13 @@
         return group
 
     def start(self, sockets: list) -> None:
-        """Serve the listening `sockets` and start every group."""
+        """Serve the listening `sockets` and start all groups."""
         self.server.add_sockets(sockets)
         for group in self.groups.values():
             group.start()
 
     async def stop(self) -> None:
-        """Step down in every group and close everything."""
+        """Stop all groups and close all connections."""
         for group in self.groups.values():
             await group.stop()
         self.server.close_all()
--- a/amaranthring/keepers/status.py
+++ b/amaranthring/keepers/status.py
@@ -1,4 +1,4 @@
-"""What a keeper says of itself and, as the leader, of the others."""
+"""Status of a keeper and, on the leader, of the other members."""
 
 from amaranthring.keepers import election
 from amaranthring.keepers import membership
@@ -8,19 +8,21 @@
 
 
 def role(group) -> options.Role:
-    """Return what this keeper is now."""
+    """Return the current role of this keeper."""
     if group.leading:
         return options.Role.LEADER
     if membership.is_voter(group.members, group.disk_id):
-        own = group.vote == group.disk_id and not group.leader_disk
-        return options.Role.CANDIDATE if own else options.Role.FOLLOWER
+        voted_for_self = group.vote == group.disk_id and not group.leader_disk
+        return (
+            options.Role.CANDIDATE if voted_for_self else options.Role.FOLLOWER
+        )
     if group.members.voters:
         return options.Role.LEARNER
     return options.Role.EMPTY
 
 
 def describe(group) -> messages.Status:
-    """Return the state of this keeper in `group`."""
+    """Return the status of this keeper in `group`."""
     losses = membership.NOT_KNOWN
     if group.leading:
         losses = membership.safe_losses(group)
@@ -46,12 +48,14 @@
 
 def _member(group, member: messages.Member) -> messages.MemberStatus:
     lag = 0
-    silent = 0.0
+    silent_seconds = 0.0
     if group.leading:
         match = replication.match_index_of(group, member)
         lag = group.log.last_index - match
-        heard = max(election.acked_at(group, member), group.leader_since)
-        silent = round(max(0.0, group.clocks.monotonic() - heard), 3)
+        last_heard = max(election.acked_at(group, member), group.leader_since)
+        silent_seconds = round(
+            max(0.0, group.clocks.monotonic() - last_heard), 3
+        )
     return messages.MemberStatus(
         name=member.name,
         disk=member.disk,
@@ -60,5 +64,5 @@
         voter=membership.is_voter(group.members, member.disk),
         live=group.leading and election.is_live(group, member),
         lag=lag,
-        silent_seconds=silent,
+        silent_seconds=silent_seconds,
     )
