--- a/tests/test_keeper_client.py
+++ b/tests/test_keeper_client.py
@@ -1,4 +1,4 @@
-"""Which calls a router's client of the keepers repeats, and where."""
+"""Retries and leader discovery of the keeper client."""
 
 import asyncio
 import math
@@ -16,7 +16,7 @@
 
 
 class TestKeeperClient(unittest.IsolatedAsyncioTestCase):
-    """Three keepers that answer what the test says, in turn."""
+    """A client of three keepers with scripted answers."""
 
     async def asyncSetUp(self):
         self.asked = []
@@ -54,15 +54,15 @@
     def answer_of(self, name):
         async def answer(link, message):
             self.asked.append(name)
-            made = self.answers[name]
-            if made is None:
+            scripted = self.answers[name]
+            if scripted is None:
                 await asyncio.sleep(30)
-            if made == "close":
+            if scripted == "close":
                 link.close()
                 return None
-            if isinstance(made, Exception):
-                raise made
-            return made
+            if isinstance(scripted, Exception):
+                raise scripted
+            return scripted
 
         return answer
 
@@ -74,10 +74,9 @@
 
         return pong
 
-    async def test_command_is_not_left_in_a_link_that_does_not_answer(self):
-        # The leader is behind a cut. A booking's claim that is left in the
-        # connection would be committed when the cut heals, after its
-        # caller was told that nothing ran: its key would be lost for good.
+    async def test_command_is_not_sent_on_unresponsive_link(self):
+        # A command left in the connection would be committed after the
+        # partition, although its caller was told that it did not run.
         self.answers = dict.fromkeys(("k1", "k2", "k3"), keeper.Value("1"))
         self.silent = {"k1"}
         await self.client.propose(keeper.Set("a", "1"), 5)
@@ -90,16 +89,15 @@
         self.assertEqual(caught.exception.outcome, errors.Outcome.NOT_RUN)
         self.assertEqual(self.asked, [])
 
-    async def test_follows_the_named_leader(self):
+    async def test_follows_leader_hint(self):
         refusal = errors.NotLeaderError("x", given="k1", expected="k3")
         self.answers = {"k1": refusal, "k3": keeper.Value("1")}
         reply = await self.client.propose(keeper.Set("a", "1"), 5)
         self.assertEqual(reply.value, "1")
         self.assertEqual(self.asked, ["k1", "k3"])
 
-    async def test_command_without_an_id_is_sent_once(self):
-        # The answer of a leader that took the command is lost. Sent again,
-        # it would be applied a second time.
+    async def test_non_idempotent_command_is_sent_once(self):
+        # If only the answer is lost, a retry would apply the command twice.
         self.answers = dict.fromkeys(("k2", "k3"), keeper.Value("1"))
         for lost in ("close", errors.CommitUnknownError("x"), None):
             self.asked.clear()
@@ -112,21 +110,21 @@
             dialler = self.client.diallers["k1"]
             await processes.until(lambda d=dialler: d.link)
 
-    async def test_command_with_an_id_is_sent_again(self):
+    async def test_idempotent_command_is_retried(self):
         self.answers = dict.fromkeys(("k2", "k3"), keeper.Value("1"))
         self.answers["k1"] = "close"
         reply = await self.client.propose(keeper.Add("c1"), 5)
         self.assertEqual(reply.value, "1")
         self.assertEqual(len(self.asked), 2)
 
-    async def test_refusal_by_the_machine_is_an_answer(self):
+    async def test_rejection_by_state_machine_is_not_retried(self):
         refusal = errors.RevisionConflictError("x", given="1", expected="2")
         self.answers = {"k1": refusal}
         with self.assertRaises(errors.RevisionConflictError):
             await self.client.propose(keeper.Set("a", "1"), 5)
         self.assertEqual(self.asked, ["k1"])
 
-    async def test_no_leader_in_time_is_not_run(self):
+    async def test_timeout_without_leader_is_not_run(self):
         refusal = errors.NoQuorumError("x")
         self.answers = dict.fromkeys(("k1", "k2", "k3"), refusal)
         with self.assertRaises(errors.NoQuorumError) as caught:
@@ -134,18 +132,17 @@
         self.assertEqual(caught.exception.outcome, errors.Outcome.NOT_RUN)
         self.assertEqual(set(self.asked), {"k1", "k2", "k3"})
 
-    async def test_cut_off_router_refuses_at_once(self):
-        """A partition cuts a router off from two of three keepers.
+    async def test_partitioned_router_fails_fast(self):
+        """A router that reaches only one of three keepers fails fast.
 
-        Each booking waited for its whole time and was told "unknown": calls
-        went into the cut again and again. After the first ones the router
-        knows, refuses at once and with certainty, and sees the healing.
+        Calls must not run into their timeout with an unknown outcome, and
+        must succeed again after the partition.
         """
         self.answers = {
             "k1": messages.Members(),
             "k3": errors.NoQuorumError("no leader"),
         }
-        self.cut("k1", "k2")
+        self.partition("k1", "k2")
         command = messages.Members()
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -163,13 +160,13 @@
         dialler = self.client.diallers["k1"]
         await processes.until(lambda: dialler.link)
         for name in ("k2", "k3"):
-            # The link to either may be the first that is there again.
+            # Either link may be the first to be reconnected.
             self.answers[name] = errors.NotLeaderError("k1", expected="k1")
         done = await self.client.propose(command, 5.0, False)
         self.assertEqual(done, messages.Members())
 
-    def cut(self, *names):
-        """Let nothing come back from `names`, new connections included."""
+    def partition(self, *names):
+        """Drop all answers of `names`, also on new connections."""
         self.silent.update(names)
         for name in names:
             self.servers[name].handle_stream = self.hang
--- a/tests/test_keeper_dispatch.py
+++ b/tests/test_keeper_dispatch.py
@@ -1,4 +1,4 @@
-"""Messages that a keeper must refuse, and that must change nothing."""
+"""Handling of incoming messages by a keeper: validation, votes, appends."""
 
 import asyncio
 import tempfile
@@ -30,8 +30,8 @@
     )
 
 
-class KeeperCase(unittest.IsolatedAsyncioTestCase):
-    """Base: keeper k1 of three, alone, in this process."""
+class KeeperTestCase(unittest.IsolatedAsyncioTestCase):
+    """Base class: runs only keeper k1 of three."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -74,7 +74,7 @@
         await processes.until(lambda: dialler.link, what="link")
         return dialler
 
-    async def refused(self, kind, message, **dialled):
+    async def assert_rejected(self, kind, message, **dialled):
         dialler = await self.dial(**dialled)
         before = self.state()
         with self.assertRaises(kind) as caught:
@@ -107,47 +107,49 @@
         return messages.Append(**(fields | changes))
 
 
-class TestRefusals(KeeperCase):
-    """Each gets a typed error."""
+class TestRejections(KeeperTestCase):
+    """Invalid messages get a typed error and change nothing."""
 
     async def test_unknown_group(self):
-        error = await self.refused(
+        error = await self.assert_rejected(
             errors.NotFoundError, self.vote(group="other")
         )
         self.assertEqual(error.given, "other")
 
-    async def test_peer_message_of_a_router_or_unknown_keeper(self):
-        # A router holds the fleet's key too; with it, it must not be able
-        # to depose a leader or write to the log.
+    async def test_peer_message_from_non_member(self):
+        # Routers have the fleet key too, but must not be able to depose a
+        # leader or write to the log.
         for dialled in ({"role": "router"}, {"name": "k9"}):
             for message in (self.vote(), self.append()):
-                await self.refused(errors.ForbiddenError, message, **dialled)
+                await self.assert_rejected(
+                    errors.ForbiddenError, message, **dialled
+                )
 
-    async def test_entry_that_is_none(self):
-        await self.refused(
+    async def test_malformed_entry(self):
+        await self.assert_rejected(
             errors.FrameError, self.append(term=0, entries=[b"\xc1"])
         )
 
     async def test_entry_out_of_order(self):
         entry = log.make_entry(7, 1, 0.0, "test-add", b"\x80").payload
-        await self.refused(
+        await self.assert_rejected(
             errors.FrameError, self.append(term=0, entries=[entry])
         )
 
-    async def test_members_as_a_plain_command(self):
+    async def test_membership_change_as_command(self):
         body = wire.encode_message(messages.Members())[1]
         message = messages.Propose("g", "keeper-members", body, 1.0)
-        await self.refused(errors.ForbiddenError, message)
+        await self.assert_rejected(errors.ForbiddenError, message)
 
-    async def test_command_of_unknown_tag_or_wrong_fields(self):
+    async def test_command_with_unknown_tag_or_wrong_fields(self):
         for tag, body in (("no-such", {}), ("test-set", {"key": 1})):
             message = messages.Propose("g", tag, body, 1.0)
-            await self.refused(errors.FrameError, message)
+            await self.assert_rejected(errors.FrameError, message)
 
     async def test_proposal_without_a_leader_is_not_run(self):
         body = {"key": "a", "value": "1"}
         message = messages.Propose("g", "test-set", body, 1.0)
-        error = await self.refused(errors.NotLeaderError, message)
+        error = await self.assert_rejected(errors.NotLeaderError, message)
         self.assertEqual(error.outcome, errors.Outcome.NOT_RUN)
 
     async def test_vote_or_entries_for_another_disk(self):
@@ -161,14 +163,14 @@
         self.assertEqual(self.state(), before)
 
 
-class TestVotes(KeeperCase):
-    """When a vote is given."""
+class TestVotes(KeeperTestCase):
+    """Conditions for granting a vote."""
 
     async def ready(self):
         self.group.heard_at = -1e9
         return await self.dial()
 
-    async def test_one_vote_a_term_and_it_is_on_disk_first(self):
+    async def test_one_durable_vote_per_term(self):
         dialler = await self.ready()
         first = await dialler.call(self.vote(), 5)
         self.assertTrue(first.granted)
@@ -189,7 +191,7 @@
         self.assertTrue(reply.granted)
         self.assertEqual(self.state(), before)
 
-    async def test_candidate_behind_our_log_is_refused(self):
+    async def test_candidate_with_stale_log_is_rejected(self):
         dialler = await self.ready()
         entry = log.make_entry(1, 3, 0.0, "test-add", b"\x80").payload
         await dialler.call(self.append(term=3, entries=[entry]), 5)
@@ -197,9 +199,9 @@
         reply = await dialler.call(self.vote(last_index=9, last_term=2), 5)
         self.assertFalse(reply.granted)
 
-    async def test_no_vote_while_a_leader_is_heard_or_just_after_start(self):
-        # A leader answers reads under its lease as long as no other can be
-        # elected; a voter that restarts must keep its promise too.
+    async def test_no_vote_under_active_leader_or_after_start(self):
+        # The read lease requires that no other leader is elected while it
+        # lasts, even if a voter restarts.
         dialler = await self.dial()
         self.assertFalse((await dialler.call(self.vote(), 5)).granted)
         await self.ready()
@@ -207,8 +209,8 @@
         self.assertFalse((await dialler.call(self.vote(), 5)).granted)
 
 
-class TestAppends(KeeperCase):
-    """How the log follows the leader's."""
+class TestAppends(KeeperTestCase):
+    """Replication of the leader's log."""
 
     def entry(self, index, term):
         return log.make_entry(index, term, 0.0, "test-add", b"\x80").payload
@@ -225,7 +227,7 @@
         self.assertEqual(self.group.log.last_index, 2)
         self.assertEqual(self.group.store.durable_index, 2)
 
-    async def test_gap_and_old_term_are_refused(self):
+    async def test_gap_and_old_term_are_rejected(self):
         dialler = await self.dial()
         gap = self.append(term=4, prev_index=5, prev_term=4)
         reply = await dialler.call(gap, 5)
@@ -246,10 +248,10 @@
 
 
 class TestLease(unittest.IsolatedAsyncioTestCase):
-    """Three groups in this process; the leader's clock can be moved."""
+    """A group of three keepers with an adjustable clock."""
 
     async def asyncSetUp(self):
-        self.late = 0.0
+        self.clock_offset = 0.0
         self.groups = {}
         self.servers = {}
         names = ("k1", "k2", "k3")
@@ -279,7 +281,7 @@
             self.addAsyncCleanup(groups["g"].stop)
 
     def clock(self):
-        return time.monotonic() + self.late
+        return time.monotonic() + self.clock_offset
 
     def tearDown(self):
         for server in self.servers.values():
@@ -294,45 +296,42 @@
         await leader.read_barrier(1)
         return leader
 
-    async def test_keeper_that_is_cut_off_names_no_leader(self):
-        # A data centre is cut off with one keeper. It went on naming the
-        # leader of before the cut; routers there went after that name, and
-        # each booking waited 2.5 s to be refused.
+    async def test_partitioned_keeper_reports_no_leader(self):
+        # A hint to an unreachable leader would make routers time out
+        # instead of failing fast.
         leader = await self.leader()
         follower = next(g for g in self.groups.values() if g is not leader)
         self.assertEqual(follower.leader(), leader.keeper.name)
-        self.late += follower.options.election_seconds
+        self.clock_offset += follower.options.election_seconds
         self.assertEqual(follower.leader(), "")
 
-    async def test_oversize_command_is_refused_and_changes_nothing(self):
+    async def test_oversized_command_is_rejected(self):
         leader = await self.leader()
         before = leader.log.last_index
         with self.assertRaises(errors.TooLargeError):
             await leader.propose(keeper.Add("big", "x" * 1_100_000), 5)
         self.assertEqual(leader.log.last_index, before)
 
-    async def test_leader_that_was_frozen_finds_its_lease_run_out(self):
-        # The leader's VM freezes between two steps of its loop, and others
-        # elect a new leader meanwhile. The first thing it does on waking
-        # is to answer a read or to take a proposal: it must not.
+    async def test_lease_of_frozen_leader_has_expired(self):
+        # After its VM was frozen, a leader that may have been replaced must
+        # not answer reads or accept proposals.
         leader = await self.leader()
         before = leader.log.last_index
         followers = [g for g in self.groups.values() if g is not leader]
         for group in followers:
             group.fault = errors.StorageError("silenced")
-        self.late += leader.options.election_seconds
+        self.clock_offset += leader.options.election_seconds
         self.assertTrue(leader.leading)
         with self.assertRaises(errors.RefusedError):
             await leader.read_barrier(0.1)
         self.assertEqual(leader.log.last_index, before)
 
 
-class TestHandshake(KeeperCase):
-    """Hellos that prove nothing."""
+class TestHandshake(KeeperTestCase):
+    """Handshakes that must be rejected."""
 
-    async def test_replayed_hello_is_refused(self):
-        # An attacker has recorded a keeper's whole side of a handshake and
-        # sends it again: the proof is over the old challenge.
+    async def test_replayed_handshake_is_rejected(self):
+        # The proof in a recorded handshake is for an old challenge.
         recorded = bytearray()
 
         async def relay(reader, writer):
@@ -375,7 +374,7 @@
         self.assertLessEqual(len(self.server.links), before)
         self.assertEqual(self.group.term, 0)
 
-    async def test_other_version_is_refused(self):
+    async def test_other_protocol_version_is_rejected(self):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         hello = handshake.Hello(wire.VERSION + 1, b"n" * handshake.NONCE_BYTES)
         writer.write(wire.encode(wire.ONE_WAY, 0, hello))
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Claims: granted once, settled by the holder only, kept and dropped."""
+"""Claims of idempotency keys: grant, settlement and expiry."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 
 
 class TestLedger(unittest.TestCase):
-    """One account's keys, through snapshots."""
+    """Claims on the keys of one account, across snapshots."""
 
     def setUp(self):
         self.machine = state_machine.StateMachine()
@@ -40,10 +40,9 @@
         self.machine = state_machine.StateMachine()
         self.machine.restore(data)
 
-    def test_second_attempt_is_told_the_state_through_every_step(self):
-        # A router claims and books; the caller resends through another
-        # router at each stage, the keepers restarting in between. No stage
-        # may grant the key again.
+    def test_second_attempt_gets_state_of_first(self):
+        # A resend must not be granted the key at any stage of the first
+        # attempt, nor after a restart of the keepers.
         self.assertEqual(self.claim("a").state, STATES.GRANTED)
         self.restart()
         found = self.claim("b")
@@ -59,21 +58,19 @@
         self.assertEqual((found.state, found.answer), (STATES.SETTLED, ANSWER))
         self.assertEqual(found.outcome, errors.Outcome.RAN)
 
-    def test_same_attempt_asking_again_is_still_the_holder(self):
+    def test_repeated_claim_of_holder_is_granted(self):
         self.claim("a")
         self.assertEqual(self.claim("a").state, STATES.GRANTED)
         self.assertEqual(self.claim("b").state, STATES.IN_PROGRESS)
 
-    def test_not_run_frees_the_key_for_another_attempt(self):
+    def test_not_run_releases_key(self):
         self.claim("a")
         self.settle("a", "not-run")
         self.assertEqual(self.claim("b").state, STATES.GRANTED)
         self.assertEqual(self.claim("c").state, STATES.IN_PROGRESS)
 
-    def test_late_copy_of_a_claim_that_was_given_back(self):
-        # The router's first proposal was slow, its second was granted and
-        # settled as not run. The slow copy arrives last. It must not hold
-        # the key with nobody behind it.
+    def test_delayed_duplicate_of_released_claim(self):
+        # A duplicate that arrives after the release must not lock the key.
         self.claim("a")
         self.settle("a", "not-run")
         found = self.claim("a")
@@ -81,17 +78,16 @@
         self.assertEqual(found.outcome, errors.Outcome.NOT_RUN)
         self.assertEqual(self.claim("b").state, STATES.GRANTED)
 
-    def test_claim_that_comes_after_it_was_given_up(self):
-        # The claim lies in a slow connection. The router gives it up and
-        # tells the keepers before they ever saw it; then it is committed.
-        # It must be refused, or it would hold the key with nobody behind.
+    def test_claim_arriving_after_its_release(self):
+        # A claim that is committed after its release must be rejected, or
+        # it would lock the key.
         self.settle("a", "not-run")
         late = self.claim("a")
         self.assertEqual(late.outcome, errors.Outcome.NOT_RUN)
         self.assertEqual(self.claim("b").state, STATES.GRANTED)
         self.assertEqual(self.claim("c").state, STATES.IN_PROGRESS)
 
-    def test_only_the_holder_settles(self):
+    def test_only_holder_can_settle(self):
         self.claim("a")
         for outcome in ("ran", "not-run", "unknown"):
             with self.assertRaises(errors.ForbiddenError):
@@ -103,9 +99,9 @@
         with self.assertRaises(errors.NotFoundError):
             self.settle("a", "ran", ANSWER, key="other")
 
-    def test_matrix_of_settlements(self):
-        # The first word and the second of the same holder, and what a
-        # resend then learns; None is a refusal that changes nothing.
+    def test_settlement_transitions(self):
+        # First and second outcome reported by the holder, and the state and
+        # outcome that a resend gets; None if the second is rejected.
         ran, not_run, unknown = "ran", "not-run", "unknown"
         matrix = {
             (ran, ran): (STATES.SETTLED, "ran"),
@@ -118,21 +114,21 @@
             (unknown, ran): (STATES.SETTLED, "ran"),
             (unknown, not_run): (STATES.GRANTED, None),
         }
-        for number, ((first, second), told) in enumerate(matrix.items()):
+        for number, ((first, second), expected) in enumerate(matrix.items()):
             key = f"key-{number}"
             self.claim("a", key)
             self.settle("a", first, ANSWER, key)
-            if told is None:
+            if expected is None:
                 with self.assertRaises(errors.ForbiddenError):
                     self.settle("a", second, ANSWER, key)
                 continue
             self.settle("a", second, ANSWER, key)
             found = self.claim("b", key)
             self.assertEqual(
-                (found.state, found.outcome), told, (first, second)
+                (found.state, found.outcome), expected, (first, second)
             )
 
-    def test_key_with_another_body_is_refused(self):
+    def test_key_reuse_with_different_body_is_rejected(self):
         self.claim("a")
         found = self.claim("b", body="cd" * 16)
         self.assertEqual(found.state, STATES.KEY_REUSED)
@@ -143,7 +139,7 @@
         other = commands.Claim("board", "k", "cd" * 16, "b", "b1", 30.0)
         self.assertEqual(self.apply(other).state, STATES.GRANTED)
 
-    def test_large_answer_is_not_kept_but_known_to_have_run(self):
+    def test_large_answer_is_not_stored(self):
         self.claim("a")
         large = b"x" * (ledger.MAX_ANSWER_BYTES + 1)
         self.settle("a", "ran", records.StoredAnswer(200, "text/plain", large))
@@ -152,9 +148,9 @@
         self.assertEqual(found.answer.status, 200)
         self.assertFalse(found.answer.kept)
 
-    def test_resend_past_the_answers_learns_what_became_of_it(self):
-        # Three days later the answer is gone. Granting the key again would
-        # book twice, so what became of the call is remembered longer.
+    def test_resend_after_retention_gets_outcome(self):
+        # Granting the key again after the answer has expired would run the
+        # call twice, so its outcome is kept longer.
         for key, outcome in (
             ("k1", "ran"),
             ("k2", "unknown"),
@@ -166,14 +162,14 @@
         self.stamp += ledger.RETENTION_SECONDS * 1.1
         self.claim("z", "other")
         self.restart()
-        told = [self.claim("b", key) for key in ("k1", "k2", "k3", "k4")]
+        claims = [self.claim("b", key) for key in ("k1", "k2", "k3", "k4")]
         self.assertEqual(
-            [claim.state for claim in told],
+            [claim.state for claim in claims],
             [STATES.SETTLED, STATES.UNKNOWN, STATES.GRANTED, STATES.UNKNOWN],
         )
-        self.assertFalse(told[0].answer.kept)
+        self.assertFalse(claims[0].answer.kept)
 
-    def test_giving_up_an_old_key_does_not_free_it(self):
+    def test_release_of_expired_key_does_not_free_it(self):
         self.claim("a")
         self.settle("a", "ran", ANSWER)
         self.stamp += ledger.RETENTION_SECONDS * 1.1
@@ -182,7 +178,7 @@
             self.settle("b", "not-run")
         self.assertEqual(self.claim("c").state, STATES.SETTLED)
 
-    def test_memory_of_what_ran_is_dropped_in_the_end(self):
+    def test_marks_expire(self):
         self.claim("a")
         self.settle("a", "ran", ANSWER)
         self.stamp += ledger.RETENTION_SECONDS * 1.1
@@ -192,7 +188,7 @@
         self.assertEqual(self.claim("b").state, STATES.GRANTED)
         self.assertEqual(len(self.machine.ledger), 2)
 
-    def test_full_ledger_refuses_and_says_when_to_come_back(self):
+    def test_full_ledger_rejects_new_claims(self):
         self.machine.ledger.max_bytes = 1
         self.claim("a")
         with self.assertRaises(errors.QueueFullError) as caught:
@@ -200,9 +196,8 @@
         self.assertEqual(caught.exception.outcome, errors.Outcome.NOT_RUN)
         self.settle("a", "ran", ANSWER)
 
-    def test_no_key_is_granted_twice_at_random(self):
-        # Seeded attempts, settlements, pauses and restarts over few keys.
-        # A key is held by one attempt until that one says not run.
+    def test_random_operations_never_grant_key_twice(self):
+        # A key must stay with one attempt until that settles it as not run.
         rng = random.Random(5)
         holders = {}
         for number in range(4000):
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state: commands, resends, conflicts, snapshots."""
+"""Replicated state machine: commands, resends, conflicts, snapshots."""
 
 import copy
 import random
@@ -12,7 +12,7 @@
 from amaranthring.testing import state
 
 
-def head(command_id, if_match, operator="ana"):
+def fields(command_id, if_match, operator="ana"):
     return {
         "command_id": command_id,
         "operator": operator,
@@ -21,7 +21,7 @@
 
 
 class TestMachine(unittest.TestCase):
-    """Operators' commands."""
+    """Operator commands."""
 
     def setUp(self):
         self.machine = state_machine.StateMachine()
@@ -34,7 +34,9 @@
 
     def switch(self, name, command_id, if_match, operator="ana"):
         return self.apply(
-            commands.SwitchPreset(name, **head(command_id, if_match, operator))
+            commands.SwitchPreset(
+                name, **fields(command_id, if_match, operator)
+            )
         )
 
     def restart(self):
@@ -45,14 +47,14 @@
     def in_force(self):
         return self.machine.book.parts.config().in_force
 
-    def test_bootstrap_is_applied_to_an_empty_state_only(self):
+    def test_bootstrap_applies_to_empty_state_only(self):
         other = commands.Bootstrap("late", [fleet.Preset("late")], [])
         self.assertEqual(self.apply(other).revision, 1)
         self.assertEqual(self.in_force(), "ordinary")
 
-    def test_two_operators_with_the_same_revision(self):
-        # Ana and Rui both saw revision 1. Ana's switch is accepted; Rui's,
-        # with the same number, must not undo it: he is told what holds.
+    def test_concurrent_operators_conflict(self):
+        # Of two commands based on the same revision, the second must fail
+        # and report the current state.
         self.assertEqual(self.switch("peak", "command-1", 1).revision, 2)
         with self.assertRaises(errors.RevisionConflictError) as caught:
             self.switch("ordinary", "command-2", 1, "rui")
@@ -60,17 +62,16 @@
         self.assertEqual(caught.exception.expected, 2)
         self.assertEqual(self.in_force(), "peak")
 
-    def test_resend_gets_the_first_answer_after_a_restart(self):
-        # An operator loses the answer to a switch, another operator
-        # switches back, the keepers restart, and the resend arrives. It
-        # must neither switch again nor fail.
+    def test_resend_gets_first_answer_after_restart(self):
+        # A resend after a lost answer must neither switch again nor fail,
+        # even after another switch and a restart.
         self.switch("peak", "command-1", 1)
         self.switch("ordinary", "command-2", 2)
         self.restart()
         self.assertEqual(self.switch("peak", "command-1", 1).revision, 2)
         self.assertEqual(self.in_force(), "ordinary")
 
-    def test_refusal_is_resent_as_it_was(self):
+    def test_resend_gets_same_rejection(self):
         self.switch("peak", "command-1", 1)
         for _ in range(2):
             with self.assertRaises(errors.RevisionConflictError) as caught:
@@ -78,15 +79,15 @@
             self.assertEqual(caught.exception.status, 412)
             self.restart()
 
-    def test_command_id_with_another_content_is_refused(self):
+    def test_reused_command_id_is_rejected(self):
         self.switch("peak", "command-1", 1)
         with self.assertRaises(errors.CommandReusedError):
             self.switch("ordinary", "command-1", 1)
         self.assertEqual(self.in_force(), "peak")
 
-    def test_resend_past_the_retention_does_nothing(self):
-        # The answer is gone after a day. The resend still names the
-        # revision that its first copy was sent under, so it conflicts.
+    def test_resend_after_answer_expired_conflicts(self):
+        # The answer has expired, but the resend names its old revision and
+        # therefore conflicts.
         self.switch("peak", "command-1", 1)
         self.stamp += state_machine.ANSWER_RETENTION_SECONDS
         self.switch("ordinary", "command-2", 2)
@@ -94,81 +95,89 @@
         with self.assertRaises(errors.RevisionConflictError):
             self.switch("peak", "command-1", 1)
 
-    def test_answers_kept_are_bounded(self):
+    def test_stored_answers_are_bounded(self):
         for number in range(state_machine.MAX_ANSWERS + 5):
             name = "peak" if number % 2 else "ordinary"
             self.switch(name, f"command-{number}", number + 1)
         self.assertEqual(len(self.machine.answers), state_machine.MAX_ANSWERS)
 
-    def test_clock_set_back_does_not_set_the_state_back(self):
+    def test_state_time_is_monotonic(self):
         self.machine.apply(0, 5.0, commands.AddQuarantine("f", 60.0))
         until = self.machine.book.parts.config().quarantined["f"]
         self.assertGreater(until, 1000.0)
 
-    def test_roll_forward_to_an_earlier_content(self):
+    def test_restore_one_preset(self):
         for revision, bound in ((1, 1.6), (2, 1.7)):
             preset = fleet.Preset("peak", bound)
             preset.accounts["big"] = fleet.AccountPolicy(weight=bound)
-            put = commands.PutPreset(preset, **head(f"put-{bound}", revision))
+            put = commands.PutPreset(
+                preset, **fields(f"put-{bound}", revision)
+            )
             self.apply(put)
-        back = commands.RestorePresets(1, "peak", **head("back-0001", 3))
+        back = commands.RestorePresets(1, "peak", **fields("back-0001", 3))
         self.assertEqual(self.apply(back).revision, 4)
         restored = self.machine.book.parts.config().presets["peak"]
         self.assertEqual(restored, fleet.Preset("peak", 1.5))
 
-    def test_whole_presets_of_an_earlier_revision(self):
+    def test_restore_all_presets(self):
         before = self.machine.book.parts.config()
         steps = (
-            commands.PutPreset(fleet.Preset("sale"), **head("step-0001", 1)),
-            commands.SwitchPreset("sale", **head("step-0002", 2)),
-            commands.PutPreset(fleet.Preset("peak", 3), **head("step-03", 3)),
-            commands.PutAccount(fleet.Account("new"), **head("step-0004", 4)),
-            commands.RemovePreset("ordinary", **head("step-0005", 5)),
+            commands.PutPreset(fleet.Preset("sale"), **fields("step-0001", 1)),
+            commands.SwitchPreset("sale", **fields("step-0002", 2)),
+            commands.PutPreset(
+                fleet.Preset("peak", 3), **fields("step-03", 3)
+            ),
+            commands.PutAccount(
+                fleet.Account("new"), **fields("step-0004", 4)
+            ),
+            commands.RemovePreset("ordinary", **fields("step-0005", 5)),
         )
         for command in steps:
             self.apply(command)
         self.restart()
-        back = commands.RestorePresets(1, **head("back-0001", 6))
+        back = commands.RestorePresets(1, **fields("back-0001", 6))
         self.assertEqual(self.apply(back).in_force, "ordinary")
         after = self.machine.book.parts.config()
         self.assertEqual(after.presets, before.presets)
         self.assertIn("new", after.accounts)
-        forth = commands.RestorePresets(4, **head("forth-001", 7))
+        forth = commands.RestorePresets(4, **fields("forth-001", 7))
         self.assertEqual(self.apply(forth).in_force, "sale")
 
-    def test_restore_finds_contents_older_than_the_history(self):
+    def test_restore_uses_contents_older_than_history(self):
         for number in range(1100):
             name = "peak" if number % 2 else "ordinary"
             self.switch(name, f"command-{number}", number + 1)
         put = commands.PutPreset(
-            fleet.Preset("peak", 9), **head("p" * 8, 1101)
+            fleet.Preset("peak", 9), **fields("p" * 8, 1101)
         )
         self.apply(put)
-        back = commands.RestorePresets(1101, **head("back-0001", 1102))
+        back = commands.RestorePresets(1101, **fields("back-0001", 1102))
         self.apply(back)
         held = self.machine.book.parts.config()
         self.assertEqual(held.presets["peak"].load_bound, 1.5)
-        early = commands.RestorePresets(1, **head("back-0002", 1103))
+        early = commands.RestorePresets(1, **fields("back-0002", 1103))
         with self.assertRaises(errors.NotFoundError):
             self.apply(early)
 
-    def test_unknown_names_are_refused(self):
+    def test_unknown_names_are_rejected(self):
         refused = (
-            commands.SwitchPreset("none", **head("command-1", 1)),
-            commands.RemovePreset("none", **head("command-2", 1)),
-            commands.RemoveAccount("none", **head("command-3", 1)),
-            commands.UndrainTarget("none", **head("command-4", 1)),
-            commands.RestorePresets(1, "none", **head("command-5", 1)),
+            commands.SwitchPreset("none", **fields("command-1", 1)),
+            commands.RemovePreset("none", **fields("command-2", 1)),
+            commands.RemoveAccount("none", **fields("command-3", 1)),
+            commands.UndrainTarget("none", **fields("command-4", 1)),
+            commands.RestorePresets(1, "none", **fields("command-5", 1)),
         )
         for command in refused:
             with self.assertRaises(errors.NotFoundError):
                 self.apply(command)
         with self.assertRaises(errors.BadRequestError):
-            remove = commands.RemovePreset("ordinary", **head("command-6", 1))
+            remove = commands.RemovePreset(
+                "ordinary", **fields("command-6", 1)
+            )
             self.apply(remove)
         self.assertEqual(self.machine.book.parts.revision, 1)
 
-    def test_quarantine_does_not_make_operators_conflict(self):
+    def test_quarantine_does_not_cause_conflicts(self):
         self.apply(commands.AddQuarantine("f" * 32, 60.0))
         self.assertEqual(self.switch("peak", "command-1", 1).revision, 3)
 
@@ -182,13 +191,13 @@
         self.assertNotIn("old", held)
         self.assertIn("f1004", held)
 
-    def test_snapshot_of_another_version_changes_nothing(self):
+    def test_unsupported_snapshot_changes_nothing(self):
         for data in (b"", b"\xc1", b"\x80", b"\x81\xa7version\x63"):
             with self.assertRaises(errors.StorageError):
                 self.machine.restore(data)
         self.assertEqual(self.in_force(), "ordinary")
 
-    def test_revision_goes_on_when_the_history_is_full(self):
+    def test_revision_increases_when_history_is_full(self):
         book = self.machine.book
         for number in range(1200):
             name = "peak" if number % 2 else "ordinary"
@@ -199,35 +208,35 @@
 
 
 class TestParts(unittest.TestCase):
-    """Deltas between two holders of the configuration."""
+    """Synchronization of configuration copies by deltas."""
 
     def setUp(self):
         self.machine = state_machine.StateMachine()
         self.machine.apply(1, 1.0, state.bootstrap(20, True))
-        self.held = parts.Parts()
-        self.held.apply(state.copied(self.machine.config_since(0)))
+        self.copy = parts.Parts()
+        self.copy.apply(state.copied(self.machine.config_since(0)))
 
     def change(self, revision):
         policy = fleet.AccountPolicy(weight=float(revision))
         preset = fleet.Preset("peak", 1.5, accounts={"a": policy})
-        put = commands.PutPreset(preset, **head(f"put-{revision}", revision))
+        put = commands.PutPreset(preset, **fields(f"put-{revision}", revision))
         self.machine.apply(2, 2.0, put)
 
-    def test_delta_makes_the_maps_equal(self):
+    def test_applied_delta_equals_source(self):
         self.change(1)
         self.change(2)
         delta = state.copied(self.machine.config_since(1))
-        self.assertTrue(self.held.apply(delta))
-        self.assertEqual(self.held.items, self.machine.book.parts.items)
-        self.assertEqual(self.held.config(), self.machine.book.parts.config())
+        self.assertTrue(self.copy.apply(delta))
+        self.assertEqual(self.copy.items, self.machine.book.parts.items)
+        self.assertEqual(self.copy.config(), self.machine.book.parts.config())
 
-    def test_config_advanced_by_deltas_is_the_one_composed(self):
-        # Routers advance what they run by deltas, sharing what stays. A
-        # share that is changed in place would alter a revision in force.
+    def test_advanced_config_equals_composed(self):
+        # Advanced configurations share unchanged objects with their base,
+        # which must not be modified in place.
         rng = random.Random(7)
-        config = self.held.config()
+        config = self.copy.config()
         for revision in range(1, 300):
-            self.any_change(rng, revision)
+            self.apply_random_change(rng, revision)
             if rng.random() < 0.4:
                 continue
             before = copy.deepcopy(config)
@@ -240,8 +249,8 @@
             self.assertEqual(config, before)
             config = new
 
-    def any_change(self, rng, revision):
-        given = head(f"any-{revision:05}", revision)
+    def apply_random_change(self, rng, revision):
+        given = fields(f"any-{revision:05}", revision)
         name = rng.choice(("peak", "sale"))
         names = rng.sample("abcdef", 3)
         preset = fleet.Preset(
@@ -269,20 +278,20 @@
         delta = self.machine.config_since(1)
         delta.changed["preset/peak/accounts/a"] = {"weight": 9.0}
         with self.assertRaises(errors.FrameError):
-            self.held.apply(delta)
-        self.assertEqual(self.held.revision, 1)
+            self.copy.apply(delta)
+        self.assertEqual(self.copy.revision, 1)
 
     def test_older_revision_is_ignored(self):
         whole = self.machine.config_since(-1)
         self.change(1)
-        self.held.apply(self.machine.config_since(1))
-        self.assertFalse(self.held.apply(whole))
-        self.assertEqual(self.held.revision, 2)
+        self.copy.apply(self.machine.config_since(1))
+        self.assertFalse(self.copy.apply(whole))
+        self.assertEqual(self.copy.revision, 2)
 
-    def test_holder_older_than_the_journal_gets_the_whole(self):
+    def test_copy_older_than_journal_gets_whole_map(self):
         for revision in range(1, parts.JOURNAL_MOST + 2):
             self.change(revision)
         delta = self.machine.config_since(1)
         self.assertTrue(delta.whole)
-        self.held.apply(delta)
-        self.assertEqual(self.held.items, self.machine.book.parts.items)
+        self.copy.apply(delta)
+        self.assertEqual(self.copy.items, self.machine.book.parts.items)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to targets: plan, numbers, limits, leaders that change."""
+"""Orders to targets: planning, fencing, limits and leader changes."""
 
 import asyncio
 import contextlib
@@ -38,19 +38,19 @@
     )
 
 
-def never(*_):
+def not_blocked(*_):
     return ""
 
 
-def planned(preset, targets, drained=(), busy=None, blocked=never):
+def planned(preset, targets, drained=(), busy=None, blocked=not_blocked):
     steps = planner.plan(preset, targets, drained, busy or {}, blocked)
     return [(step.target.name, str(step.kind), step.wanted) for step in steps]
 
 
 class TestPlan(unittest.TestCase):
-    """Which orders follow from the desired state."""
+    """Planning of orders from the desired state."""
 
-    def want(self, **models):
+    def preset(self, **models):
         return fleet.Preset("p", desired_models=models)
 
     def test_missing_replicas_are_spread_over_data_centres(self):
@@ -60,25 +60,27 @@
             engine("e3", data_centre="b"),
             engine("e4", data_centre="b"),
         ]
-        steps = planned(self.want(m=3), targets)
+        steps = planned(self.preset(m=3), targets)
         self.assertEqual(len(steps), 2)
         self.assertIn("e2", [name for name, _, _ in steps])
 
-    def test_nothing_to_do_gives_no_order(self):
+    def test_no_orders_in_desired_state(self):
         targets = [engine("e1", "m"), engine("e2", "other")]
-        self.assertEqual(planned(self.want(m=1), targets), [])
+        self.assertEqual(planned(self.preset(m=1), targets), [])
         self.assertEqual(planned(fleet.Preset("p"), targets), [])
 
-    def test_surplus_goes_only_when_no_load_is_under_way(self):
+    def test_surplus_is_unloaded_only_without_pending_loads(self):
         targets = [engine(f"e{n}", "m") for n in range(3)]
-        steps = planned(self.want(m=1), targets)
+        steps = planned(self.preset(m=1), targets)
         self.assertEqual([kind for _, kind, _ in steps], ["unload"] * 2)
-        self.assertEqual(planned(self.want(m=1), targets, busy={"x": "m"}), [])
+        self.assertEqual(
+            planned(self.preset(m=1), targets, busy={"x": "m"}), []
+        )
 
     def test_drained_busy_and_blocked_targets_get_no_model(self):
         targets = [engine("e1"), engine("e2"), engine("e3")]
         steps = planned(
-            self.want(m=3),
+            self.preset(m=3),
             targets,
             {"e1"},
             {"e2": ""},
@@ -95,7 +97,7 @@
 
 
 class TestOrders(unittest.TestCase):
-    """The log's side: numbers, weight store, tries."""
+    """Replicated order state: fencing numbers, load limits, attempts."""
 
     def setUp(self):
         self.machine = state_machine.StateMachine()
@@ -113,7 +115,7 @@
     def end(self, fencing, done=False, **more):
         self.apply(commands.EndOrder(fencing, done, **more))
 
-    def test_numbers_grow_through_snapshots_and_supersession(self):
+    def test_fencing_numbers_grow_across_snapshots(self):
         self.assertEqual(self.begin("e1"), 1)
         data = self.machine.snapshot()
         self.machine = state_machine.StateMachine()
@@ -140,10 +142,9 @@
         self.stamp += 61
         self.begin("e6", loads_per_minute=5)
 
-    def test_failed_load_does_not_flap(self):
-        # A model's weights are broken. Its load fails on one target after
-        # the other; without a bound the fleet would load it for ever and
-        # keep the weight store from models that do load.
+    def test_failures_of_model_are_bounded(self):
+        # A model that cannot be loaded must not occupy the weight store
+        # for ever.
         begun = 0
         for second in range(4 * 3600):
             self.stamp += 1
@@ -163,7 +164,7 @@
         )
         self.begin("e1")
 
-    def test_same_pair_waits_longer_each_time(self):
+    def test_retry_backoff_and_attempt_limit(self):
         times = []
         while len(times) < orders.MAX_ATTEMPTS:
             self.stamp += 1
@@ -178,33 +179,38 @@
 
 
 class OrdersHandler(tornado.web.RequestHandler):
-    """A target that follows orders, or a fault that a test sets."""
+    """Executes orders, or fails as configured by the test."""
 
     def initialize(self, target):
         self.target = target
 
     async def post(self):
         order = json.loads(self.request.body)
-        if self.target.checks and order["fencing"] < self.target.highest:
+        if (
+            self.target.checks_fencing
+            and order["fencing"] < self.target.highest_fencing
+        ):
             self.set_status(409)
-            self.finish({"fencing": self.target.highest})
+            self.finish({"fencing": self.target.highest_fencing})
             return
-        self.target.highest = max(self.target.highest, order["fencing"])
+        self.target.highest_fencing = max(
+            self.target.highest_fencing, order["fencing"]
+        )
         self.target.orders.append(order)
-        await asyncio.sleep(self.target.seconds)
+        await asyncio.sleep(self.target.delay_seconds)
         self.set_status(self.target.status)
         self.finish({})
 
 
 class FakeTarget:
-    """An engine on loopback that takes orders."""
+    """An engine on loopback that accepts orders."""
 
-    def __init__(self, checks=True):
-        self.checks = checks
-        self.highest = 0
+    def __init__(self, checks_fencing=True):
+        self.checks_fencing = checks_fencing
+        self.highest_fencing = 0
         self.orders = []
         self.status = 200
-        self.seconds = 0.0
+        self.delay_seconds = 0.0
         app = tornado.web.Application(
             [("/v1/orders", OrdersHandler, {"target": self})],
             log_function=lambda _: None,
@@ -215,19 +221,21 @@
         self.address = f"127.0.0.1:{port}"
 
     def record(self, name, *serves):
-        return engine(name, *serves, address=self.address, fencing=self.checks)
+        return engine(
+            name, *serves, address=self.address, fencing=self.checks_fencing
+        )
 
 
 class TestReconciler(unittest.IsolatedAsyncioTestCase):
-    """Leaders that give orders over HTTP."""
+    """Leaders that send orders over HTTP."""
 
     async def asyncSetUp(self):
         self.group = state.FakeGroup()
         self.group.apply(state.bootstrap())
         self.leaders = []
-        self.want({"m": 1})
+        self.put_preset({"m": 1})
 
-    def want(self, models):
+    def put_preset(self, models):
         book = self.group.machine.book
         self.group.apply(
             commands.PutPreset(
@@ -248,21 +256,21 @@
         options = reconciler.Options(
             0.02, 0.0, more.pop("order_seconds", 5.0), 0.1, 0.0, **more
         )
-        made = reconciler.Reconciler(
+        leader = reconciler.Reconciler(
             self.group.machine, self.group.propose, lease, send, options
         )
-        made.update_targets(commands.ReadyTargets("a", targets))
-        made.start()
-        self.leaders.append(made)
-        return made
+        leader.update_targets(commands.ReadyTargets("a", targets))
+        leader.start()
+        self.leaders.append(leader)
+        return leader
 
     def states(self):
         rows = self.group.machine.orders.view()
         return [(row["fencing"], row["state"]) for row in rows]
 
-    async def test_model_is_loaded_once_and_progress_is_shown(self):
+    async def test_model_is_loaded_once(self):
         target = FakeTarget()
-        self.want({"org/m@2+adapter": 1})
+        self.put_preset({"org/m@2+adapter": 1})
         self.lead([target.record("e1")])
         await state.until(lambda: self.states() == [(1, "done")])
         self.assertEqual(
@@ -279,20 +287,19 @@
             ],
         )
 
-    async def test_number_that_lags_the_target_is_raised(self):
-        # After a disaster the keepers' numbers restart below what a target
-        # has seen. It refuses; the next order must be above.
+    async def test_fencing_number_behind_target_is_raised(self):
+        # After data loss, the keepers' fencing numbers may be lower than
+        # the last one that a target has seen.
         target = FakeTarget()
-        target.highest = 500
+        target.highest_fencing = 500
         self.lead([target.record("e1")])
         await state.until(lambda: self.group.machine.orders.fencing == 500)
         self.assertEqual(self.states(), [(1, "failed")])
         self.assertEqual(target.orders, [])
 
-    async def test_checking_target_gets_a_higher_number_at_once(self):
-        # A leader is cut off while its order is under way. The new leader
-        # does not know whether it was sent, orders again under a higher
-        # number, and the late copy of the old order is refused.
+    async def test_open_order_is_resent_with_higher_fencing_number(self):
+        # A new leader cannot know whether an open order was sent. It sends
+        # the order again, and a late copy of the first must be rejected.
         target = FakeTarget()
         record = target.record("e1")
         begin = commands.BeginOrder("e1", 1, KINDS.LOAD, "m")
@@ -304,12 +311,12 @@
         self.assertEqual((late.done, late.newer_fencing), (False, old + 1))
         self.assertEqual([o["fencing"] for o in target.orders], [old + 1])
 
-    async def test_new_leader_waits_out_an_order_to_a_target_that_checks_not(
+    async def test_new_leader_waits_for_open_order_without_fencing(
         self,
     ):
-        # The target ignores numbers. If the new leader ordered at once, the
-        # old leader's order, still under way, could take hold after it.
-        target = FakeTarget(checks=False)
+        # Without fencing, an order of the previous leader that is still in
+        # flight could be executed after a new one.
+        target = FakeTarget(checks_fencing=False)
         begin = commands.BeginOrder("e1", 1, KINDS.LOAD, "m")
         old = self.group.apply(begin).fencing
         leader = self.lead([target.record("e1")], order_seconds=0.5)
@@ -319,11 +326,10 @@
         await state.until(lambda: (old + 1, "done") in self.states())
         self.assertGreaterEqual(leader.clock() - leader.leader_since, 0.6)
 
-    async def test_frozen_old_leader_sends_nothing_after_its_lease(self):
-        # The old leader is frozen after its order was committed, and wakes
-        # when another one leads. The target ignores numbers, so only the
-        # old leader's own lease can hold the order back.
-        target = FakeTarget(checks=False)
+    async def test_frozen_leader_sends_nothing_after_lease(self):
+        # Without fencing at the target, only the lease check keeps a leader
+        # that was frozen after the commit from sending the order.
+        target = FakeTarget(checks_fencing=False)
         lease = [True]
         connecting = asyncio.Event()
 
@@ -339,13 +345,12 @@
         detail = self.group.machine.orders.view()[0]["detail"]
         self.assertIn("not sent", detail)
 
-    async def test_last_replica_is_not_unloaded_on_a_late_report(self):
-        # Three replicas serve, one is wanted. Two are unloaded, slowly, and
-        # the routers' reports still show three. Taken at their word, the
-        # next step would unload the third and nothing would serve.
+    async def test_last_replica_is_not_unloaded_on_stale_report(self):
+        # While two of three replicas are being unloaded, reports still show
+        # three; the last one must not be unloaded because of that.
         targets = [FakeTarget() for _ in range(3)]
         for target in targets:
-            target.seconds = 0.1
+            target.delay_seconds = 0.1
         self.lead([t.record(f"e{n}", "m") for n, t in enumerate(targets)])
         await state.until(lambda: len(self.states()) >= 2)
         await asyncio.sleep(0.5)
@@ -360,7 +365,7 @@
         await asyncio.sleep(0.3)
         self.assertEqual(self.states(), [(1, "done")])
 
-    async def test_failed_load_is_shown_and_left(self):
+    async def test_failed_load_is_not_retried_at_once(self):
         target = FakeTarget()
         target.status = 500
         self.lead([target.record("e1")])
@@ -369,22 +374,21 @@
         self.assertEqual(len(target.orders), 1)
         self.assertIn("500", self.group.machine.orders.view()[0]["detail"])
 
-    async def test_order_without_an_end_keeps_the_target_quiet(self):
-        # The target took the order and never answered. It may be loading
-        # still, so nothing else is ordered from it until the longest time
-        # of an order has passed once more.
-        target = FakeTarget(checks=False)
-        target.seconds = 60.0
+    async def test_no_order_while_previous_may_be_running(self):
+        # A target that never answered may still be executing the order, so
+        # it gets no other until the order timeout has passed again.
+        target = FakeTarget(checks_fencing=False)
+        target.delay_seconds = 60.0
         self.lead([target.record("e1")], order_seconds=0.2)
         await state.until(lambda: self.states() == [(1, "failed")])
-        self.want({"m": 1, "n": 1})
+        self.put_preset({"m": 1, "n": 1})
         await state.until(lambda: len(target.orders) == 2)
         second, first = self.group.machine.orders.view()
         self.assertGreaterEqual(second["began"] - first["ended"], 0.2)
 
-    async def test_end_that_the_log_did_not_take_is_taken_down_later(self):
+    async def test_result_is_committed_after_quorum_returns(self):
         target = FakeTarget()
-        target.seconds = 0.2
+        target.delay_seconds = 0.2
         self.lead([target.record("e1", "x")])
         await state.until(lambda: len(target.orders) == 1)
         self.group.cut = True
@@ -394,7 +398,7 @@
         await state.until(lambda: self.states() == [(1, "done")])
         self.assertEqual(len(target.orders), 1)
 
-    async def test_target_that_is_gone_ends_its_order(self):
+    async def test_order_to_unknown_target_fails(self):
         begin = commands.BeginOrder("e1", 1, KINDS.LOAD, "m")
         self.group.apply(begin)
         self.lead([], order_seconds=0.1)
--- a/tests/test_plan_deltas.py
+++ b/tests/test_plan_deltas.py
@@ -1,4 +1,4 @@
-"""Plans sent to routers: deltas, whole ones, and their pace."""
+"""Distribution of plans to routers: deltas, whole plans and pacing."""
 
 import asyncio
 import collections
@@ -26,14 +26,10 @@
 
 
 class TestDeltas(unittest.TestCase):
-    """What changed between two documents."""
+    """Deltas between two plan documents."""
 
-    def test_one_route_of_hundreds_takes_a_hundredth(self):
-        """A plan of 100 KB changes in one timeout.
-
-        Sent whole to 14 routers each it takes half a second of a keeper's
-        link, during which no heartbeat passes.
-        """
+    def test_delta_of_one_route_is_small(self):
+        """Whole plans of 100 KB would delay the heartbeats of the keepers."""
         routes = [(f"route-{n}", 1000 + n) for n in range(2000)]
         old = document(7, routes)
         routes[300] = ("route-300", 5)
@@ -42,18 +38,18 @@
         self.assertEqual(new, deltas.apply(old, delta))
         self.assertLess(len(delta), len(plans.compress(new)) / 100)
 
-    def test_any_two_documents(self):
-        draw = random.Random(5)
-        made = [b"", b"}", b"no end", b"}}{", document(1, [])]
+    def test_delta_between_any_documents(self):
+        rng = random.Random(5)
+        documents = [b"", b"}", b"no end", b"}}{", document(1, [])]
         for version in range(30):
-            size = draw.randrange(12)
-            names = [f"r{draw.randrange(9)}" for _ in range(size)]
-            made.append(document(version, [(n, 1) for n in names]))
-        for old in made:
-            for new in made:
+            size = rng.randrange(12)
+            names = [f"r{rng.randrange(9)}" for _ in range(size)]
+            documents.append(document(version, [(n, 1) for n in names]))
+        for old in documents:
+            for new in documents:
                 self.assertEqual(new, deltas.apply(old, deltas.diff(old, new)))
 
-    def test_delta_for_another_document_is_refused(self):
+    def test_delta_for_another_document_is_rejected(self):
         routes = [("a", 1), ("b", 2)]
         delta = deltas.diff(document(1, routes), document(2, routes))
         for other in (b"", document(1, [("c", 3)]), document(1, routes[1:])):
@@ -65,7 +61,7 @@
 
 
 class TestMachine(unittest.TestCase):
-    """Changes that the log brings as deltas."""
+    """Plan changes that are replicated as deltas."""
 
     def setUp(self):
         self.machine = plans.PlanStateMachine()
@@ -74,22 +70,22 @@
 
     def put(self, version, machine=None):
         self.routes[version] = (f"r{version}", 900)
-        made = document(version, self.routes)
-        command = (machine or self.machine).put_command(version, made)
+        plan = document(version, self.routes)
+        command = (machine or self.machine).put_command(version, plan)
         self.held = self.machine.apply(version, 0.0, command).version
-        return made, command
+        return plan, command
 
-    def test_change_brings_the_very_document(self):
-        made, command = self.put(2)
+    def test_change_reproduces_document(self):
+        plan, command = self.put(2)
         self.assertIsInstance(command, plans.ChangePlan)
         self.assertEqual((2, 2), (self.held, self.machine.version))
-        self.assertEqual(made, plans.decompress(self.machine.body))
+        self.assertEqual(plan, plans.decompress(self.machine.body))
         other = plans.PlanStateMachine()
         other.restore(self.machine.snapshot())
-        self.assertEqual((2, made), (other.version, other.document))
+        self.assertEqual((2, plan), (other.version, other.document))
 
-    def test_change_of_a_plan_that_is_not_in_force_changes_nothing(self):
-        """A keeper that lags takes an order; another change came between."""
+    def test_change_with_outdated_base_is_ignored(self):
+        """A delta made by a lagging keeper has an outdated base."""
         lagging = plans.PlanStateMachine()
         lagging.restore(self.machine.snapshot())
         self.put(2)
@@ -98,62 +94,61 @@
         self.assertEqual((2, 2), (self.held, self.machine.version))
         self.assertEqual(before, self.machine.document)
 
-    def test_change_of_another_document_changes_nothing(self):
+    def test_change_of_another_document_is_ignored(self):
         other = plans.PlanStateMachine()
         body = plans.compress(document(1, [("other", 1)] * 200))
         other.apply(1, 0.0, plans.PutPlan(1, body))
-        made = document(5, [("other", 1)] * 200 + [("new", 2)])
-        command = other.put_command(5, made)
+        plan = document(5, [("other", 1)] * 200 + [("new", 2)])
+        command = other.put_command(5, plan)
         self.assertIsInstance(command, plans.ChangePlan)
         held = self.machine.apply(2, 0.0, command)
         self.assertEqual((1, 1), (held.version, self.machine.version))
 
-    def test_older_change_changes_nothing(self):
+    def test_older_version_is_ignored(self):
         self.put(3)
         _, command = self.put(2)
         self.assertEqual((3, 3), (self.held, self.machine.version))
         self.assertIsInstance(command, plans.PutPlan)
 
 
-class TestBodies(unittest.IsolatedAsyncioTestCase):
-    """What a keeper sends, and when."""
+class TestPlanSource(unittest.IsolatedAsyncioTestCase):
+    """Choice and pacing of the bodies that a keeper sends."""
 
     def setUp(self):
         self.now = 10.0
         self.machine = plans.PlanStateMachine()
         self.sent = collections.Counter()
         pacer = pacing.Pacer(self.sent, lambda: self.now, LINK_RATE)
-        self.bodies = plan_source.PlanSource(self.machine, pacer)
+        self.source = plan_source.PlanSource(self.machine, pacer)
 
     def put(self, version, size=3):
-        made = document(version, [(f"r{n}", n) for n in range(size)])
-        put = plans.PutPlan(version, plans.compress(made))
+        plan = document(version, [(f"r{n}", n) for n in range(size)])
+        put = plans.PutPlan(version, plans.compress(plan))
         self.machine.apply(version, 0.0, put)
-        self.bodies.record_version()
-        return made
+        self.source.record_version()
+        return plan
 
-    def test_router_that_is_a_few_versions_behind_gets_a_delta(self):
+    def test_router_slightly_behind_gets_delta(self):
         old = self.put(1)
         self.put(2)
         new = self.put(5)
-        body = self.bodies.body_for(1)
+        body = self.source.body_for(1)
         self.assertEqual((5, 1), (body.version, body.base))
         self.assertEqual(new, deltas.apply(old, body.body))
 
-    def test_others_get_it_whole(self):
+    def test_other_routers_get_whole_plan(self):
         self.put(1)
         for version in range(2, 3 + plan_source.MAX_HISTORY):
             new = self.put(version)
         for held in (-1, 1, 77, version):
-            body = self.bodies.body_for(held)
+            body = self.source.body_for(held)
             self.assertEqual(-1, body.base)
             self.assertEqual(new, plans.decompress(body.body))
 
-    async def test_whole_plans_leave_room_on_the_link(self):
-        """All routers start at once and fetch a plan of 20 KB.
+    async def test_whole_plans_are_paced(self):
+        """Plans fetched by all routers at once must not delay heartbeats.
 
-        Sent together they hold up the keepers' heartbeats, and the group
-        that has just found a leader loses it again.
+        The group would otherwise lose its leader again.
         """
         self.put(1, 4000)
         began = self.now
@@ -165,7 +160,7 @@
         original, asyncio.sleep = asyncio.sleep, sleep
         try:
             for _ in range(14):
-                body = await self.bodies.fetch(-1)
+                body = await self.source.fetch(-1)
                 self.sent["plan"] += len(body.body)
         finally:
             asyncio.sleep = original
--- a/tests/test_plan_process.py
+++ b/tests/test_plan_process.py
@@ -1,4 +1,4 @@
-"""How a keeper's process starts: the log first, HTTP meanwhile."""
+"""Start of a keeper process: consensus first, HTTP in the background."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 from amaranthring.registry import keeper as keepers
 from amaranthring.testing import plan_keepers
 
-LOADS = """
+LIST_MODULES_SCRIPT = """
 import json, sys
 import amaranthring.platform.daemon
 import amaranthring.platform.keeper
@@ -25,9 +25,9 @@
 
 
 def free_address():
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{held.getsockname()[1]}"
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 def answers(_hub):
@@ -38,48 +38,46 @@
 
 
 class TestKeeperProcess(unittest.IsolatedAsyncioTestCase):
-    """A keeper with its control listener."""
+    """A keeper with its control API."""
 
-    def made(self, control):
+    def make_process(self, control):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         address = free_address()
         place = keepers.Config(
             address, "here", [address], True, folder.name, 1.0
         )
-        made = plan_keeper.KeeperProcess(
+        process = plan_keeper.KeeperProcess(
             place, control, free_address(), plan_keepers.KEYS, lambda: answers
         )
-        self.addAsyncCleanup(made.stop)
-        return made
+        self.addAsyncCleanup(process.stop)
+        return process
 
-    async def test_it_answers_once_all_is_loaded(self):
+    async def test_control_api_answers_after_start(self):
         control = free_address()
-        made = self.made(control)
-        await made.start()
+        process = self.make_process(control)
+        await process.start()
         url = f"http://{control}/"
         got = await asyncio.to_thread(urllib.request.urlopen, url)
         self.assertEqual(b"here", got.read())
 
-    async def test_address_that_is_taken_is_a_fault(self):
+    async def test_address_in_use_fails(self):
         control = free_address()
-        held = listeners.listening(control)
-        self.addCleanup(held[0].close)
+        sockets = listeners.listening(control)
+        self.addCleanup(sockets[0].close)
         with self.assertRaises(errors.ListenError):
-            await self.made(control).start()
+            await self.make_process(control).start()
 
 
-class TestLoading(unittest.TestCase):
-    """What a keeper loads before it takes part in the log."""
+class TestImports(unittest.TestCase):
+    """Modules imported before a keeper takes part in the consensus."""
 
-    def test_no_http_server_is_loaded_first(self):
-        """All VMs lose power, and callers wait for a leader.
-
-        Keepers run on a quarter of a core; what they load before they vote
-        is time in which nobody is served.
-        """
+    def test_http_server_is_not_imported_first(self):
+        """Imports before the first vote delay the election after an outage."""
         done = subprocess.run(
-            [sys.executable, "-c", LOADS], capture_output=True, check=True
+            [sys.executable, "-c", LIST_MODULES_SCRIPT],
+            capture_output=True,
+            check=True,
         )
         loaded = json.loads(done.stdout)
         for name in ("tornado.httpserver", "http.client", "email", "asyncio"):
