--- a/amaranthring/routers/admission.py
+++ b/amaranthring/routers/admission.py
@@ -1,8 +1,8 @@
-"""Owner side of admission: the cells whose load this router counts.
+"""Owner side of admission control: the cells whose load this router counts.
 
-Grants are answered in the handler itself, with no task per request; what
-has to wait is answered by a one-way message when its turn comes. One task
-per router does what time alone brings about.
+Requests are granted or refused in the message handler, without a task per
+request. A queued request is answered later by a one-way message. One
+periodic task per router handles lease expiry, deadlines and digests.
 """
 
 import asyncio
@@ -26,26 +26,26 @@
 DIGEST_SECONDS = 0.5
 REFRESH_SECONDS = 0.5
 IDLE_SECONDS = 30.0
-CELLS_MOST = 4096
+MAX_CELLS = 4096
 
 
 class Controller:
-    """All cells that this router owns.
+    """Admission control for the cells that this router owns.
 
     Parameters
     ----------
     name : str
         This router.
     table : object
-        Target table, as in ``docs/INTERNALS.md``.
+        Target table, see ``docs/INTERNALS.md``.
     mesh : object
-        Links to the other routers, as there.
+        Links to the other routers, see ``docs/INTERNALS.md``.
     config : callable
-        Returns the revision in force.
+        Returns the active configuration revision.
     metrics : Metrics, optional
-        Counters of this process.
+        Metrics of this process.
     clock : callable
-        Seconds on a monotonic clock.
+        Monotonic clock, in seconds.
     """
 
     def __init__(
@@ -64,16 +64,16 @@
         self.metrics = metrics or counters.Metrics()
         self.clock = clock
         self.cells: dict[str, admission.Cell] = {}
-        self.used: dict[str, float] = {}
-        self.orders: dict[str, str] = {}
+        self.last_used: dict[str, float] = {}
+        self.owner_by_cell: dict[str, str] = {}
         self.known_live: set[str] = set()
         self.closing = False
-        self.ready: collections.abc.Callable[[], bool] = _always
+        self.ready: collections.abc.Callable[[], bool] = _always_ready
         table.subscribe(self.target_changed)
         mesh.subscribe(self.routers_changed)
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
+        """Register this module's message handlers."""
         handlers.add(messages.Admit, self.on_admit)
         handlers.add(messages.Release, self.on_release)
         handlers.add(messages.GrantReport, self.on_grant_report)
@@ -83,11 +83,12 @@
     # -- messages --
 
     def on_admit(self, _link, ask: messages.Admit):
-        """Answer `Granted`, `Queued` or `NotOwner`, or raise the refusal."""
+        """Grant, queue, redirect or refuse one request."""
         if not self.ready():
-            # A router that restarted is an owner by everybody's list as soon
-            # as its links are up, with its table of targets still empty. It
-            # would refuse what others can place; so the deputy is asked.
+            # A restarted router counts as an owner once its links are up,
+            # while its target table is still empty. It would refuse
+            # requests that others can place; this error makes the entry
+            # router ask the deputy.
             raise errors.NotReadyError(
                 f"{self.name} does not know its targets yet", retry_after=1.0
             )
@@ -96,7 +97,7 @@
         if owner and (self.closing or not ask.forced):
             return messages.NotOwner(ask.cell, self.name, owner)
         if owner and ask.cell not in self.cells:
-            self._ask_holdings(ask.cell, scope)
+            self._request_grant_reports(ask.cell, scope)
         cell = self._cell(ask.cell)
         wanted = admission.Request(
             (ask.router, ask.serial),
@@ -116,7 +117,7 @@
             self.metrics.count(f"admission.refused.{error.code}")
             raise
         finally:
-            self._tell(cell)
+            self._send_results(cell)
         if placed is not None:
             self.metrics.count("admission.granted")
             return _granted(ask.cell, ask.serial, placed)
@@ -127,16 +128,16 @@
         return messages.CellFull(cell.cells_with_room(wanted, self.clock()))
 
     def on_release(self, _link, message: messages.Release) -> None:
-        """Take a grant back or withdraw a waiting request."""
+        """Release a grant or withdraw a queued request."""
         cell = self.cells.get(message.cell)
         if cell is None:
             return
         key = (message.router, message.serial)
         cell.release(key, self.clock(), message.end)
-        self._tell(cell)
+        self._send_results(cell)
 
     def on_grant_report(self, _link, message: messages.GrantReport) -> None:
-        """Renew leases, take up grants, and heal what was lost."""
+        """Renew leases, adopt grants and repair lost messages."""
         scope = _scope(message.cell)
         owner = self._other_owner(message.cell, scope)
         if owner and (self.closing or not message.forced):
@@ -147,22 +148,22 @@
         if empty and message.cell not in self.cells:
             return
         if owner and message.cell not in self.cells and not message.partial:
-            self._ask_holdings(message.cell, scope)
+            self._request_grant_reports(message.cell, scope)
         cell = self._cell(message.cell)
         now = self.clock()
-        held = _held(message)
+        held = _decode_held(message)
         waiting = {message.next_serial - back for back in message.waiting}
         cell.counts.renew(message.router, held, now)
         if not message.partial:
             known = waiting | set(held)
             cell.release_unknown(message.router, message.next_serial, known)
-            self._remind(cell, message.router, waiting)
+            self._resend_replies(cell, message.router, waiting)
         cell.serve(now)
-        self._tell(cell)
+        self._send_results(cell)
 
-    def _remind(self, cell, router: str, waiting: set[int]) -> None:
-        # The answer to a waiting request may have been lost, or the queue
-        # that it waits in went with its owner.
+    def _resend_replies(self, cell, router: str, waiting: set[int]) -> None:
+        # The reply to a queued request may have been lost, or its queue
+        # may have been lost with the previous owner.
         for serial in waiting:
             key = (router, serial)
             held = cell.counts.held.get(key)
@@ -173,55 +174,55 @@
                 self._send(router, messages.Dropped(serial, moved=True))
 
     def on_digest(self, _link, message: messages.CellDigest) -> None:
-        """Note how a sibling of the cell `message.to` is loaded.
+        """Record the load of a sibling of the cell `message.to`.
 
-        A cell that nobody asked yet comes into being by it, so that its
-        siblings hear that it has room.
+        Creates the cell if no request has reached it yet, so that its
+        siblings learn that it has capacity.
         """
         if self._other_owner(message.to, _scope(message.to)):
             return
         now = self.clock()
-        heard = admission.SiblingLoad(
+        sibling = admission.SiblingLoad(
             message.in_flight,
             message.targets,
             message.room,
             message.waiting,
             now,
         )
-        self._cell(message.to).update_sibling(message.cell, heard)
-        self.used[message.to] = now
+        self._cell(message.to).update_sibling(message.cell, sibling)
+        self.last_used[message.to] = now
 
     def on_describe(self, _link, message: messages.DescribeTarget):
-        """Tell an entry router about a target that it has not heard of."""
+        """Return the record of a target that an entry router lacks."""
         return messages.TargetDescribed(self.table.get(message.name))
 
     # -- changes --
 
     def target_changed(self, name: str) -> None:
-        """Take the members of the cells of target `name` anew."""
+        """Refresh the cells that contain target `name`."""
         now = self.clock()
         target = self.table.get(name)
-        self.orders.clear()
+        self.owner_by_cell.clear()
         for cell in self.cells.values():
             inside = target is not None and _scope(cell.name).holds(target)
             if inside or name in cell.targets:
                 self._refresh(cell)
                 cell.serve(now)
-                self._tell(cell)
+                self._send_results(cell)
 
     def config_changed(self) -> None:
-        """Take the members of all cells anew: drains changed, perhaps."""
-        self.orders.clear()
+        """Refresh all cells, since the drained targets may have changed."""
+        self.owner_by_cell.clear()
         for cell in self.cells.values():
             self._refresh(cell)
             cell.serve(self.clock())
-            self._tell(cell)
+            self._send_results(cell)
 
     def routers_changed(self) -> None:
-        """Shorten leases of lost routers; hand on cells owned elsewhere."""
+        """Shorten leases of lost routers; transfer cells to new owners."""
         live = set(self.mesh.live())
         now = self.clock()
-        self.orders.clear()
+        self.owner_by_cell.clear()
         for router in self.known_live - live:
             for cell in self.cells.values():
                 cell.router_lost(router, now)
@@ -229,21 +230,21 @@
         for name in list(self.cells):
             owner = self._other_owner(name, _scope(name))
             if owner:
-                self._move(self.cells.pop(name), owner)
+                self._transfer_cell(self.cells.pop(name), owner)
 
     async def run(self) -> None:
-        """Do what time brings: leases, deadlines, digests. Runs for ever."""
-        told = self.clock()
+        """Expire leases and deadlines and send digests, until cancelled."""
+        sent_at = self.clock()
         while True:
             await asyncio.sleep(TICK_SECONDS)
             now = self.clock()
             self.tick(now)
-            if now - told >= DIGEST_SECONDS:
-                told = now
+            if now - sent_at >= DIGEST_SECONDS:
+                sent_at = now
                 self.tell_siblings(now)
 
     def tick(self, now: float) -> None:
-        """End leases and waiting that ran out; forget idle cells."""
+        """Expire leases and queued requests; drop idle cells."""
         for name, cell in list(self.cells.items()):
             for waiter in cell.expire(now):
                 error = errors.DeadlineError(
@@ -253,15 +254,15 @@
                 self.metrics.count("admission.expired")
                 self._drop(waiter.key, error)
             if now - cell.refreshed_at >= REFRESH_SECONDS:
-                # Damped and silent targets change by time alone.
+                # Eligibility of damped and silent targets changes with time.
                 self._refresh(cell)
             cell.serve(now)
-            self._tell(cell)
+            self._send_results(cell)
             if cell.counts.held or len(cell.queue):
-                self.used[name] = now
-            elif now - self.used.get(name, now) > IDLE_SECONDS:
+                self.last_used[name] = now
+            elif now - self.last_used.get(name, now) > IDLE_SECONDS:
                 del self.cells[name]
-                self.used.pop(name, None)
+                self.last_used.pop(name, None)
 
     def tell_siblings(self, now: float) -> None:
         """Send the digest of each cell to the owners of its siblings."""
@@ -279,69 +280,69 @@
                 self._send(owner, message)
 
     def hand_over(self) -> None:
-        """Give every cell to its next owner; waiting requests ask again.
+        """Transfer every cell to its next owner on a graceful stop.
 
-        Called on a graceful stop. Entry routers repeat their holdings to
-        the new owner; this only spares it the gap.
+        Queued requests are told to ask again. Entry routers report their
+        grants to the new owner anyway; the transfer only closes the gap.
         """
         self.closing = True
-        self.orders.clear()
+        self.owner_by_cell.clear()
         for name in list(self.cells):
             owner = self._other_owner(name, _scope(name))
             if owner:
-                self._move(self.cells.pop(name), owner)
+                self._transfer_cell(self.cells.pop(name), owner)
         logs.event(log, "admission.handed-over")
 
     # -- inside --
 
-    def _move(self, cell: admission.Cell, owner: str) -> None:
-        self._bequeath(cell, owner)
+    def _transfer_cell(self, cell: admission.Cell, owner: str) -> None:
+        self._transfer_grants(cell, owner)
         for router, serial in list(cell.queue.waiters):
             self._send(router, messages.Dropped(serial, moved=True))
 
-    def _ask_holdings(self, name: str, scope: cells.Scope) -> None:
-        # A deputy that knows only what its first asker holds would grant
-        # beyond the bound until every other router has noticed too.
+    def _request_grant_reports(self, name: str, scope: cells.Scope) -> None:
+        # A deputy that knows only the grants of the first router that asks
+        # would exceed the bound until all routers have reported.
         message = messages.GrantReportRequest(name, self.name)
-        near = {target.data_centre for target in self._members(scope)}
-        for centre in sorted(near):
+        data_centres = {target.data_centre for target in self._members(scope)}
+        for centre in sorted(data_centres):
             for router in self.mesh.live(centre):
                 self._send(router, message)
 
-    def _bequeath(self, cell: admission.Cell, heir: str) -> None:
+    def _transfer_grants(self, cell: admission.Cell, new_owner: str) -> None:
         by_router: dict[str, dict[str, list[int]]] = {}
-        newest: dict[str, int] = {}
+        next_serials: dict[str, int] = {}
         for router, serial in cell.counts.held:
-            newest[router] = max(newest.get(router, 0), serial + 1)
+            next_serials[router] = max(next_serials.get(router, 0), serial + 1)
         suspects: dict[str, list[int]] = {}
         for (router, serial), held in cell.counts.held.items():
-            back = newest[router] - serial
+            distance = next_serials[router] - serial
             targets = by_router.setdefault(router, {})
-            targets.setdefault(held.target, []).append(back)
+            targets.setdefault(held.target, []).append(distance)
             if held.suspect:
-                suspects.setdefault(router, []).append(back)
+                suspects.setdefault(router, []).append(distance)
         for router, targets in by_router.items():
             message = messages.GrantReport(
                 cell.name,
                 router,
-                newest[router],
+                next_serials[router],
                 targets,
                 suspects=suspects.get(router, []),
                 partial=True,
                 forced=True,
             )
-            self._send(heir, message)
+            self._send(new_owner, message)
 
     def _cell(self, name: str) -> admission.Cell:
         cell = self.cells.get(name)
         if cell is None:
-            if len(self.cells) >= CELLS_MOST:
+            if len(self.cells) >= MAX_CELLS:
                 raise errors.QueueFullError(
                     "too many cells", retry_after=IDLE_SECONDS
                 )
             cell = admission.Cell(name, self.clock())
             self.cells[name] = cell
-            self.used[name] = self.clock()
+            self.last_used[name] = self.clock()
             self._refresh(cell)
         return cell
 
@@ -367,30 +368,30 @@
         )
 
     def _other_owner(self, name: str, scope: cells.Scope) -> str:
-        owner = self.orders.get(name)
+        owner = self.owner_by_cell.get(name)
         if owner is None:
             members = self._members(scope)
             order = cells.owners(name, members, self.mesh.live)
             if self.closing:
                 order = [router for router in order if router != self.name]
             owner = order[0] if order else ""
-            if len(self.orders) >= CELLS_MOST:
-                self.orders.clear()
-            self.orders[name] = owner
+            if len(self.owner_by_cell) >= MAX_CELLS:
+                self.owner_by_cell.clear()
+            self.owner_by_cell[name] = owner
         return "" if owner == self.name else owner
 
     def _sibling_owners(self, name: str) -> dict[str, str]:
         scope = _scope(name)
         found = {}
         for serves in scope.serves:
-            near = self.table.eligible(scope.kind, serves)
-            for other, members in cells.group(near).items():
-                if other != name and _siblings(_scope(other), scope):
+            eligible = self.table.eligible(scope.kind, serves)
+            for other, members in cells.group(eligible).items():
+                if other != name and _are_siblings(_scope(other), scope):
                     order = cells.owners(other, members, self.mesh.live)
                     found.update({other: order[0]} if order else {})
         return found
 
-    def _tell(self, cell: admission.Cell) -> None:
+    def _send_results(self, cell: admission.Cell) -> None:
         for placed in cell.granted:
             router, serial = placed.key
             self.metrics.count("admission.granted")
@@ -407,8 +408,7 @@
 
     def _send(self, router: str, message) -> None:
         if not self.mesh.send(router, message):
-            # The entry router repeats its holdings; what it should have
-            # heard now, it learns then.
+            # Repaired by the entry router's next grant report.
             self.metrics.count("admission.unsent")
 
 
@@ -424,7 +424,7 @@
     )
 
 
-def _always() -> bool:
+def _always_ready() -> bool:
     return True
 
 
@@ -437,16 +437,16 @@
         ) from error
 
 
-def _held(message: messages.GrantReport) -> dict[int, tuple[str, bool]]:
+def _decode_held(message: messages.GrantReport) -> dict[int, tuple[str, bool]]:
     suspects = set(message.suspects)
     return {
-        message.next_serial - back: (target, back in suspects)
+        message.next_serial - distance: (target, distance in suspects)
         for target, serials in message.held.items()
-        for back in serials
+        for distance in serials
     }
 
 
-def _siblings(one: cells.Scope, other: cells.Scope) -> bool:
+def _are_siblings(one: cells.Scope, other: cells.Scope) -> bool:
     return (one.kind, one.region) == (other.kind, other.region) and bool(
         set(one.serves) & set(other.serves)
     )
--- a/amaranthring/routers/admission_messages.py
+++ b/amaranthring/routers/admission_messages.py
@@ -1,7 +1,7 @@
 """Messages between entry routers, admission owners and directory shards.
 
-Serial numbers are chosen by the entry router and grow over its restarts; a
-grant is named by its router and serial.
+The entry router chooses serial numbers, which keep growing across restarts.
+A grant is identified by its router and serial.
 """
 
 import dataclasses
@@ -18,15 +18,16 @@
     Attributes
     ----------
     wait_seconds : float
-        How long the request may still wait.
+        Seconds that the request may still wait.
     suspect : bool
-        It ran at a target that died; it must run apart from other suspects.
+        Whether it ran at a target that died; it must run apart from other
+        suspects.
     at_once : bool
-        Do not queue it here.
+        Whether to refuse instead of queueing.
     alone : bool
-        Cells with room were asked in vain: decide by this cell's own mean.
+        Whether other cells were full: decide by this cell's mean only.
     forced : bool
-        Decide even if another router seems to be the owner.
+        Whether to decide even if another router appears to be the owner.
     """
 
     cell: str
@@ -47,12 +48,12 @@
 
 @wire.message("granted", compact=True)
 class Granted:
-    """Leave to send request `serial` to `target`.
+    """Permission to send request `serial` to `target`.
 
     Attributes
     ----------
     load, in_flight, targets : int
-        What it was decided on, for ``explain``.
+        Inputs of the decision, for ``explain``.
     """
 
     cell: str
@@ -66,15 +67,15 @@
 
 @wire.message("queued")
 class Queued:
-    """The request waits; `Granted` or `Dropped` follows by itself."""
+    """The request is queued; `Granted` or `Dropped` follows one-way."""
 
 
 @wire.message("elsewhere")
 class CellFull:
-    """No room within the bound here; `cells` lately had room.
+    """The cell is at its bound; `cells` recently had capacity.
 
-    The request is not queued. The entry router asks these at once, and if
-    they have none, asks here again, `alone`.
+    The request is not queued. The entry router asks those cells and, if
+    they are full too, asks this one again with `alone` set.
     """
 
     cells: list[str]
@@ -82,7 +83,7 @@
 
 @wire.message("not-owner")
 class NotOwner:
-    """Router `asked` sees `owner` as the live owner of `cell`."""
+    """Redirect: router `asked` takes `owner` for the owner of `cell`."""
 
     cell: str
     asked: str
@@ -91,10 +92,9 @@
 
 @wire.message("dropped")
 class Dropped:
-    """A waiting request is given up; `error` says why.
+    """A queued request is dropped, for the reason in `error`.
 
-    `moved` tells that the owner goes away and the request should be asked
-    for again.
+    With `moved`, the cell has a new owner and the entry router asks again.
     """
 
     serial: int
@@ -104,7 +104,7 @@
 
 @wire.message("release", compact=True)
 class Release:
-    """Gives back a grant or withdraws a waiting request."""
+    """Releases a grant or withdraws a queued request."""
 
     cell: str
     router: str
@@ -114,23 +114,25 @@
 
 @wire.message("holdings", compact=True)
 class GrantReport:
-    """Everything that `router` holds in `cell`: renews leases, heals losses.
+    """All grants of `router` in `cell`.
+
+    Renews leases and repairs lost releases and replies.
 
     Attributes
     ----------
     next_serial : int
-        Serials from here on are younger than this message.
+        Serials from this one on were assigned after this message.
     held : dict
-        Target to the serials running there, each as distance below
-        `next_serial`, which packs small.
+        Target to the serials running there, encoded compactly as distances
+        below `next_serial`.
     waiting : list of int
-        Serials that wait, as distances too.
+        Serials of queued requests, as distances.
     suspects : list of int
-        Those of `held` that are suspects.
+        Those of `held` that are suspects, as distances.
     partial : bool
-        Told by an earlier owner: ends nothing that it leaves out.
+        Whether grants that are not listed stay valid.
     forced : bool
-        To be taken even if another router seems to be the owner.
+        Whether to accept it even if another router appears to be the owner.
     """
 
     cell: str
@@ -145,7 +147,7 @@
 
 @wire.message("tell-holdings")
 class GrantReportRequest:
-    """A deputy that stands in for an owner asks what runs in `cell`."""
+    """Asks all routers for their grants in `cell`, sent by a deputy."""
 
     cell: str
     deputy: str
@@ -153,7 +155,7 @@
 
 @wire.message("cell-digest", compact=True)
 class CellDigest:
-    """What one owner tells the owner of sibling cell `to` about its own."""
+    """Load of `cell`, sent to the owner of its sibling `to`."""
 
     to: str
     cell: str
@@ -165,21 +167,21 @@
 
 @wire.message("describe-target")
 class DescribeTarget:
-    """Asks an owner about a target that the entry router has not heard of."""
+    """Asks an owner for a target record that the entry router lacks."""
 
     name: str
 
 
 @wire.message("target-described")
 class TargetDescribed:
-    """What the owner knows about the target."""
+    """The target record, if the owner has one."""
 
     target: records.Target | None
 
 
 @wire.message("place-find", compact=True)
 class FindLocations:
-    """Asks a directory shard where `chat` ran last."""
+    """Asks a directory shard for the prefix-cache locations of `chat`."""
 
     chat: str
     fingerprint: str = ""
@@ -187,10 +189,10 @@
 
 @wire.message("place-found", compact=True)
 class LocationsFound:
-    """Targets that ran the chat, the last one first, and what is known.
+    """Targets that ran the chat, most recent first.
 
-    `deaths` names the targets that died while this very request ran there;
-    a condemned one is not run again.
+    `deaths` lists targets that died while this request ran there. A
+    `condemned` request must not run again.
     """
 
     targets: list[str] = dataclasses.field(default_factory=list)
@@ -200,16 +202,16 @@
 
 @wire.message("place-remember", compact=True)
 class StoreLocations:
-    """Tells a directory shard where chats ran, the last place first."""
+    """Stores the locations of chats in a directory shard, latest first."""
 
     places: dict[str, list[str]]
 
 
 @wire.message("crashed")
 class TargetCrashed:
-    """The run of request `fingerprint` coincided with a target's death.
+    """Reports that `target` died while request `fingerprint` ran there.
 
-    `apart` tells that it ran as a suspect, apart from others.
+    `apart` is set if it ran as a suspect, isolated from other suspects.
     """
 
     key: str
@@ -220,14 +222,14 @@
 
 @wire.message("crash-noted")
 class CrashRecorded:
-    """Whether this death condemned the request."""
+    """Reply: whether this crash condemned the request."""
 
     condemned: bool
 
 
 @wire.message("cleared")
 class SuspectCleared:
-    """A suspect request ran to its end; its target lives."""
+    """Reports that a suspect request completed without a crash."""
 
     key: str
     fingerprint: str
@@ -235,7 +237,7 @@
 
 @dataclasses.dataclass
 class SuspectEntry:
-    """What one shard tells another about a suspect."""
+    """State of one suspect, copied between shards."""
 
     key: str
     fingerprint: str
@@ -245,14 +247,14 @@
 
 @wire.message("suspects")
 class Suspects:
-    """Suspects whose shard is the receiver now."""
+    """Suspects whose shard moved to the receiver."""
 
     entries: list[SuspectEntry]
 
 
 @wire.message("rate-ask")
 class TokenRequest:
-    """Asks the account's owner for request tokens."""
+    """Asks the account's owner for rate-limit tokens."""
 
     account: str
     router: str
@@ -261,7 +263,7 @@
 
 @wire.message("rate-given")
 class TokenGrant:
-    """Tokens granted for `seconds`, or none until `retry_after`."""
+    """Tokens that are valid for `seconds`, or none until `retry_after`."""
 
     tokens: int
     seconds: float
--- a/amaranthring/routers/attempts.py
+++ b/amaranthring/routers/attempts.py
@@ -1,10 +1,9 @@
-"""Asking the holder of a claim whether it still runs the call.
+"""Asks the router that holds a claim whether the attempt still runs.
 
-A claim in progress whose router died would be told as in progress until its
-time is over, half a minute in which a caller waits for nothing. The name of
-an attempt begins with that of its router, so any router can ask it. The word
-of a process that does not run the attempt is certain: whatever it may have
-sent was sent before.
+Without this, a claim of a router that died stays in progress until it
+expires and blocks the caller's retry for half a minute. The name of an
+attempt begins with its router's name, so any router can ask. A negative
+answer is final: the attempt sends nothing more.
 """
 
 import typing as t
@@ -13,19 +12,19 @@
 from amaranthring.core import decisions
 from amaranthring.core import wire
 
-ASK_SECONDS = 0.5
+ASK_TIMEOUT_SECONDS = 0.5
 
 
 @wire.message("attempt-ask")
-class AskAttempt:
-    """Asks a router whether it runs one of its attempts."""
+class AttemptStatusRequest:
+    """Asks a router whether an attempt of its own still runs."""
 
     attempt: str
 
 
 @wire.message("attempt-told")
-class ToldAttempt:
-    """Whether the attempt runs, or its settlement is still to be told."""
+class AttemptStatus:
+    """Whether the attempt runs or its settlement is still pending."""
 
     running: bool
 
@@ -40,7 +39,7 @@
     mesh : object
         Links to the other routers.
     pending : callable
-        Returns whether a settlement of an attempt is still to be told.
+        Returns whether the settlement of an attempt is still unsent.
 
     Attributes
     ----------
@@ -55,25 +54,25 @@
         self.running: set[str] = set()
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
-        handlers.add(AskAttempt, self.on_ask)
+        """Register this module's message handlers."""
+        handlers.add(AttemptStatusRequest, self.on_ask)
 
-    def on_ask(self, _link, ask: AskAttempt) -> ToldAttempt:
-        """Tell whether this router runs an attempt."""
-        held = ask.attempt in self.running or self.pending(ask.attempt)
-        return ToldAttempt(held)
+    def on_ask(self, _link, ask: AttemptStatusRequest) -> AttemptStatus:
+        """Report whether this router runs an attempt."""
+        running = ask.attempt in self.running or self.pending(ask.attempt)
+        return AttemptStatus(running)
 
     async def may_run(self, attempt: str) -> bool:
-        """Return False only if the router of `attempt` says it runs no more.
+        """Return False only if the router of `attempt` reports it ended.
 
-        A router that is down, frozen or cut off says nothing; then the
-        claim stays in progress until its time is over.
+        If that router cannot be reached, the claim stays in progress until
+        it expires.
         """
         request_id = decisions.router_of(attempt)
         router = decisions.router_of(request_id)
-        ask = AskAttempt(attempt)
+        ask = AttemptStatusRequest(attempt)
         try:
-            told = await self.mesh.call(router, ask, ASK_SECONDS)
+            status = await self.mesh.call(router, ask, ASK_TIMEOUT_SECONDS)
         except errors.AmaranthringError:
             return True
-        return told.running
+        return status.running
--- a/amaranthring/routers/directory.py
+++ b/amaranthring/routers/directory.py
@@ -1,10 +1,10 @@
-"""Directory of remembered places: where each chat's prefix was computed last.
+"""Directory of prefix caches: which targets last ran each chat.
 
-The directory is soft and sharded by chat over the live routers of the
-region. Losing a shard costs cache hits, never an answer: everyone falls back
-to the same rendezvous order. A shard is bounded by bytes and forgets what
-was asked for least lately. It knows the last two places of a chat: the copy
-at the earlier one serves when the last one is gone or full.
+The directory is soft state, sharded by chat over the live routers of the
+region. Losing a shard costs cache hits only: all routers fall back to the
+same rendezvous order. A shard is an LRU map with a memory bound. It keeps
+the last two targets of a chat; the earlier one is used when the last one is
+gone or full.
 """
 
 import asyncio
@@ -19,15 +19,15 @@
 from amaranthring.core import metrics as counters
 from amaranthring.routers import admission_messages as messages
 
-FIND_SECONDS = 0.1
-SILENT_SECONDS = 1.0
+FIND_TIMEOUT_SECONDS = 0.1
+BACKOFF_SECONDS = 1.0
 ENTRY_BYTES = 320
 SHARD_BYTES = 32 * 1024 * 1024
 BUCKETS = 1024
-PLACES_KEPT = 2
+LOCATIONS_KEPT = 2
 BATCH_ENTRIES = 500
 FLUSH_SECONDS = 0.05
-UNSENT_MOST = 2000
+MAX_UNSENT = 2000
 
 
 @functools.lru_cache(maxsize=16384)
@@ -37,7 +37,7 @@
 
 
 class Shards:
-    """Which live router holds which bucket.
+    """Maps keys to the live routers that hold their shard.
 
     Parameters
     ----------
@@ -47,24 +47,24 @@
 
     def __init__(self, live: collections.abc.Callable[[], list[str]]):
         self.live = live
-        self.holders: dict[int, list[str]] = {}
+        self.by_bucket: dict[int, list[str]] = {}
 
     def invalidate(self) -> None:
-        """Forget what was worked out from an older list of routers."""
-        self.holders.clear()
+        """Clear the cached assignment after the router list changed."""
+        self.by_bucket.clear()
 
     def holders_of(self, key: str) -> list[str]:
-        """Return the holder of `key` and its deputy."""
+        """Return the router that holds `key`, and its deputy."""
         number = bucket(key)
-        found = self.holders.get(number)
+        found = self.by_bucket.get(number)
         if found is None:
             found = hashing.order(f"shard {number}", self.live())[:2]
-            self.holders[number] = found
+            self.by_bucket[number] = found
         return found
 
 
 class Directory:
-    """The shard of this router, and its way to the others.
+    """Shard of this router, and a client of the other shards.
 
     Parameters
     ----------
@@ -74,8 +74,8 @@
         Links to the other routers.
     live : callable
         Returns the live routers of this region.
-    suspicion : Suspicion, optional
-        Shard of suspects; its answer travels with the place's.
+    suspicion : CrashTracker, optional
+        Shard of suspects; lookups return its entry as well.
     """
 
     def __init__(
@@ -93,52 +93,52 @@
         self.mesh = mesh
         self.suspicion = suspicion
         self.metrics = metrics or counters.Metrics()
-        self.entries_most = bytes_most // ENTRY_BYTES
+        self.max_entries = bytes_most // ENTRY_BYTES
         self.shards = Shards(live)
         self.locations: collections.OrderedDict[str, list[str]] = (
             collections.OrderedDict()
         )
-        self.silent: dict[str, float] = {}
+        self.backoff_until: dict[str, float] = {}
         self.unsent: dict[str, dict[str, list[str]]] = {}
-        self.moving: list[str] = []
+        self.keys_to_move: list[str] = []
         mesh.subscribe(self.routers_changed)
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
+        """Register this module's message handlers."""
         handlers.add(messages.FindLocations, self.on_find)
-        handlers.add(messages.StoreLocations, self.on_remember)
+        handlers.add(messages.StoreLocations, self.on_store)
 
-    # -- towards other shards --
+    # -- requests to other shards --
 
     async def find(
         self, key: str, fingerprint: str = ""
     ) -> messages.LocationsFound:
-        """Return where `key` ran last; nothing if its shard is silent."""
+        """Return the locations of `key`; empty if no shard answers."""
         ask = messages.FindLocations(key, fingerprint)
         for holder in self.shards.holders_of(key):
             if holder == self.name:
                 return self.on_find(None, ask)
-            if self.silent.get(holder, 0.0) > self.clock():
+            if self.backoff_until.get(holder, 0.0) > self.clock():
                 continue
             try:
-                return await self.mesh.call(holder, ask, FIND_SECONDS)
+                return await self.mesh.call(holder, ask, FIND_TIMEOUT_SECONDS)
             except errors.AmaranthringError:
                 self.metrics.count("directory.silent")
-                self.silent[holder] = self.clock() + SILENT_SECONDS
+                self.backoff_until[holder] = self.clock() + BACKOFF_SECONDS
         return messages.LocationsFound()
 
     def remember(self, key: str, target: str) -> None:
-        """Tell the shard of `key` where it ran; never blocks or fails."""
+        """Store where `key` ran, without blocking or raising."""
         for holder in self.shards.holders_of(key)[:1]:
             if holder == self.name:
                 self._store(key, [target])
                 return
             batch = self.unsent.setdefault(holder, {})
-            if len(batch) < UNSENT_MOST:
+            if len(batch) < MAX_UNSENT:
                 batch[key] = [target]
 
     async def run(self) -> None:
-        """Send in batches what was remembered. Runs for ever."""
+        """Send stored locations in batches until cancelled."""
         while True:
             await asyncio.sleep(FLUSH_SECONDS)
             self.flush()
@@ -147,72 +147,72 @@
     def flush(self) -> None:
         """Send every batch."""
         batches, self.unsent = self.unsent, {}
-        for holder, places in batches.items():
-            if not self.mesh.send(holder, messages.StoreLocations(places)):
-                self.metrics.count("directory.unsent", len(places))
+        for holder, locations in batches.items():
+            if not self.mesh.send(holder, messages.StoreLocations(locations)):
+                self.metrics.count("directory.unsent", len(locations))
 
     # -- this shard --
 
     def on_find(
         self, _link, ask: messages.FindLocations
     ) -> messages.LocationsFound:
-        """Answer from this shard."""
+        """Look up a chat in this shard."""
         targets = self.locations.get(ask.chat, [])
         if targets:
             self.locations.move_to_end(ask.chat)
         self.metrics.count("directory.hit" if targets else "directory.miss")
         found = messages.LocationsFound(targets)
         if self.suspicion is not None and ask.fingerprint:
-            suspect = self.suspicion.of(ask.fingerprint)
+            suspect = self.suspicion.suspect_of(ask.fingerprint)
             if suspect is not None:
                 found.deaths = suspect.deaths
                 found.condemned = suspect.condemned
         return found
 
-    def on_remember(self, _link, message: messages.StoreLocations) -> None:
-        """Store places in this shard."""
+    def on_store(self, _link, message: messages.StoreLocations) -> None:
+        """Store locations in this shard."""
         for key, targets in message.places.items():
             self._store(key, targets)
 
     def _store(self, key: str, targets: list[str]) -> None:
         known = self.locations.get(key, [])
-        # Names are shared among entries, so an entry costs two references.
+        # Interned names are shared, so an entry costs two references.
         newest = [sys.intern(target) for target in targets]
         older = [target for target in known if target not in newest]
-        self.locations[key] = (newest + older)[:PLACES_KEPT]
+        self.locations[key] = (newest + older)[:LOCATIONS_KEPT]
         self.locations.move_to_end(key)
-        while len(self.locations) > self.entries_most:
+        while len(self.locations) > self.max_entries:
             self.locations.popitem(last=False)
 
     # -- changes of the router list --
 
     def routers_changed(self) -> None:
-        """Begin to move entries whose shard is another router now."""
+        """Start moving entries whose shard is now another router."""
         self.shards.invalidate()
-        self.silent.clear()
-        self.moving = list(self.locations)
+        self.backoff_until.clear()
+        self.keys_to_move = list(self.locations)
 
     def move_some(self) -> int:
         """Move one batch of entries to their new shards; return its size.
 
-        Works in small batches, so that a change of the router list does not
-        hold up requests.
+        Small batches keep a change of the router list from delaying
+        requests.
         """
-        batch = self.moving[-BATCH_ENTRIES:]
-        del self.moving[-BATCH_ENTRIES:]
+        batch = self.keys_to_move[-BATCH_ENTRIES:]
+        del self.keys_to_move[-BATCH_ENTRIES:]
         for key in batch:
             holder = next(iter(self.shards.holders_of(key)), self.name)
             if holder == self.name or key not in self.locations:
                 continue
-            places = self.unsent.setdefault(holder, {})
-            places.setdefault(key, self.locations.pop(key))
+            locations = self.unsent.setdefault(holder, {})
+            locations.setdefault(key, self.locations.pop(key))
         return len(batch)
 
     def hand_over(self) -> None:
-        """Move everything at once, on a graceful stop."""
+        """Move all entries to other routers, on a graceful stop."""
         live = self.shards.live
         self.shards.live = lambda: [r for r in live() if r != self.name]
         self.shards.invalidate()
-        self.moving = list(self.locations)
+        self.keys_to_move = list(self.locations)
         while self.move_some():
             self.flush()
--- a/amaranthring/routers/explainer.py
+++ b/amaranthring/routers/explainer.py
@@ -1,4 +1,4 @@
-"""Explaining a request through any router: the one that took it is asked."""
+"""Looks up a request's decisions, at the router that accepted the request."""
 
 import json
 import typing as t
@@ -7,25 +7,25 @@
 from amaranthring.core import decisions
 from amaranthring.core import wire
 
-ASK_SECONDS = 1.0
+ASK_TIMEOUT_SECONDS = 1.0
 
 
 @wire.message("explain-ask")
-class AskDecisions:
-    """Asks the router that took a request for its decisions."""
+class DecisionsRequest:
+    """Asks the router that accepted a request for its decisions."""
 
     request_id: str
 
 
 @wire.message("explain-told")
-class ToldDecisions:
-    """The decisions as JSON; empty if none are kept."""
+class DecisionsReply:
+    """The decisions as JSON, or empty if none are recorded."""
 
     text: str
 
 
 class Explainer:
-    """Finds the decisions about a request wherever they are kept.
+    """Finds the decisions about a request on any router.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     mesh : object
         Links to the other routers.
     ring : decisions.Decisions
-        The decisions kept here.
+        Decisions of this router.
     """
 
     def __init__(self, name: str, mesh, ring: decisions.Decisions):
@@ -43,14 +43,14 @@
         self.decisions = ring
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
-        handlers.add(AskDecisions, self.on_ask)
+        """Register this module's message handlers."""
+        handlers.add(DecisionsRequest, self.on_ask)
 
-    def on_ask(self, _link, ask: AskDecisions) -> ToldDecisions:
-        """Tell what this router decided."""
+    def on_ask(self, _link, ask: DecisionsRequest) -> DecisionsReply:
+        """Return this router's decisions about a request."""
         found = self.decisions.explain(ask.request_id)
         text = json.dumps(found, default=str) if found else ""
-        return ToldDecisions(text)
+        return DecisionsReply(text)
 
     async def explain(self, request_id: str) -> dict[str, t.Any]:
         """Return the decisions about a request.
@@ -58,20 +58,20 @@
         Raises
         ------
         errors.NotFoundError
-            If the id names no router, or the router keeps none.
+            If the id names no router, or the router has no decisions.
         errors.LinkError
             If that router cannot be reached.
         """
         router = decisions.router_of(request_id)
         if router == self.name:
-            told = self.on_ask(None, AskDecisions(request_id))
+            reply = self.on_ask(None, DecisionsRequest(request_id))
         else:
-            ask = AskDecisions(request_id)
-            told = await self.mesh.call(router, ask, ASK_SECONDS)
-        if not told.text:
+            ask = DecisionsRequest(request_id)
+            reply = await self.mesh.call(router, ask, ASK_TIMEOUT_SECONDS)
+        if not reply.text:
             raise errors.NotFoundError(
-                "no decisions about this request are kept",
+                "no decisions are recorded for this request",
                 given=request_id,
                 expected=f"one of the last requests of {router}",
             )
-        return json.loads(told.text)
+        return json.loads(reply.text)
--- a/amaranthring/routers/grants.py
+++ b/amaranthring/routers/grants.py
@@ -1,9 +1,8 @@
-"""Grants that an entry router holds, and how owners come to know of them.
+"""Grants that an entry router holds, and their reports to the owners.
 
-Every second, and at once when the list of routers changes, a router
-tells each owner everything that it holds in the owner's cell. One message
-so renews leases, heals lost releases and answers, and gives a new owner the
-counts of its predecessor.
+Every second, and whenever the list of routers changes, a router reports to
+each owner all its grants in the owner's cell. The report renews leases,
+repairs lost releases and replies, and gives a new owner its counts.
 """
 
 import asyncio
@@ -24,15 +23,15 @@
     Attributes
     ----------
     cell : str
-        Its cell.
+        Cell of the target.
     owner : str
-        Router that counts it; empty for one from local estimates.
+        Router that counts it; empty if decided from local estimates.
     grant : Grant
-        What the way was given.
+        The grant itself.
     request : Request
-        Whom it is for.
+        Request that it admits.
     suspect : bool
-        Whether the request may be what crashed a target.
+        Whether the request is suspected of crashing targets.
     """
 
     cell: str
@@ -43,16 +42,16 @@
 
 
 class HeldGrants:
-    """Grants of one entry router by their serial.
+    """Grants of one entry router, by serial.
 
     Parameters
     ----------
     name : str
         This router.
-    calls : OwnerCalls
-        The way to owners.
+    calls : OwnerClient
+        Client of the cell owners.
     next_serial : callable
-        Returns the serial that will be used next.
+        Returns the next serial to be assigned.
     """
 
     def __init__(
@@ -62,25 +61,25 @@
         self.calls = calls
         self.next_serial = next_serial
         self.by_serial: dict[int, HeldGrant] = {}
-        # The deputy of a silent owner grants as well as the owner only if it
-        # knows what runs; it is told at the first sign.
+        # The deputy of an unresponsive owner needs the current grants to
+        # keep to the bound, so report them at the first timeout.
         calls.on_unresponsive = self.renew_cell
         self.running: collections.Counter[str] = collections.Counter()
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
+        """Register this module's message handlers."""
         handlers.add(messages.Granted, self.on_granted)
         handlers.add(messages.Dropped, self.on_dropped)
         handlers.add(messages.NotOwner, self.on_not_owner)
         handlers.add(messages.GrantReportRequest, self.on_grant_report_request)
 
     def add(self, serial: int, holding: HeldGrant) -> None:
-        """Hold one more grant."""
+        """Add a grant."""
         self.by_serial[serial] = holding
         self.running[holding.grant.target.name] += 1
 
     def remove(self, serial: int) -> HeldGrant | None:
-        """Hold a grant no longer; return it if it was held."""
+        """Remove and return a grant, or None if it is not held."""
         holding = self.by_serial.pop(serial, None)
         if holding is not None:
             target = holding.grant.target.name
@@ -90,39 +89,39 @@
         return holding
 
     async def run(self) -> None:
-        """Tell owners again and again what this router holds."""
+        """Report grants to their owners periodically, until cancelled."""
         while True:
             await asyncio.sleep(RENEW_SECONDS)
             self.renew()
 
     def renew(self) -> None:
-        """Tell the owner of each cell everything held there."""
+        """Report the grants of every cell to its owner."""
         used = [*self.by_serial.values(), *self.calls.waiting.values()]
-        for cell in {each.cell for each in used}:
+        for cell in {item.cell for item in used}:
             self.renew_cell(cell)
 
     def renew_cell(self, cell: str, forced: bool = False) -> None:
-        """Tell the owner of `cell` everything held there."""
+        """Report the grants of `cell` to its owner."""
         first = self.calls.owners_to_ask(cell)[:1]
         if not first:
             return
         owner = first[0]
-        here = {s: h for s, h in self.by_serial.items() if h.cell == cell}
-        told = self._told(cell, here)
-        told.forced = forced or not self.calls.is_natural(cell, owner)
+        held = {s: h for s, h in self.by_serial.items() if h.cell == cell}
+        report = self._report(cell, held)
+        report.forced = forced or not self.calls.is_natural(cell, owner)
         for serial, waiting in self.calls.waiting.items():
             if waiting.cell == cell and waiting.owner == owner:
-                told.waiting.append(told.next_serial - serial)
-        if not self.calls.mesh.send(owner, told):
+                report.waiting.append(report.next_serial - serial)
+        if not self.calls.mesh.send(owner, report):
             return
-        earlier = {holding.owner for holding in here.values()}
-        for holding in here.values():
+        previous = {holding.owner for holding in held.values()}
+        for holding in held.values():
             holding.owner = owner
-        for other in earlier - {owner, ""}:
-            self._leave(cell, other)
+        for other in previous - {owner, ""}:
+            self._clear_at(cell, other)
 
     def on_granted(self, link, message: messages.Granted) -> None:
-        """Wake the request that waited; give back what nobody waits for."""
+        """Wake the queued request; release the grant if none waits."""
         waiting = self.calls.waiting.get(message.serial)
         if waiting is not None:
             self.calls.resolve(waiting, message)
@@ -135,50 +134,50 @@
             )
 
     def on_dropped(self, _link, message: messages.Dropped) -> None:
-        """Wake the request that waited, with what the owner says."""
+        """Wake the queued request with the owner's message."""
         waiting = self.calls.waiting.get(message.serial)
         if waiting is not None:
             self.calls.resolve(waiting, message)
 
     def on_not_owner(self, _link, message: messages.NotOwner) -> None:
-        """Tell what is held to whom the asked router points."""
+        """Report the grants to the router named in the redirect."""
         asked = self.calls.owners_to_ask(message.cell)[:1]
-        pointed = bool(self.calls.redirect_for(message.cell))
+        redirected = bool(self.calls.redirect_for(message.cell))
         followed = self.calls.follow_redirect(message.asked, message)
-        # Two routers may point at each other; then the second must take it.
-        forced = pointed or asked == [followed]
+        # Two routers may redirect to each other: force the second to accept.
+        forced = redirected or asked == [followed]
         self.renew_cell(message.cell, forced)
 
     def on_grant_report_request(
         self, _link, message: messages.GrantReportRequest
     ) -> None:
-        """Tell a deputy what is held, and stay with the owner."""
+        """Report grants to a deputy without changing their owner."""
         cell = message.cell
-        here = {s: h for s, h in self.by_serial.items() if h.cell == cell}
-        if here:
-            told = self._told(cell, here)
-            told.forced = True
-            told.partial = True
-            self.calls.mesh.send(message.deputy, told)
-
-    def _told(
-        self, cell: str, here: dict[int, HeldGrant]
+        held = {s: h for s, h in self.by_serial.items() if h.cell == cell}
+        if held:
+            report = self._report(cell, held)
+            report.forced = True
+            report.partial = True
+            self.calls.mesh.send(message.deputy, report)
+
+    def _report(
+        self, cell: str, held: dict[int, HeldGrant]
     ) -> messages.GrantReport:
-        told = messages.GrantReport(cell, self.name, self.next_serial(), {})
-        for serial, holding in here.items():
-            self._note(told, serial, holding)
-        return told
-
-    def _leave(self, cell: str, owner: str) -> None:
-        # Two owners that both count a grant grant too little for a while,
-        # and unevenly; an owner that can be reached forgets it at once.
-        nothing = messages.GrantReport(cell, self.name, self.next_serial(), {})
-        nothing.forced = True
-        self.calls.mesh.send(owner, nothing)
-
-    def _note(self, told, serial: int, holding: HeldGrant) -> None:
-        back = told.next_serial - serial
+        report = messages.GrantReport(cell, self.name, self.next_serial(), {})
+        for serial, holding in held.items():
+            self._add_to_report(report, serial, holding)
+        return report
+
+    def _clear_at(self, cell: str, owner: str) -> None:
+        # A grant counted by two owners wastes capacity; an empty report
+        # makes the previous owner drop it.
+        report = messages.GrantReport(cell, self.name, self.next_serial(), {})
+        report.forced = True
+        self.calls.mesh.send(owner, report)
+
+    def _add_to_report(self, report, serial: int, holding: HeldGrant) -> None:
+        distance = report.next_serial - serial
         target = holding.grant.target.name
-        told.held.setdefault(target, []).append(back)
+        report.held.setdefault(target, []).append(distance)
         if holding.suspect:
-            told.suspects.append(back)
+            report.suspects.append(distance)
--- a/amaranthring/routers/limits.py
+++ b/amaranthring/routers/limits.py
@@ -1,10 +1,9 @@
-"""Rates of client accounts over the whole fleet.
+"""Rate limits of client accounts across the fleet.
 
-Each account has an owner, by rendezvous over live routers, with its token
-bucket. A router takes tokens in batches for about a second of what it sees
-of the account: at most one call is on its way per account, and an account
-without a rate costs nothing. When the owner is silent, a router lets through
-its own fraction of the rate.
+Rendezvous hashing over the live routers assigns each account an owner, which
+keeps its token bucket. A router leases tokens in batches for about one
+second of its traffic, with at most one call in flight per account. When the
+owner does not answer, a router allows its own fraction of the rate.
 """
 
 import asyncio
@@ -22,61 +21,61 @@
 from amaranthring.policy import limits
 from amaranthring.routers import admission_messages as messages
 
-ASK_SECONDS = 0.3
-SILENT_SECONDS = 1.0
+ASK_TIMEOUT_SECONDS = 0.3
+BACKOFF_SECONDS = 1.0
 LEASE_SECONDS = 2.0
 PAUSE_SECONDS = 0.25
-RATE_SECONDS = 1.0
-ACCOUNTS_MOST = 4096
-OWNED_MOST = 16384
+DECAY_SECONDS = 1.0
+MAX_ACCOUNTS = 4096
+MAX_BUCKETS = 16384
 
 
 @dataclasses.dataclass
-class Leased:
-    """What this router holds of one account's rate.
+class TokenLease:
+    """Rate-limit tokens that this router holds for one account.
 
     Attributes
     ----------
     tokens : int
         Tokens left.
     expires : float
-        When they are worth nothing any more.
-    closed_until : float
-        No asking before; the owner had none.
-    seen : float
-        Requests seen lately, fading over :data:`RATE_SECONDS`.
-    seen_at : float
-        When `seen` was worked out.
-    asking : Task, optional
-        The call on its way; requests share it.
-    own : Bucket, optional
-        Fraction used while the owner is silent.
+        When the tokens expire.
+    retry_at : float
+        Earliest time to ask again after the owner had too few tokens.
+    recent_requests : float
+        Request count that decays over :data:`DECAY_SECONDS`.
+    updated_at : float
+        When `recent_requests` was last updated.
+    pending_refill : Task, optional
+        Call in flight, shared by all waiting requests.
+    fallback_bucket : Bucket, optional
+        This router's fraction, used while the owner does not answer.
     """
 
     tokens: int = 0
     expires: float = 0.0
-    closed_until: float = 0.0
-    seen: float = 0.0
-    seen_at: float = 0.0
-    asking: asyncio.Task | None = None
-    own: limits.Bucket | None = None
+    retry_at: float = 0.0
+    recent_requests: float = 0.0
+    updated_at: float = 0.0
+    pending_refill: asyncio.Task | None = None
+    fallback_bucket: limits.Bucket | None = None
 
     def take(self, now: float) -> bool:
-        """Take one token if there is one."""
+        """Take one token; return whether one was left."""
         if self.tokens < 1 or now >= self.expires:
             return False
         self.tokens -= 1
         return True
 
-    def note(self, now: float) -> None:
-        """Count one request."""
-        fade = math.exp(-(now - self.seen_at) / RATE_SECONDS)
-        self.seen = self.seen * fade + 1
-        self.seen_at = now
+    def count_request(self, now: float) -> None:
+        """Add one request to the decaying count."""
+        decay = math.exp(-(now - self.updated_at) / DECAY_SECONDS)
+        self.recent_requests = self.recent_requests * decay + 1
+        self.updated_at = now
 
 
 class AccountLimits:
-    """Rates of all accounts, as seen and as owned by this router.
+    """Rate limits of all accounts: leased tokens and owned buckets.
 
     Parameters
     ----------
@@ -85,9 +84,9 @@
     mesh : object
         Links to the other routers.
     config : callable
-        Returns the revision in force.
+        Returns the active configuration revision.
     configured : callable
-        Returns how many routers the fleet has by its settings.
+        Returns the number of routers in the settings.
     """
 
     def __init__(
@@ -105,22 +104,22 @@
         self.configured = configured
         self.metrics = metrics or counters.Metrics()
         self.clock = clock
-        self.leased: collections.OrderedDict[str, Leased] = (
+        self.leases: collections.OrderedDict[str, TokenLease] = (
             collections.OrderedDict()
         )
-        self.owned: collections.OrderedDict[str, limits.Bucket] = (
+        self.buckets: collections.OrderedDict[str, limits.Bucket] = (
             collections.OrderedDict()
         )
         self.owners: dict[str, str] = {}
-        self.silent: dict[str, float] = {}
+        self.backoff_until: dict[str, float] = {}
         mesh.subscribe(self.routers_changed)
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
+        """Register this module's message handlers."""
         handlers.add(messages.TokenRequest, self.on_ask)
 
     async def check_limits(self, request: records.Request) -> None:
-        """Let `request` pass or refuse it by its account's rate.
+        """Refuse `request` if its account is above its rate.
 
         Raises
         ------
@@ -131,16 +130,16 @@
         if policy.rate_per_second <= 0:
             return
         now = self.clock()
-        leased = self._leased(request.account)
-        leased.note(now)
-        if leased.take(now):
+        lease = self._lease(request.account)
+        lease.count_request(now)
+        if lease.take(now):
             return
-        if now >= leased.closed_until:
-            await self._refill(request.account, leased)
-            if leased.take(self.clock()):
+        if now >= lease.retry_at:
+            await self._refill(request.account, lease)
+            if lease.take(self.clock()):
                 return
         self.metrics.count("limits.refused")
-        left = max(leased.closed_until - self.clock(), 0.0)
+        left = max(lease.retry_at - self.clock(), 0.0)
         raise errors.RateLimitedError(
             f"account {request.account} is above its rate",
             given="one request more",
@@ -149,7 +148,7 @@
         )
 
     def on_ask(self, _link, ask: messages.TokenRequest) -> messages.TokenGrant:
-        """Give tokens of an account that this router owns."""
+        """Grant tokens from the bucket of an account that this router owns."""
         policy = self.config().preset.account_policy(ask.account)
         rate = policy.rate_per_second
         if rate <= 0:
@@ -163,57 +162,62 @@
         return messages.TokenGrant(tokens, LEASE_SECONDS, wait)
 
     def routers_changed(self) -> None:
-        """Forget who owned what."""
+        """Clear the cached owners."""
         self.owners.clear()
-        self.silent.clear()
-
-    async def _refill(self, account: str, leased: Leased) -> None:
-        if leased.asking is None:
-            leased.asking = asyncio.ensure_future(self._ask(account, leased))
-        # Shielded: one caller that leaves must not fail the others.
-        await asyncio.shield(leased.asking)
-
-    async def _ask(self, account: str, leased: Leased) -> None:
-        wanted = max(1, math.ceil(leased.seen))
+        self.backoff_until.clear()
+
+    async def _refill(self, account: str, lease: TokenLease) -> None:
+        if lease.pending_refill is None:
+            lease.pending_refill = asyncio.ensure_future(
+                self._run_refill(account, lease)
+            )
+        # Shielded: a cancelled caller must not fail the others.
+        await asyncio.shield(lease.pending_refill)
+
+    async def _run_refill(self, account: str, lease: TokenLease) -> None:
+        wanted = max(1, math.ceil(lease.recent_requests))
         try:
-            given = await self._answer(account, leased, wanted)
+            granted = await self._request_tokens(account, lease, wanted)
         finally:
-            leased.asking = None
+            lease.pending_refill = None
         now = self.clock()
-        if now >= leased.expires:
-            leased.tokens = 0
-        leased.tokens += given.tokens
-        leased.expires = now + given.seconds
-        if given.tokens < wanted:
-            # Above its rate an account would cost a call per request.
-            wait = max(given.retry_after, PAUSE_SECONDS)
-            leased.closed_until = now + wait
-
-    async def _answer(self, account, leased, wanted) -> messages.TokenGrant:
+        if now >= lease.expires:
+            lease.tokens = 0
+        lease.tokens += granted.tokens
+        lease.expires = now + granted.seconds
+        if granted.tokens < wanted:
+            # Without the pause, an account above its rate would cost one
+            # call per request.
+            wait = max(granted.retry_after, PAUSE_SECONDS)
+            lease.retry_at = now + wait
+
+    async def _request_tokens(
+        self, account, lease, wanted
+    ) -> messages.TokenGrant:
         ask = messages.TokenRequest(account, self.name, wanted)
         owner = self._owner(account)
         self.metrics.count("limits.asked")
         if owner == self.name:
             return self.on_ask(None, ask)
-        if self.silent.get(owner, 0.0) <= self.clock():
+        if self.backoff_until.get(owner, 0.0) <= self.clock():
             try:
-                return await self.mesh.call(owner, ask, ASK_SECONDS)
+                return await self.mesh.call(owner, ask, ASK_TIMEOUT_SECONDS)
             except errors.AmaranthringError:
                 self.metrics.count("limits.owner-silent")
-                self.silent[owner] = self.clock() + SILENT_SECONDS
-        return self._own_fraction(account, leased, wanted)
+                self.backoff_until[owner] = self.clock() + BACKOFF_SECONDS
+        return self._take_fallback(account, lease, wanted)
 
-    def _own_fraction(self, account, leased, wanted) -> messages.TokenGrant:
+    def _take_fallback(self, account, lease, wanted) -> messages.TokenGrant:
         policy = self.config().preset.account_policy(account)
         routers = max(len(self.mesh.live()), self.configured(), 1)
         rate = policy.rate_per_second / routers
         burst = max(1.0, policy.burst / routers)
         now = self.clock()
-        if leased.own is None:
-            leased.own = limits.Bucket(burst, now)
-        leased.own.refill(rate, burst, now)
-        tokens = leased.own.take(wanted)
-        wait = 0.0 if tokens else leased.own.until_next(rate)
+        if lease.fallback_bucket is None:
+            lease.fallback_bucket = limits.Bucket(burst, now)
+        lease.fallback_bucket.refill(rate, burst, now)
+        tokens = lease.fallback_bucket.take(wanted)
+        wait = 0.0 if tokens else lease.fallback_bucket.until_next(rate)
         return messages.TokenGrant(tokens, LEASE_SECONDS, wait)
 
     def _owner(self, account: str) -> str:
@@ -221,29 +225,29 @@
         if owner is None:
             live = self.mesh.live()
             owner = hashing.first(f"account {account}", live) or self.name
-            if len(self.owners) >= ACCOUNTS_MOST:
+            if len(self.owners) >= MAX_ACCOUNTS:
                 self.owners.clear()
             self.owners[account] = owner
         return owner
 
-    def _leased(self, account: str) -> Leased:
-        leased = self.leased.get(account)
-        if leased is None:
-            leased = self.leased[account] = Leased()
-            if len(self.leased) > ACCOUNTS_MOST:
-                self.leased.popitem(last=False)
-        self.leased.move_to_end(account)
-        return leased
+    def _lease(self, account: str) -> TokenLease:
+        lease = self.leases.get(account)
+        if lease is None:
+            lease = self.leases[account] = TokenLease()
+            if len(self.leases) > MAX_ACCOUNTS:
+                self.leases.popitem(last=False)
+        self.leases.move_to_end(account)
+        return lease
 
     def _bucket(self, account: str, policy) -> limits.Bucket:
-        bucket = self.owned.get(account)
+        bucket = self.buckets.get(account)
         if bucket is None:
-            # A new owner does not know what its predecessor gave out: it
-            # starts with a second's worth and not with the whole burst.
+            # A new owner does not know what its predecessor granted: start
+            # with one second of the rate, not with the whole burst.
             start = min(policy.burst, policy.rate_per_second)
             bucket = limits.Bucket(max(1.0, start), self.clock())
-            self.owned[account] = bucket
-            if len(self.owned) > OWNED_MOST:
-                self.owned.popitem(last=False)
-        self.owned.move_to_end(account)
+            self.buckets[account] = bucket
+            if len(self.buckets) > MAX_BUCKETS:
+                self.buckets.popitem(last=False)
+        self.buckets.move_to_end(account)
         return bucket
--- a/amaranthring/routers/owner_client.py
+++ b/amaranthring/routers/owner_client.py
@@ -1,8 +1,8 @@
 """Calls from an entry router to admission owners.
 
-Whom to ask: the router that an asked one pointed at, the owner by this
-router's list, its deputy. One that stays silent is passed over for a second,
-so that a frozen owner costs one timeout and not one per request.
+The order of candidates: the router named by a recent redirect, the owner by
+this router's list, its deputy. One that does not answer is skipped for a
+second, so that a frozen owner costs one timeout and not one per request.
 """
 
 import asyncio
@@ -18,24 +18,24 @@
 from amaranthring.policy import cells
 from amaranthring.routers import admission_messages as messages
 
-ASK_SECONDS = 0.4
-SILENT_SECONDS = 1.0
+ASK_TIMEOUT_SECONDS = 0.4
+BACKOFF_SECONDS = 1.0
 REDIRECT_SECONDS = 3.0
 OWNERS_KEPT = 3
 OWNERS_ASKED = 2
-CELLS_MOST = 4096
+MAX_CELLS = 4096
 
 
 @dataclasses.dataclass
 class PendingAdmission:
-    """A request that an owner was asked for and that is not settled.
+    """An admission request that its owner has not settled yet.
 
     Attributes
     ----------
     cell, owner : str
-        Who was asked about what.
+        Requested cell, and the router that was asked.
     answer : Future
-        Resolves with ``Granted`` or ``Dropped`` if the request had to wait.
+        Resolves with ``Granted`` or ``Dropped`` if the request was queued.
     """
 
     cell: str
@@ -44,14 +44,14 @@
 
 
 class OwnerClient:
-    """Asks owners and keeps what waits at them.
+    """Asks cell owners for grants and tracks queued requests.
 
     Parameters
     ----------
     name, data_centre : str
         This router.
     table, mesh : object
-        Target table and links, as in ``docs/INTERNALS.md``.
+        Target table and links, see ``docs/INTERNALS.md``.
     """
 
     def __init__(
@@ -70,109 +70,115 @@
         self.metrics = metrics
         self.clock = clock
         self.waiting: dict[int, PendingAdmission] = {}
-        self.silent: dict[str, float] = {}
-        self.orders: dict[str, list[str]] = {}
-        self.pointed: dict[str, tuple[str, float]] = {}
-        self.on_unresponsive: collections.abc.Callable[[str], None] = _nothing
+        self.backoff_until: dict[str, float] = {}
+        self.owners_by_cell: dict[str, list[str]] = {}
+        self.redirects: dict[str, tuple[str, float]] = {}
+        self.on_unresponsive: collections.abc.Callable[[str], None] = (
+            _do_nothing
+        )
         table.subscribe(self.target_changed)
 
-    # -- whom to ask --
+    # -- owner lookup --
 
     def members(self, cell: str) -> list[records.Target]:
         """Return the eligible targets of `cell`."""
         scope = cells.parse(cell)
-        near = self.table.eligible(scope.kind, scope.serves[0])
-        return [target for target in near if scope.holds(target)]
+        eligible = self.table.eligible(scope.kind, scope.serves[0])
+        return [target for target in eligible if scope.holds(target)]
 
     def natural_order(self, cell: str) -> list[str]:
-        """Return owner and deputies of `cell` by this router's lists."""
-        order = self.orders.get(cell)
+        """Return owner and deputies of `cell`, ignoring redirects."""
+        order = self.owners_by_cell.get(cell)
         if order is not None:
             return order
         order = cells.owners(cell, self.members(cell), self.mesh.live)
         if not order:
             order = hashing.order(cell, self.mesh.live(self.data_centre))
-        if len(self.orders) >= CELLS_MOST:
-            self.orders.clear()
-        self.orders[cell] = order[:OWNERS_KEPT]
-        return self.orders[cell]
+        if len(self.owners_by_cell) >= MAX_CELLS:
+            self.owners_by_cell.clear()
+        self.owners_by_cell[cell] = order[:OWNERS_KEPT]
+        return self.owners_by_cell[cell]
 
     def owners_to_ask(self, cell: str) -> list[str]:
-        """Return whom to ask about `cell`, silent ones last."""
+        """Return the routers to ask about `cell`, unresponsive ones last."""
         now = self.clock()
         order = self.natural_order(cell)
-        pointed = self.redirect_for(cell)
-        if pointed:
-            order = [pointed, *(r for r in order if r != pointed)]
-        return sorted(order, key=lambda r: self.silent.get(r, 0.0) > now)
+        redirect = self.redirect_for(cell)
+        if redirect:
+            order = [redirect, *(r for r in order if r != redirect)]
+        return sorted(
+            order, key=lambda r: self.backoff_until.get(r, 0.0) > now
+        )
 
     def is_natural(self, cell: str, owner: str) -> bool:
-        """Return whether `owner` is the owner by this router's lists."""
+        """Return whether `owner` owns `cell` by this router's lists."""
         return self.natural_order(cell)[:1] == [owner]
 
     def redirect_for(self, cell: str) -> str:
-        """Return the owner that an asked router lately named, or empty."""
-        owner, until = self.pointed.get(cell, ("", 0.0))
+        """Return the owner named by a recent redirect, or empty."""
+        owner, until = self.redirects.get(cell, ("", 0.0))
         return owner if until > self.clock() else ""
 
-    def point(self, cell: str, owner: str) -> None:
-        """Note that an asked router named `owner`."""
-        if len(self.pointed) >= CELLS_MOST:
-            self.pointed.clear()
-        self.pointed[cell] = (owner, self.clock() + REDIRECT_SECONDS)
+    def note_redirect(self, cell: str, owner: str) -> None:
+        """Record a redirect of `cell` to `owner`."""
+        if len(self.redirects) >= MAX_CELLS:
+            self.redirects.clear()
+        self.redirects[cell] = (owner, self.clock() + REDIRECT_SECONDS)
 
     def target_changed(self, _name: str) -> None:
-        """Work out anew who owns which cell."""
-        self.orders.clear()
+        """Clear the cached owners."""
+        self.owners_by_cell.clear()
 
     def routers_changed(self) -> None:
-        """Work out owners anew; ask again what waited at lost ones."""
+        """Clear cached owners; repeat requests queued at lost routers."""
         live = set(self.mesh.live())
-        self.orders.clear()
-        self.pointed.clear()
-        self.silent = {r: at for r, at in self.silent.items() if r in live}
+        self.owners_by_cell.clear()
+        self.redirects.clear()
+        self.backoff_until = {
+            r: at for r, at in self.backoff_until.items() if r in live
+        }
         for waiting in self.waiting.values():
             if waiting.owner not in live:
                 self.resolve(waiting, messages.Dropped(0, moved=True))
 
-    # -- asking --
+    # -- calls --
 
     async def ask(
         self, ask: messages.Admit
     ) -> tuple[str, messages.Granted | messages.Queued | None]:
-        """Ask the owner, or its deputy when it is silent.
+        """Ask the owner, or its deputy if it does not answer.
 
         Returns
         -------
         str
-            Who answered; empty if nobody did.
+            The router that answered; empty if none did.
         Granted, Queued or None
-            The answer. After ``Queued``, `wait` has to follow.
+            The reply. After ``Queued``, call `wait`.
 
         Raises
         ------
         errors.RefusedError
-            As the owner refused.
+            If the owner refused the request.
         """
         now = self.clock()
         for owner in self.owners_to_ask(ask.cell)[:OWNERS_ASKED]:
-            if self.silent.get(owner, 0.0) > now:
+            if self.backoff_until.get(owner, 0.0) > now:
                 continue
             ask.forced = not self.is_natural(ask.cell, owner)
             try:
-                return await self._follow(owner, ask)
+                return await self._call_with_redirect(owner, ask)
             except errors.LinkError:
                 self.metrics.count("placing.owner-silent")
-                self.silent[owner] = self.clock() + SILENT_SECONDS
+                self.backoff_until[owner] = self.clock() + BACKOFF_SECONDS
                 self.on_unresponsive(ask.cell)
-                # It may have granted and only its answer is lost.
+                # It may have granted the request and the reply was lost.
                 self.release(owner, ask.cell, ask.serial, records.End.NOT_SENT)
         return "", None
 
     async def wait(
         self, serial: int, seconds: float
     ) -> messages.Granted | messages.Dropped:
-        """Return what the owner says of queued request `serial`.
+        """Return the owner's reply to queued request `serial`.
 
         Raises
         ------
@@ -185,45 +191,45 @@
     def release(
         self, owner: str, cell: str, serial: int, end: records.End
     ) -> None:
-        """Give back a grant or withdraw a waiting request."""
+        """Release a grant or withdraw a queued request."""
         message = messages.Release(cell, self.name, serial, end)
         if not self.mesh.send(owner, message):
-            # The next holdings message leaves it out, which ends it.
+            # The next grant report omits it, which ends it.
             self.metrics.count("placing.release-unsent")
 
     def resolve(self, waiting: PendingAdmission, message: t.Any) -> None:
-        """Wake the request that waits, unless it is awake."""
+        """Resolve the future of a queued request, unless it is done."""
         if not waiting.answer.done():
             waiting.answer.set_result(message)
 
-    async def _follow(self, owner: str, ask: messages.Admit):
+    async def _call_with_redirect(self, owner: str, ask: messages.Admit):
         answer = await self._call(owner, ask)
         if isinstance(answer, messages.NotOwner):
-            # Whom it points at may point back: that one has to decide.
+            # The two may redirect to each other: force the second to decide.
             ask.forced = True
             owner = self.follow_redirect(owner, answer)
             answer = await self._call(owner, ask)
         return owner, answer
 
     def follow_redirect(self, asked: str, answer: messages.NotOwner) -> str:
-        """Return whom to tell or ask next, after `asked` pointed on.
+        """Record a redirect from `asked`; return the router to use next.
 
-        A router that this one knows to be gone or leaving is not followed:
-        `asked` has not heard of that yet and has to decide itself.
+        A redirect to a router that is not live here is ignored: `asked` has
+        not noticed its loss yet and has to decide itself.
         """
         if answer.owner not in self.mesh.live():
             return asked
-        self.point(answer.cell, answer.owner)
+        self.note_redirect(answer.cell, answer.owner)
         return answer.owner
 
     async def _call(self, owner: str, ask: messages.Admit):
         future = asyncio.get_running_loop().create_future()
-        # Noted before the call: holdings sent meanwhile must not make the
-        # owner believe that this request was given up.
+        # Recorded before the call: a grant report sent meanwhile must not
+        # make the owner drop this request.
         self.waiting[ask.serial] = PendingAdmission(ask.cell, owner, future)
         answer = None
         try:
-            answer = await self.mesh.call(owner, ask, ASK_SECONDS)
+            answer = await self.mesh.call(owner, ask, ASK_TIMEOUT_SECONDS)
             return answer
         except asyncio.CancelledError:
             self.release(owner, ask.cell, ask.serial, records.End.CANCELLED)
@@ -233,5 +239,5 @@
                 del self.waiting[ask.serial]
 
 
-def _nothing(_cell: str) -> None:
-    """Do nothing: no grants are held."""
+def _do_nothing(_cell: str) -> None:
+    """Default callback: there are no grants to report."""
--- a/amaranthring/routers/placement.py
+++ b/amaranthring/routers/placement.py
@@ -1,9 +1,9 @@
-"""Entry-router side of admission: find a place for a request and ask for it.
+"""Entry-router side of admission: choose a cell and ask its owner.
 
-The way: ask the directory where the chat ran last; order the cells by the
-chat's preference; ask the first cell's owner, its deputy when the owner is
-silent, and decide from local estimates when both are. A request for which
-its own cell has no room is offered to cells that have.
+Looks up the chat's prefix-cache locations, ranks the cells and asks the
+owner of the best one, or its deputy if the owner does not answer. If neither
+answers, decides from local load estimates. If the cell is full, cells with
+capacity are asked.
 """
 
 import collections.abc
@@ -21,30 +21,30 @@
 from amaranthring.routers import grants
 from amaranthring.routers import owner_client
 
-DESCRIBE_SECONDS = 0.4
-ELSEWHERE_MOST = 3
-ASKS_MOST = 8
+DESCRIBE_TIMEOUT_SECONDS = 0.4
+MAX_OTHER_CELLS = 3
+MAX_ATTEMPTS = 8
 RETRY_AFTER_SECONDS = 1.0
-# Damped, silent and drained targets change without a word from the table.
-GROUPED_SECONDS = 0.5
-GROUPS_MOST = 1024
-SERIAL_PER_SECOND = 1000
+# Damped, silent and drained targets change without a table event.
+CELLS_CACHE_SECONDS = 0.5
+MAX_CACHED_SERVICES = 1024
+SERIALS_PER_SECOND = 1000
 
 
 @dataclasses.dataclass
 class Search:
-    """What is known while a place is looked for.
+    """Inputs for placing one request.
 
     Attributes
     ----------
     request : Request
-        Whom it is for.
+        Request to place.
     remembered : list of str
-        Where the chat ran, the last place first.
+        Targets that ran the chat, most recent first.
     suspect : bool
         Whether a target died while the request ran there.
     excluded : set of str
-        Targets not to take.
+        Targets that must not be used.
     """
 
     request: records.Request
@@ -54,29 +54,29 @@
 
     @property
     def chat(self) -> str:
-        """Return what rendezvous orders by."""
+        """Return the rendezvous key."""
         return self.request.chat or self.request.request_id
 
 
 class Placer:
-    """Finds places for the requests of one entry router.
+    """Places the requests of one entry router on targets.
 
     Parameters
     ----------
     name, data_centre, region : str
         This router.
     table, mesh : object
-        Target table and links, as in ``docs/INTERNALS.md``.
+        Target table and links, see ``docs/INTERNALS.md``.
     directory : Directory
-        Remembered places.
-    suspicion : Suspicion
-        Requests that may crash their targets.
+        Prefix-cache locations of chats.
+    suspicion : CrashTracker
+        Tracks requests that are suspected of crashing targets.
     config : callable
-        Returns the revision in force.
+        Returns the active configuration revision.
     metrics : Metrics, optional
-        Counters of this process.
+        Metrics of this process.
     clock : callable
-        Seconds on the clock of request deadlines.
+        Clock of request deadlines, in seconds.
     """
 
     def __init__(
@@ -102,47 +102,47 @@
         self.config = config
         self.metrics = metrics or counters.Metrics()
         self.clock = clock
-        # Grows over restarts, so that an owner never takes a grant of this
-        # process for one of its predecessor.
-        self.serial = int(time.time() * SERIAL_PER_SECOND)
+        # Keeps growing across restarts, so that an owner cannot confuse
+        # grants of this process with those of its predecessor.
+        self.serial = int(time.time() * SERIALS_PER_SECOND)
         self.calls = owner_client.OwnerClient(
             name, data_centre, table, mesh, self.metrics, clock
         )
         self.held = grants.HeldGrants(
             name, self.calls, lambda: self.serial + 1
         )
-        self.groups: dict[tuple, tuple[float, dict[str, list]]] = {}
+        self.cells_by_service: dict[tuple, tuple[float, dict[str, list]]] = {}
         mesh.subscribe(self.routers_changed)
         table.subscribe(self.target_changed)
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
+        """Register this module's message handlers."""
         self.held.add_handlers(handlers)
 
     async def run(self) -> None:
-        """Renew what is held. Runs for ever."""
+        """Renew held grants until cancelled."""
         await self.held.run()
 
-    # -- the contract with the way --
+    # -- interface to the request pipeline --
 
     async def admit(
         self, request: records.Request, excluded: set[str]
     ) -> records.Grant:
-        """Return leave to send `request` to one target.
+        """Return a grant to send `request` to one target.
 
         Parameters
         ----------
         request : Request
-            Whom it is for; its deadline bounds the waiting.
+            Request to place; its deadline bounds the wait.
         excluded : set of str
-            Targets not to take, such as those that failed it.
+            Targets that must not be used, such as those that failed it.
 
         Raises
         ------
         errors.NoTargetError, errors.QueueFullError, errors.DeadlineError
             With ``retry_after``.
         errors.QuarantinedError
-            If two targets died while it ran there.
+            If two targets died while the request ran there.
         """
         began = self.clock()
         found = await self.directory.find(
@@ -158,12 +158,12 @@
             bool(found.deaths),
             excluded | set(found.deaths),
         )
-        grant = await self._search(search)
+        grant = await self._place(search)
         grant.queued_seconds = self.clock() - began
         return grant
 
     def release(self, grant: records.Grant, end: records.End) -> None:
-        """Give `grant` back; never blocks. A second release does nothing."""
+        """Release `grant` without blocking. Idempotent."""
         serial = int(grant.grant_id.rpartition(":")[2])
         holding = self.held.remove(serial)
         if holding is None:
@@ -172,99 +172,104 @@
             self.calls.release(holding.owner, holding.cell, serial, end)
         request = holding.request
         if holding.suspect and end == records.End.DONE:
-            self.suspicion.ended(request)
+            self.suspicion.suspect_finished(request)
 
     def routers_changed(self) -> None:
-        """Tell new owners at once; ask again what waited at lost ones."""
+        """Report grants to new owners; retry requests queued at lost ones."""
         self.calls.routers_changed()
         self.held.renew()
 
-    # -- searching --
+    # -- placement --
 
-    async def _search(self, search: Search) -> records.Grant:
-        for _ in range(ASKS_MOST):
-            order = self._cells(search)
+    async def _place(self, search: Search) -> records.Grant:
+        for _ in range(MAX_ATTEMPTS):
+            order = self._ranked_cells(search)
             if not order:
                 raise self._no_target(search)
             try:
-                grant = await self._try(search, order[0])
+                grant = await self._ask_cell(search, order[0])
             except errors.RefusedError:
-                grant = await self._first_at_once(search, order[1:])
+                grant = await self._first_immediate(search, order[1:])
                 if grant is None:
                     raise
             if grant is not None:
                 return grant
         raise errors.QueueFullError(
-            "owners kept moving", retry_after=RETRY_AFTER_SECONDS
+            "the owner kept changing", retry_after=RETRY_AFTER_SECONDS
         )
 
     def _no_target(self, search: Search) -> errors.NoTargetError:
         return errors.NoTargetError(
-            "no target is known that may take this",
+            "no known target can serve this request",
             given=search.request.serves,
             expected="a ready target",
             retry_after=self.config().preset.lease_seconds,
         )
 
-    def _cells(self, search: Search) -> list[str]:
-        """Return the cells that may take the request, best first."""
+    def _ranked_cells(self, search: Search) -> list[str]:
+        """Return the cells that can serve the request, best first."""
         ranks = {}
-        for name, members in self._grouped(search.request).items():
+        for name, members in self._cells_of(search.request).items():
             usable = [t for t in members if t.name not in search.excluded]
             if usable:
                 ranks[name] = self._rank(search, name, usable)
         return sorted(ranks, key=ranks.__getitem__)
 
-    def _grouped(self, request) -> dict[str, list[records.Target]]:
+    def _cells_of(self, request) -> dict[str, list[records.Target]]:
         """Return the cells of this region that serve `request`."""
-        wanted = (request.kind, request.serves)
-        expires, found = self.groups.get(wanted, (0.0, {}))
+        service = (request.kind, request.serves)
+        expires, found = self.cells_by_service.get(service, (0.0, {}))
         if expires > self.clock():
             return found
         eligible = [
             target
-            for target in self.table.eligible(*wanted)
+            for target in self.table.eligible(*service)
             if target.region == self.region
         ]
         found = cells.group(eligible)
-        if len(self.groups) >= GROUPS_MOST:
-            self.groups.clear()
-        self.groups[wanted] = (self.clock() + GROUPED_SECONDS, found)
+        if len(self.cells_by_service) >= MAX_CACHED_SERVICES:
+            self.cells_by_service.clear()
+        self.cells_by_service[service] = (
+            self.clock() + CELLS_CACHE_SECONDS,
+            found,
+        )
         return found
 
     def target_changed(self, _name: str) -> None:
-        """Group the targets anew."""
-        self.groups.clear()
+        """Clear the cached cells."""
+        self.cells_by_service.clear()
 
     def _rank(self, search: Search, name: str, members: list):
         names = {target.name for target in members}
-        places = [name in names for name in search.remembered]
+        remembered = [name in names for name in search.remembered]
         centre = cells.parse(name).data_centre
-        near = centre in ("", self.data_centre)
+        local = centre in ("", self.data_centre)
         best = max(hashing.weight(search.chat, t.name) for t in members)
-        return ([not place for place in places], not near, -best, name)
+        return ([not match for match in remembered], not local, -best, name)
 
-    async def _try(self, search: Search, cell: str) -> records.Grant | None:
-        """Ask one cell; return None if it has to be asked again."""
-        ask = self._message(search, cell)
+    async def _ask_cell(
+        self, search: Search, cell: str
+    ) -> records.Grant | None:
+        """Ask one cell; return None if the caller should ask again."""
+        ask = self._admit_message(search, cell)
         owner, answer = await self.calls.ask(ask)
         if isinstance(answer, messages.CellFull):
-            grant = await self._elsewhere(search, cell, answer.cells)
+            grant = await self._ask_other_cells(search, cell, answer.cells)
             if grant is not None:
                 return grant
-            ask = self._message(search, cell, alone=True)
+            ask = self._admit_message(search, cell, alone=True)
             owner, answer = await self.calls.ask(ask)
         if owner == "":
-            return self._local(search, ask)
+            return self._place_locally(search, ask)
         if isinstance(answer, messages.Queued):
-            answer = await self._wait(search, ask, owner)
+            answer = await self._wait_in_queue(search, ask, owner)
         if isinstance(answer, messages.Granted):
             return await self._accept(search, owner, answer)
         if answer.moved:
             return None
         raise errors.from_record(answer.error)
 
-    def _message(
+    def _admit_message(
         self, search, cell: str, at_once=False, alone=False
     ) -> messages.Admit:
         request = search.request
@@ -285,8 +290,8 @@
             alone=alone,
         )
 
-    async def _wait(self, search, ask, owner: str):
-        """Wait for the owner's word on a queued request."""
+    async def _wait_in_queue(self, search, ask, owner: str):
+        """Wait for the owner's reply to a queued request."""
         answer = None
         try:
             left = max(0.0, search.request.deadline - self.clock())
@@ -303,14 +308,14 @@
                 end = records.End.CANCELLED
                 self.calls.release(owner, ask.cell, ask.serial, end)
 
-    async def _elsewhere(self, search, cell: str, roomy: list[str]):
-        usable = self._cells(search)
-        others = [c for c in roomy if c in usable and c != cell]
-        return await self._first_at_once(search, others)
+    async def _ask_other_cells(self, search, cell: str, candidates: list[str]):
+        usable = self._ranked_cells(search)
+        others = [c for c in candidates if c in usable and c != cell]
+        return await self._first_immediate(search, others)
 
-    async def _first_at_once(self, search, others) -> records.Grant | None:
-        for cell in others[:ELSEWHERE_MOST]:
-            ask = self._message(search, cell, at_once=True)
+    async def _first_immediate(self, search, others) -> records.Grant | None:
+        for cell in others[:MAX_OTHER_CELLS]:
+            ask = self._admit_message(search, cell, at_once=True)
             try:
                 owner, answer = await self.calls.ask(ask)
             except errors.RefusedError:
@@ -324,27 +329,29 @@
     async def _accept(self, search, owner: str, granted: messages.Granted):
         target = self.table.get(granted.target)
         if target is None:
-            target = await self._describe(owner, granted.target)
+            target = await self._fetch_target(owner, granted.target)
         if target is None:
             end = records.End.NOT_SENT
             self.calls.release(owner, granted.cell, granted.serial, end)
             return None
-        grant = self._hold(search, granted.cell, granted.serial, owner, target)
+        grant = self._add_grant(
+            search, granted.cell, granted.serial, owner, target
+        )
         grant.load = granted.load
         grant.in_flight = granted.in_flight
         grant.targets = granted.targets
         return grant
 
-    async def _describe(self, owner: str, name: str):
-        """Ask the owner about a target that this router has not heard of."""
+    async def _fetch_target(self, owner: str, name: str):
+        """Ask the owner for a target record that this router lacks."""
         ask = messages.DescribeTarget(name)
         try:
-            answer = await self.mesh.call(owner, ask, DESCRIBE_SECONDS)
+            answer = await self.mesh.call(owner, ask, DESCRIBE_TIMEOUT_SECONDS)
         except errors.AmaranthringError:
             return None
         return answer.target
 
-    def _hold(self, search, cell, serial, owner, target) -> records.Grant:
+    def _add_grant(self, search, cell, serial, owner, target) -> records.Grant:
         grant = records.Grant(
             f"{self.name}:{serial}",
             owner,
@@ -353,27 +360,27 @@
             import_from=self._import_from(search, target),
             cell=cell,
         )
-        held = grants.HeldGrant(
+        holding = grants.HeldGrant(
             cell, owner, grant, search.request, search.suspect
         )
-        self.held.add(serial, held)
+        self.held.add(serial, holding)
         if search.suspect:
-            self.suspicion.began(search.request, target.name)
+            self.suspicion.suspect_started(search.request, target.name)
         if search.request.chat and not grant.remembered:
-            # At once: the prefix is computed first, long before the answer
-            # ends, and the chat may return meanwhile through any router.
+            # Stored before the answer ends: the prefix is cached early, and
+            # the chat may already return through another router.
             self.directory.remember(search.request.chat, target.name)
         return grant
 
     def _import_from(self, search, target) -> records.Target | None:
-        """Return where the chat's KV cache may still be had."""
+        """Return a target that may still hold the chat's KV cache."""
         if target.name in search.remembered:
             return None
         known = [self.table.get(name) for name in search.remembered]
-        return next((each for each in known if each is not None), None)
+        return next((record for record in known if record is not None), None)
 
-    def _local(self, search, ask: messages.Admit) -> records.Grant:
-        """Decide from this router's own count and the lagging reports."""
+    def _place_locally(self, search, ask: messages.Admit) -> records.Grant:
+        """Choose a target by this router's own counts and load reports."""
         self.metrics.count("placing.local")
         members = {
             target.name: target
@@ -382,15 +389,15 @@
         }
         known = [name for name in search.remembered if name in members]
         order = known + hashing.order(search.chat, members)
-        seen = {name: self._estimate(name) for name in members}
+        loads = {name: self._estimate(name) for name in members}
         bound = self.config().preset.load_bound
-        best = estimates.choose_target(order, members, seen, bound)
+        best = estimates.choose_target(order, members, loads, bound)
         if best is None:
             raise errors.QueueFullError(
-                "no owner answers and the estimates leave no room",
+                "no owner answers and all targets are at their bound",
                 retry_after=RETRY_AFTER_SECONDS,
             )
-        return self._hold(search, ask.cell, ask.serial, "", members[best])
+        return self._add_grant(search, ask.cell, ask.serial, "", members[best])
 
     def _estimate(self, name: str) -> estimates.LoadEstimate:
         report = self.table.report(name)
--- a/amaranthring/routers/suspicion.py
+++ b/amaranthring/routers/suspicion.py
@@ -1,9 +1,9 @@
-"""Suspects over the whole fleet: requests that may crash their targets.
+"""Tracks suspects across the fleet: requests that may crash their targets.
 
-What is held against a request lies on the shard of its chat, beside the
-chat's remembered place, so that every router finds it with the lookup that
-it makes anyway. Each entry has two holders in each region: a caller that
-sends again through any router, after the loss of any one, is recognised.
+The entry of a suspect is stored in the directory shard of its chat, so that
+the directory lookup of any router returns it. Each entry has two holders in
+each region: it survives the loss of a router, and a retry through any router
+is recognised.
 """
 
 import asyncio
@@ -24,14 +24,14 @@
 
 log = logbook.Logger(__name__)
 
-REPORT_SECONDS = 0.4
+REPORT_TIMEOUT_SECONDS = 0.4
 CONFIRM_SECONDS = 0.5
-APART_MOST = 20000
+MAX_ISOLATED_RUNS = 20000
 BATCH_ENTRIES = 500
 
 
 class CrashTracker:
-    """The shard of suspects of this router, and its way to the others.
+    """Shard of suspects of this router, and a client of the other shards.
 
     Parameters
     ----------
@@ -42,13 +42,13 @@
     regions : Regions
         Live routers by region.
     quarantine : callable
-        Awaitable; proposes a fingerprint to the keepers.
+        Coroutine function that proposes a fingerprint to the keepers.
     config : callable
-        Returns the revision in force.
+        Returns the active configuration revision.
     clock : callable
-        Seconds on a monotonic clock.
+        Monotonic clock, in seconds.
     wall : callable
-        Seconds of wall time, as expiries in the revision are.
+        Wall clock, in seconds; expiry times in the revision use it.
     """
 
     def __init__(
@@ -71,10 +71,10 @@
         self.config = config
         self.metrics = metrics or counters.Metrics()
         self.clock = clock
-        self.wall = wall
+        self.wall_clock = wall
         self.table = suspects.SuspectTable()
         self.recent_deaths = suspects.RecentCrashes()
-        self.apart: collections.OrderedDict[str, str] = (
+        self.isolated_runs: collections.OrderedDict[str, str] = (
             collections.OrderedDict()
         )
         self.tasks: set[asyncio.Task] = set()
@@ -82,17 +82,17 @@
         mesh.subscribe(self.routers_changed)
 
     def add_handlers(self, handlers) -> None:
-        """Answer this module's messages from `handlers`."""
+        """Register this module's message handlers."""
         handlers.add(messages.TargetCrashed, self.on_crashed)
         handlers.add(messages.SuspectCleared, self.on_cleared)
         handlers.add(messages.Suspects, self.on_suspects)
 
-    # -- the contract with the way --
+    # -- interface to the request pipeline --
 
     def is_quarantined(self, body_digest: str) -> bool:
-        """Return whether the request is refused everywhere."""
+        """Return whether the request is quarantined or condemned."""
         expiry = self.config().quarantined.get(body_digest)
-        if expiry is not None and expiry > self.wall():
+        if expiry is not None and expiry > self.wall_clock():
             return True
         held = self.table.get(body_digest, self.clock())
         return held is not None and held.condemned
@@ -100,15 +100,15 @@
     async def report_crash(
         self, request: records.Request, target: records.Target
     ) -> None:
-        """Note that `target` died while `request` ran there.
+        """Report that `target` died while `request` ran there.
 
-        Never raises: a lost report leaves the request unsuspected, and its
-        next run tells again.
+        Never raises: after a lost report the request is not a suspect until
+        its next crash.
         """
-        apart = self.apart.pop(request.body_digest, "") == target.name
+        apart = self.isolated_runs.pop(request.body_digest, "") == target.name
         if apart:
-            # A second death condemns. A rack that goes shows in the table
-            # within this time, and then nobody is to blame.
+            # A second crash condemns the request. The loss of a whole rack
+            # shows in the table within this time and clears it.
             await asyncio.sleep(self.confirm_seconds)
         blamed = not self.recent_deaths.correlated(self.clock())
         logs.event(
@@ -127,47 +127,52 @@
         message = messages.TargetCrashed(
             _key(request), request.body_digest, target.name, apart
         )
-        noted = await asyncio.gather(
-            *(self._report(holder, message) for holder in self._all(message))
+        condemned = await asyncio.gather(
+            *(
+                self._report(holder, message)
+                for holder in self._holders(message)
+            )
         )
-        if any(noted):
-            # In a task of its own: without a quorum the keepers take long,
-            # and the caller's final answer must not wait for them.
-            task = asyncio.ensure_future(self._condemn(message.fingerprint))
+        if any(condemned):
+            # In its own task: the caller's answer must not wait for keepers
+            # without a quorum.
+            task = asyncio.ensure_future(
+                self._propose_quarantine(message.fingerprint)
+            )
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    # -- what the placer tells --
+    # -- events from the placer --
 
-    def began(self, request: records.Request, target: str) -> None:
-        """Note that `request` runs as a suspect, apart from others."""
-        self.apart[request.body_digest] = target
-        if len(self.apart) > APART_MOST:
-            self.apart.popitem(last=False)
+    def suspect_started(self, request: records.Request, target: str) -> None:
+        """Record that `request` runs as a suspect, apart from others."""
+        self.isolated_runs[request.body_digest] = target
+        if len(self.isolated_runs) > MAX_ISOLATED_RUNS:
+            self.isolated_runs.popitem(last=False)
 
-    def ended(self, request: records.Request) -> None:
-        """Clear `request`: its run ended and its target lives."""
-        self.apart.pop(request.body_digest, None)
+    def suspect_finished(self, request: records.Request) -> None:
+        """Clear `request`, which completed without a crash."""
+        self.isolated_runs.pop(request.body_digest, None)
         self.metrics.count("suspects.cleared")
         message = messages.SuspectCleared(_key(request), request.body_digest)
-        for holder in self._all(message):
+        for holder in self._holders(message):
             self.mesh.send(holder, message)
 
     def target_lost(self, name: str) -> None:
-        """Note the death of target `name`, as the table tells it."""
+        """Record the loss of target `name`."""
         self.recent_deaths.note(name, self.clock())
 
     # -- this shard --
 
-    def of(self, fingerprint: str) -> suspects.Suspect | None:
-        """Return what is held against `fingerprint`, if anything."""
+    def suspect_of(self, fingerprint: str) -> suspects.Suspect | None:
+        """Return the entry of `fingerprint`, or None if not a suspect."""
         return self.table.get(fingerprint, self.clock())
 
     def on_crashed(
         self, _link, message: messages.TargetCrashed
     ) -> messages.CrashRecorded:
-        """Note a death; answer whether it condemned the request."""
-        before = self.of(message.fingerprint)
+        """Record a crash; reply whether it condemned the request."""
+        before = self.suspect_of(message.fingerprint)
         already = before is not None and before.condemned
         suspect = self.table.record_crash(
             message.key,
@@ -179,11 +184,11 @@
         return messages.CrashRecorded(suspect.condemned and not already)
 
     def on_cleared(self, _link, message: messages.SuspectCleared) -> None:
-        """Forget a suspect that ran to its end."""
+        """Remove a suspect that completed."""
         self.table.clear(message.fingerprint)
 
     def on_suspects(self, _link, message: messages.Suspects) -> None:
-        """Take over entries of a shard that moved."""
+        """Adopt entries of a shard that moved here."""
         expires = self.clock() + suspects.SUSPECT_SECONDS
         for entry in message.entries:
             suspect = suspects.Suspect(
@@ -192,7 +197,7 @@
             self.table.adopt(entry.fingerprint, suspect)
 
     def routers_changed(self) -> None:
-        """Copy entries to where the new list of routers has them."""
+        """Copy entries to their holders by the new list of routers."""
         shards = directory.Shards(self.regions.own)
         moved: dict[str, list[messages.SuspectEntry]] = {}
         for fingerprint, suspect in self.table.entries.items():
@@ -209,7 +214,7 @@
 
     # -- inside --
 
-    def _all(self, message) -> list[str]:
+    def _holders(self, message) -> list[str]:
         found = []
         for live in [self.regions.own(), *self.regions.others()]:
             shards = directory.Shards(lambda live=live: live)
@@ -220,20 +225,21 @@
         self, holder: str, message: messages.TargetCrashed
     ) -> bool:
         try:
-            answer = await self.mesh.call(holder, message, REPORT_SECONDS)
+            answer = await self.mesh.call(
+                holder, message, REPORT_TIMEOUT_SECONDS
+            )
         except errors.AmaranthringError:
             self.metrics.count("suspects.unsent")
             return False
         return answer.condemned
 
-    async def _condemn(self, fingerprint: str) -> None:
+    async def _propose_quarantine(self, fingerprint: str) -> None:
         logs.event(log, "request.condemned", fingerprint=fingerprint)
         self.metrics.count("suspects.condemned")
         try:
             await self.quarantine(fingerprint)
         except errors.AmaranthringError:
-            # Without a quorum the shards go on refusing it until their
-            # entry expires.
+            # The shards refuse the request until their entry expires.
             self.metrics.count("suspects.not-proposed")
 
 
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -1,4 +1,4 @@
-"""Requests that crash their targets, and those that ran beside them."""
+"""Quarantine of requests that crash their targets."""
 
 import asyncio
 import unittest
@@ -22,7 +22,7 @@
         )
 
     async def crash(self, name):
-        """Let engine `name` die; routers report what they ran there."""
+        """Kill engine `name`; routers report the requests that ran there."""
         ran = [
             (at, grant)
             for at, grant in list(self.fleet.grants.values())
@@ -38,9 +38,8 @@
         self.fleet.set_state(name, records.TargetState.LOST)
         self.fleet.clock.now += 10.0
 
-    async def test_second_death_condemns_through_any_router(self):
-        # One request crashed engine after engine: its caller sent it again
-        # through other routers, which knew nothing of it.
+    async def test_second_crash_condemns_through_any_router(self):
+        # A retry through another router must not crash engine after engine.
         first = await self.admit("bad", "r0")
         await self.crash(first.target.name)
         second = await self.admit("bad", "r4")
@@ -52,7 +51,7 @@
             with self.assertRaises(errors.QuarantinedError):
                 await self.admit("bad", router.name)
 
-    async def test_suspicion_outlives_the_loss_of_a_router(self):
+    async def test_suspect_survives_the_loss_of_a_router(self):
         first = await self.admit("bad", "r0")
         await self.crash(first.target.name)
         holder = self.fleet.routers[0].directory.shards.holders_of("bad")[0]
@@ -62,9 +61,8 @@
         await self.crash(second.target.name)
         self.assertIn("bad", self.fleet.quarantined)
 
-    async def test_innocent_beside_the_culprit_is_cleared(self):
-        # Requests that only ran beside one that crashes engines were
-        # refused for good with it.
+    async def test_request_beside_the_culprit_is_cleared(self):
+        # A request that only ran beside the culprit must not be condemned.
         others = [f"e{number}" for number in range(1, 8)]
         bad = await self.admit("bad", "r0", others)
         good = await self.admit("good", "r1", others)
@@ -79,9 +77,9 @@
         self.assertIsNotNone(third)
         self.assertEqual(self.fleet.quarantined, ["bad"])
 
-    async def test_death_of_a_rack_makes_no_suspects(self):
-        # A rack lost its power twice; everything that ran there both times
-        # was refused for good.
+    async def test_rack_failure_makes_no_suspects(self):
+        # Deaths of many targets at once must not make their requests
+        # suspects.
         grants = [await self.admit(f"body-{n}", "r0") for n in range(8)]
         at = self.fleet.by_name["r0"]
         for grant in grants:
@@ -91,13 +89,14 @@
             request = at.placer.held.by_serial[serial].request
             await at.suspicion.report_crash(request, grant.target)
             held = [
-                r.suspicion.of(f"body-{number}") for r in self.fleet.live()
+                r.suspicion.suspect_of(f"body-{number}")
+                for r in self.fleet.live()
             ]
             self.assertEqual(set(held), {None})
 
-    async def test_run_that_was_not_apart_never_condemns(self):
-        # A caller had sent the same body twice at once; both copies ran
-        # beside a culprit each, and the body was refused for good.
+    async def test_run_without_isolation_never_condemns(self):
+        # Two concurrent copies of a body each run beside a culprit; neither
+        # run was isolated, so the body must not be condemned.
         one = await self.admit("twin", "r0")
         two = await self.fleet.admit(
             7, "r1", [one.target.name], chat="twin", body_digest="twin"
