--- a/amaranthring/routers/lateness.py
+++ b/amaranthring/routers/lateness.py
@@ -1,9 +1,9 @@
-"""How late a peer's message is, without comparing wall clocks.
+"""Estimates the delay of a peer's messages without synchronised clocks.
 
-Each message carries its sender's monotonic clock. The difference to the
-receiver's clock is smallest for the message that travelled fastest; what a
-message lies above that minimum is its lateness. The minimum is taken over
-the last two windows, so that drift of the clocks does not add up.
+Each message carries its sender's monotonic clock. The offset to the
+receiver's clock is smallest for the fastest message; the excess over that
+minimum is the lateness. The minimum covers the last two windows, so that
+clock drift does not accumulate.
 
 Source: V. Paxson, "On calibrating measurements of packet transit times",
 SIGMETRICS 1998.
@@ -16,9 +16,9 @@
     """Lateness of messages over one link."""
 
     def __init__(self):
-        self.began = 0.0
-        self.older: float | None = None
-        self.newer: float | None = None
+        self.window_start = 0.0
+        self.previous_minimum: float | None = None
+        self.current_minimum: float | None = None
 
     def measure(self, sent: float, now: float) -> float:
         """Return the lateness, in seconds, of a message.
@@ -26,20 +26,20 @@
         Parameters
         ----------
         sent : float
-            Sender's clock in the message, in seconds.
+            Sender's clock when it sent the message, in seconds.
         now : float
             Receiver's clock, in seconds.
         """
         offset = now - sent
-        if self.newer is None:
-            self.began = now
-            self.newer = offset
-        elif now - self.began > WINDOW_SECONDS:
-            self.older = self.newer
-            self.newer = offset
-            self.began = now
-        self.newer = min(self.newer, offset)
-        least = self.newer
-        if self.older is not None:
-            least = min(least, self.older)
-        return offset - least
+        if self.current_minimum is None:
+            self.window_start = now
+            self.current_minimum = offset
+        elif now - self.window_start > WINDOW_SECONDS:
+            self.previous_minimum = self.current_minimum
+            self.current_minimum = offset
+            self.window_start = now
+        self.current_minimum = min(self.current_minimum, offset)
+        minimum = self.current_minimum
+        if self.previous_minimum is not None:
+            minimum = min(minimum, self.previous_minimum)
+        return offset - minimum
--- a/amaranthring/routers/mesh.py
+++ b/amaranthring/routers/mesh.py
@@ -1,14 +1,13 @@
-"""Links between routers, and the list of routers that live.
+"""Links between routers, and the list of live routers.
 
 Inside a data centre every pair of routers keeps one link, dialled by the
-lower name. Between data centres only a few relays on either side keep links;
-any other link across is dialled when something is to be sent and closed when
-it is idle. A router lives while frames come from it; any frame counts, and
-heartbeats are sent only on a link that would be silent.
-
-Lists on different routers may differ for seconds. Nothing here promises
-otherwise: whoever places by this list must stay safe when two routers place
-differently.
+router with the lower name. Between data centres only a few relays on each
+side keep links; any other link is dialled on demand and closed when idle. A
+router is live while frames arrive from it. Any frame counts; heartbeats are
+sent only on links that are otherwise idle.
+
+The live lists of different routers may differ for seconds. Code that places
+work by this list must stay correct when two routers decide differently.
 """
 
 import asyncio
@@ -37,8 +36,8 @@
 IDLE_SECONDS = 30.0
 
 
-class SelfLink:
-    """What a handler gets as its link when this router calls itself."""
+class LoopbackLink:
+    """Stands in for the link when this router calls itself."""
 
     def __init__(self, identity: links.Identity):
         self.peer = identity
@@ -52,21 +51,20 @@
     identity : links.Identity
         This router.
     peers : list of settings.PeerAddress
-        Every configured router; this one is left out.
+        Every configured router; this one is skipped.
     keys : links.Keys
         Fleet keys.
     handlers : links.Handlers
-        What answers messages of other routers; calls to this router
-        itself go to them directly.
+        Message handlers; calls to this router itself use them directly.
     metrics : Metrics, optional
-        Counters.
+        Metrics of this process.
     clock : callable, optional
-        Monotonic seconds.
+        Monotonic clock, in seconds.
 
     Notes
     -----
-    The composition root makes the ``links.LinkServer`` with
-    ``on_link=mesh.accept`` and ``on_gone=mesh.gone``.
+    The composition root creates the ``links.LinkServer`` with
+    ``on_link=mesh.accept`` and ``on_gone=mesh.remove_link``.
     """
 
     def __init__(
@@ -91,20 +89,20 @@
             for peer in peers
             if peer.name != identity.name
         }
-        places = {peer.data_centre for peer in self.peers.values()}
-        self._places = sorted(places | {identity.data_centre})
+        data_centres = {peer.data_centre for peer in self.peers.values()}
+        self._data_centres = sorted(data_centres | {identity.data_centre})
         self.remote_routers: dict[str, list[str]] = {}
         self.task: asyncio.Task | None = None
         self.pauses = pauses.Pauses(clock, PAUSE_SECONDS)
         self._callbacks: list[t.Callable[[], None]] = []
         self._link_callbacks: list[t.Callable[[peers_module.Peer], None]] = []
         self._live: dict[str | None, list[str]] = {}
-        self._chosen: dict[tuple[str, str], list[str]] = {}
-        self._self_link = SelfLink(identity)
-        handlers.add(peers_module.Heartbeat, self._take_heartbeat)
-        handlers.add(peers_module.RouterLeaving, self._take_leaving)
+        self._relays_by_pair: dict[tuple[str, str], list[str]] = {}
+        self._loopback_link = LoopbackLink(identity)
+        handlers.add(peers_module.Heartbeat, self._on_heartbeat)
+        handlers.add(peers_module.RouterLeaving, self._on_leaving)
 
-    # -- what others ask --
+    # -- membership, calls and relays --
 
     def live(self, data_centre: str | None = None) -> list[str]:
         """Return sorted names of live routers, this one included.
@@ -112,7 +110,7 @@
         Parameters
         ----------
         data_centre : str, optional
-            Only routers there; otherwise of every data centre.
+            Only routers of this data centre; by default of all.
         """
         found = self._live.get(data_centre)
         if found is None:
@@ -134,10 +132,10 @@
 
     def data_centres(self) -> list[str]:
         """Return every data centre with a configured router, sorted."""
-        return self._places
+        return self._data_centres
 
     def send(self, name: str, message: t.Any) -> bool:
-        """Send one-way; return whether the message was handed to a link."""
+        """Send a one-way message; return whether a link accepted it."""
         if name == self.identity.name:
             self._deliver(message)
             return True
@@ -168,9 +166,9 @@
         peer = self._peer(name)
         peer.used_at = self.clock()
         if peer.link is None and peer.data_centre != self.data_centre:
-            began = self.clock()
+            started = self.clock()
             await self._wait_for_link(peer, timeout)
-            timeout -= self.clock() - began
+            timeout -= self.clock() - started
         if peer.link is None:
             raise errors.LinkClosedError(
                 f"no link to {name}", outcome=errors.Outcome.NOT_RUN
@@ -178,29 +176,29 @@
         return await peer.link.call(message, timeout)
 
     def broadcast(self, message: t.Any) -> int:
-        """Send one-way to every linked router of this data centre.
+        """Send a one-way message to every linked router of the data centre.
 
-        A router that takes nothing is skipped; it holds up no other.
+        A router that does not accept it is skipped and delays no other.
 
         Returns
         -------
         int
-            How many links took the message.
+            Number of links that accepted the message.
         """
         data = wire.encode(wire.ONE_WAY, 0, message)
-        taken = 0
+        accepted = 0
         for peer in self.neighbours():
             if peer.link is not None:
                 tag = wire.tag_of(type(message))
-                taken += self._write(peer.link, data, tag)
-        return taken
+                accepted += self._try_send(peer.link, data, tag)
+        return accepted
 
     def relays(self, data_centre: str) -> list[str]:
         """Return the routers of `data_centre` that link it with others.
 
-        For this data centre: those that are relays to any other. Chosen by
-        rendezvous among the live routers, so that all agree while their
-        lists agree; a relay that dies is replaced by the next in order.
+        For this data centre: its relays to any other. Rendezvous hashing
+        over the live routers makes all routers with the same list agree,
+        and replaces a dead relay by the next in order.
         """
         if data_centre != self.data_centre:
             return self._relays(data_centre, self.data_centre)
@@ -211,11 +209,11 @@
         return sorted(found)
 
     def is_relay_to(self, data_centre: str) -> bool:
-        """Return whether this router relays to `data_centre`."""
+        """Return whether this router is a relay to `data_centre`."""
         return self.identity.name in self.ordered_relays(data_centre)
 
     def ordered_relays(self, data_centre: str) -> list[str]:
-        """Return this data centre's relays to another, the first ahead."""
+        """Return this data centre's relays to another, in rendezvous order."""
         return self._relays(self.data_centre, data_centre)
 
     def subscribe(self, callback: t.Callable[[], None]) -> None:
@@ -223,7 +221,7 @@
         self._callbacks.append(callback)
 
     def on_link(self, callback: t.Callable[[peers_module.Peer], None]) -> None:
-        """Call `callback(peer)` with each new link's peer."""
+        """Call `callback(peer)` for each new link."""
         self._link_callbacks.append(callback)
 
     @property
@@ -233,35 +231,35 @@
 
     def neighbours(self) -> list[peers_module.Peer]:
         """Return the other routers of this data centre."""
-        place = self.data_centre
-        return [p for p in self.peers.values() if p.data_centre == place]
+        here = self.data_centre
+        return [p for p in self.peers.values() if p.data_centre == here]
 
     # -- links --
 
     def accept(self, link: links.Link) -> None:
-        """Take a link that a peer dialled; close one of a stranger."""
+        """Accept a link that a peer dialled; close it if unknown."""
         if link.peer.role != "router":
             return
         peer = self.peers.get(link.peer.name)
         if peer is not None and peer.name < self.identity.name:
-            # Two routers that dial each other at once would close each
-            # other's link for ever; the lower name's link stays.
-            self._hang_up(peer)
-        elif peer is not None and self._holds(peer, link):
+            # Two routers that dial each other at once would keep closing
+            # each other's link; the link of the lower name wins.
+            self._stop_dialling(peer)
+        elif peer is not None and self._prefers_own_link(peer, link):
             link.close()
             return
-        self._take_link(link, ours=False)
+        self._add_link(link, dialled_here=False)
 
     def remove_link(self, link: links.Link) -> None:
-        """Forget a link that ended."""
+        """Remove a closed link."""
         peer = self.peers.get(link.peer.name)
         if peer is not None and peer.link is link:
             peer.link = None
             peer.linked.clear()
-            self._changed()
+            self._live_changed()
 
     def set_remote_routers(self, data_centre: str, names: list[str]) -> None:
-        """Take the live list of another data centre from its relay."""
+        """Set the live routers of another data centre."""
         known = [
             name
             for name in sorted(names)
@@ -270,18 +268,18 @@
         ]
         if self.remote_routers.get(data_centre, []) != known:
             self.remote_routers[data_centre] = known
-            self._changed()
+            self._live_changed()
 
     def start(self) -> None:
-        """Start dialling and watching."""
+        """Start dialling peers and monitoring links."""
         for peer in self.neighbours():
             if self.identity.name < peer.name:
                 self._dial(peer)
-        self._keep_relays(self.clock())
+        self._maintain_relays(self.clock())
         self.task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """End every task and link."""
+        """Stop all tasks and close all links."""
         if self.task:
             self.task.cancel()
         for peer in self.peers.values():
@@ -291,17 +289,17 @@
                 peer.link.close()
 
     def leave(self) -> None:
-        """Tell every linked router that this one goes.
+        """Announce to every linked router that this one is leaving.
 
-        It stops being placed on at once, here and there, while its links
-        stay up for what is still running.
+        All routers stop placing work on it at once. Its links stay up for
+        requests in progress.
         """
         self.leaving = True
         message = peers_module.RouterLeaving(self.identity.incarnation)
         for peer in self.peers.values():
             if peer.link is not None:
                 self.send(peer.name, message)
-        self._changed()
+        self._live_changed()
 
     # -- inside --
 
@@ -309,8 +307,8 @@
         if data_centre is None:
             return [
                 name
-                for place in self.data_centres()
-                for name in self._find_live(place)
+                for centre in self.data_centres()
+                for name in self._find_live(centre)
             ]
         if data_centre != self.data_centre:
             return self.remote_routers.get(data_centre, [])
@@ -321,19 +319,21 @@
 
     def _relays(self, data_centre: str, other: str) -> list[str]:
         pair = (data_centre, other)
-        chosen = self._chosen.get(pair)
+        chosen = self._relays_by_pair.get(pair)
         if chosen is not None:
             return chosen
         names = self.live(data_centre)
         if names:
-            self._chosen[pair] = relays.choose(names, data_centre, other)
-            return self._chosen[pair]
-        there = [
+            self._relays_by_pair[pair] = relays.choose(
+                names, data_centre, other
+            )
+            return self._relays_by_pair[pair]
+        peers = [
             peer
             for peer in self.peers.values()
             if peer.data_centre == data_centre
         ]
-        names = relays.dial_candidates(there, self.clock())
+        names = relays.dial_candidates(peers, self.clock())
         return relays.choose(names, data_centre, other)
 
     def _peer(self, name: str) -> peers_module.Peer:
@@ -353,18 +353,20 @@
             self.identity,
             self.keys,
             self.handlers,
-            on_link=self._take_link,
+            on_link=self._add_link,
             on_gone=self.remove_link,
         )
         peer.dialler.start()
 
-    def _hang_up(self, peer: peers_module.Peer) -> None:
+    def _stop_dialling(self, peer: peers_module.Peer) -> None:
         dialler, peer.dialler = peer.dialler, None
         if dialler is not None:
             dialler.stop()
 
-    def _holds(self, peer: peers_module.Peer, link: links.Link) -> bool:
-        """Return whether a link of our own stays before `link`."""
+    def _prefers_own_link(
+        self, peer: peers_module.Peer, link: links.Link
+    ) -> bool:
+        """Return whether the link that this end dialled wins over `link`."""
         if peer.link is None or not peer.dialled_here:
             return False
         return link.peer.incarnation == peer.incarnation
@@ -378,30 +380,30 @@
         except TimeoutError:
             self.metrics.count("mesh.dials_late")
 
-    def _take_link(self, link: links.Link, ours: bool = True) -> None:
+    def _add_link(self, link: links.Link, dialled_here: bool = True) -> None:
         peer = self.peers.get(link.peer.name)
         if peer is None or peer.data_centre != link.peer.data_centre:
             log.warning("mesh.stranger peer={}", link.peer)
             link.close()
             return
         if peer.link is not None and link.peer.incarnation < peer.incarnation:
-            # A process that was replaced but still runs must not take the
-            # place of its live successor. Once that is gone an older number
-            # is taken: the VM's clock may have been set back.
+            # A replaced process that still runs must not displace its live
+            # successor. Without a live link an older incarnation is
+            # accepted, since the VM's clock may have been set back.
             link.close()
             return
         peer.incarnation = link.peer.incarnation
-        old, peer.link = peer.link, link
-        peer.dialled_here = ours
+        previous, peer.link = peer.link, link
+        peer.dialled_here = dialled_here
         peer.linked.set()
         peer.received_at = self.clock()
         peer.received_bytes = 0
         peer.sent_bytes = 0
         peer.sent_at = peer.received_at
-        if old is not None:
-            old.close()
+        if previous is not None:
+            previous.close()
         logs.event(log, "router.linked", name=peer.name)
-        self._changed()
+        self._live_changed()
         if self.leaving:
             self.send(
                 peer.name,
@@ -416,23 +418,23 @@
             repeating.guarded(self.tick, "mesh.ticks", self.metrics)
 
     def tick(self) -> None:
-        """Drop silent links, keep ours from silence, close idle ones."""
+        """Drop dead links, send heartbeats and close idle links."""
         now = self.clock()
         paused = self.pauses.notice()
         for peer in self.peers.values():
             if peer.link is not None:
-                self._watch(peer, now, paused)
+                self._check_link(peer, now, paused)
             elif peer.data_centre != self.data_centre:
                 self._drop_idle(peer, now)
-        self._keep_relays(now)
+        self._maintain_relays(now)
 
-    def _watch(
+    def _check_link(
         self, peer: peers_module.Peer, now: float, paused: bool
     ) -> None:
         link = peer.link
         if link.received_bytes != peer.received_bytes or paused:
-            # After an own pause what the peers sent still waits in the
-            # sockets; they must not be taken for dead by that.
+            # After a pause of this process, unread frames wait in the
+            # sockets; the peers must not be taken for dead.
             peer.received_bytes = link.received_bytes
             peer.received_at = now
         if now - peer.received_at > DEAD_SECONDS:
@@ -445,29 +447,31 @@
             peer.sent_bytes = link.sent_bytes
             peer.sent_at = now
         elif now - peer.sent_at > HEARTBEAT_SECONDS:
-            self._write(link, _HEARTBEAT, _HEARTBEAT_TAG)
+            self._try_send(link, _HEARTBEAT, _HEARTBEAT_TAG)
         self._drop_idle(peer, now)
 
     def _drop_idle(self, peer: peers_module.Peer, now: float) -> None:
         if peer.data_centre == self.data_centre or peer.dialler is None:
             return
         if now - peer.used_at > IDLE_SECONDS:
-            self._hang_up(peer)
+            self._stop_dialling(peer)
 
-    def _keep_relays(self, now: float) -> None:
-        for place in self.data_centres():
-            if place == self.data_centre or not self.is_relay_to(place):
+    def _maintain_relays(self, now: float) -> None:
+        for data_centre in self.data_centres():
+            if data_centre == self.data_centre or not self.is_relay_to(
+                data_centre
+            ):
                 continue
-            if self.data_centre > place:
+            if self.data_centre > data_centre:
                 continue
-            for name in self._relays(place, self.data_centre):
+            for name in self._relays(data_centre, self.data_centre):
                 peer = self.peers[name]
                 peer.used_at = now
                 if relays.should_redial(peer, now):
-                    self._hang_up(peer)
+                    self._stop_dialling(peer)
                 self._dial(peer)
 
-    def _write(self, link: links.Link, data: bytes, tag: str) -> bool:
+    def _try_send(self, link: links.Link, data: bytes, tag: str) -> bool:
         try:
             link.send_encoded(data, tag)
         except errors.LinkError:
@@ -483,7 +487,7 @@
                 given=type(message).__name__,
                 expected="a message for this role",
             )
-        return handler(self._self_link, message)
+        return handler(self._loopback_link, message)
 
     async def _call_self(self, message: t.Any, timeout: float) -> t.Any:
         result = self._deliver(message)
@@ -496,20 +500,20 @@
                 f"no reply from {self.identity.name} in {timeout} s"
             ) from error
 
-    def _take_heartbeat(self, _link, _message) -> None:
+    def _on_heartbeat(self, _link, _message) -> None:
         pass
 
-    def _take_leaving(self, link, message: peers_module.RouterLeaving) -> None:
+    def _on_leaving(self, link, message: peers_module.RouterLeaving) -> None:
         peer = self.peers.get(link.peer.name)
         if peer is None or peer.incarnation != message.incarnation:
             return
         peer.leaving_incarnation = message.incarnation
         logs.event(log, "router.leaving", name=peer.name)
-        self._changed()
+        self._live_changed()
 
-    def _changed(self) -> None:
+    def _live_changed(self) -> None:
         self._live.clear()
-        self._chosen.clear()
+        self._relays_by_pair.clear()
         for callback in self._callbacks:
             callback()
 
--- a/amaranthring/routers/peers.py
+++ b/amaranthring/routers/peers.py
@@ -1,4 +1,4 @@
-"""The other routers, as one router knows them, and the mesh's messages."""
+"""State of the other routers, and the messages of the mesh."""
 
 import asyncio
 import dataclasses
@@ -9,12 +9,12 @@
 
 @wire.message("mesh-heartbeat")
 class Heartbeat:
-    """Sent on a link on which nothing else went out."""
+    """Keeps an otherwise idle link alive."""
 
 
 @wire.message("mesh-leaving")
 class RouterLeaving:
-    """Says that the sender ends soon; place nothing new on it."""
+    """Announces that the sender is stopping and takes no new work."""
 
     incarnation: int
 
@@ -26,23 +26,29 @@
     Attributes
     ----------
     address : str
-        Its fleet listener.
+        Address of its fleet listener.
     link : Link, optional
         The link in use, dialled by either end.
-    ours : bool
-        Whether this end dialled it.
+    dialled_here : bool
+        Whether this end dialled the link.
     dialler : Dialler, optional
-        Set while this end keeps or wants the link.
-    heard : float
-        When a frame last came, in monotonic seconds.
-    spoke : float
-        When something was last seen to go out on the link.
-    used : float
-        When something was last sent or called across data centres.
+        Set while this end dials or keeps the link.
+    received_at : float
+        When a frame last arrived, in monotonic seconds.
+    sent_at : float
+        When data was last sent on the link, in monotonic seconds.
+    used_at : float
+        When a message was last sent or called, in monotonic seconds.
+    dialled_at : float
+        When dialling last began, in monotonic seconds.
     incarnation : int
-        Highest seen.
-    left : int
-        Incarnation that said it leaves; -1 if none did.
+        Incarnation of the last accepted link.
+    leaving_incarnation : int
+        Incarnation that announced its leave; -1 if none did.
+    received_bytes, sent_bytes : int
+        Byte counts of the link at the last check.
+    linked : Event
+        Set while there is a link.
     """
 
     name: str
@@ -63,7 +69,7 @@
 
     @property
     def is_live(self) -> bool:
-        """Return whether it is linked and did not say that it goes."""
+        """Return whether it is linked and not leaving."""
         return (
             self.link is not None
             and self.leaving_incarnation != self.incarnation
--- a/amaranthring/routers/readiness.py
+++ b/amaranthring/routers/readiness.py
@@ -1,65 +1,65 @@
-"""When a router that started knows enough to take requests.
+"""Decides when a starting router has enough state to take requests.
 
-A router whose table of targets is still empty would refuse chats for models
-that it has not heard of; the balancer sees the failing health check and
-sends them elsewhere. After :data:`PATIENCE_SECONDS` it takes what it knows:
-cut off, it has to serve what it can, and every target that lives has
-announced itself again by then.
+A router with an empty target table would refuse chats for models that it
+does not know yet; until then the health check fails and the balancer uses
+other routers. After :data:`MAX_WAIT_SECONDS` the router serves with what it
+has: it may be cut off, and all live targets have announced themselves.
 """
 
 import time
 import typing as t
 
-PATIENCE_SECONDS = 4.0
+MAX_WAIT_SECONDS = 4.0
 
 
 class Readiness:
-    """Whether the table of targets has been compared with others.
+    """Tracks whether the target table is in sync with other routers.
 
     Parameters
     ----------
-    mesh, table, spread
-        Of this router.
+    mesh, table, target_sync : object
+        Mesh, target table and target sync of this router.
     clock : callable
-        Monotonic seconds.
+        Monotonic clock, in seconds.
     """
 
     def __init__(
         self,
         mesh,
         table,
-        spread,
+        target_sync,
         clock: t.Callable[[], float] = time.monotonic,
     ):
         self.mesh = mesh
         self.table = table
-        self.spread = spread
+        self.target_sync = target_sync
         self.clock = clock
-        self.began = clock()
-        self.reached = False
+        self.started_at = clock()
+        self.is_complete = False
 
     def missing(self) -> str:
-        """Return what is not known yet, or an empty string for good."""
-        if self.reached:
+        """Return what is missing, or empty; stays empty once complete."""
+        if self.is_complete:
             return ""
-        waited = self.clock() - self.began
+        waited = self.clock() - self.started_at
         missing = [
-            place
-            for place in self.mesh.data_centres()
-            if not self._knows(place)
+            data_centre
+            for data_centre in self.mesh.data_centres()
+            if not self._is_synced(data_centre)
         ]
-        if missing and waited < PATIENCE_SECONDS:
+        if missing and waited < MAX_WAIT_SECONDS:
             return f"targets of {', '.join(missing)} not known yet"
-        self.reached = True
+        self.is_complete = True
         return ""
 
-    def _knows(self, place: str) -> bool:
-        if place != self.mesh.data_centre:
-            return place in self.table.vouched
-        mark = self.table.digests.get(place, 0)
+    def _is_synced(self, data_centre: str) -> bool:
+        if data_centre != self.mesh.data_centre:
+            return data_centre in self.table.vouched
+        digest = self.table.digests.get(data_centre, 0)
         neighbours = [
             peer for peer in self.mesh.neighbours() if peer.link is not None
         ]
         return any(
-            self.spread.marks.get(peer.name) == mark for peer in neighbours
+            self.target_sync.peer_digests.get(peer.name) == digest
+            for peer in neighbours
         )
--- a/amaranthring/routers/regions.py
+++ b/amaranthring/routers/regions.py
@@ -1,13 +1,14 @@
-"""Which data centres belong to which region, learned from targets.
+"""Maps data centres to regions.
 
-Routers name their data centre only; targets name their region too.
+The mapping is taken from targets: routers announce only their data centre,
+targets announce their region as well.
 """
 
 import collections.abc
 
 
 class Regions:
-    """Live routers by region.
+    """Groups the live routers by region.
 
     Parameters
     ----------
@@ -29,27 +30,27 @@
     def own(self) -> list[str]:
         """Return live routers of this region.
 
-        A data centre without a known target counts as part of it: with one
-        region this is right on every router, with several it only spreads
-        shards more widely.
+        A data centre without a known target counts as part of it. With one
+        region this is correct on every router; with several it only spreads
+        shards over more routers.
         """
-        known = self._known()
+        regions = self._region_by_data_centre()
         return [
             router
             for router in self.mesh.live()
-            if known.get(self.mesh.data_centre_of(router), self.region)
+            if regions.get(self.mesh.data_centre_of(router), self.region)
             == self.region
         ]
 
     def others(self) -> list[list[str]]:
         """Return live routers of each other region."""
-        known = self._known()
+        regions = self._region_by_data_centre()
         found: dict[str, list[str]] = {}
         for router in self.mesh.live():
-            region = known.get(self.mesh.data_centre_of(router), self.region)
+            region = regions.get(self.mesh.data_centre_of(router), self.region)
             if region != self.region:
                 found.setdefault(region, []).append(router)
         return [found[region] for region in sorted(found)]
 
-    def _known(self) -> dict[str, str]:
-        return {each.data_centre: each.region for each in self.targets()}
+    def _region_by_data_centre(self) -> dict[str, str]:
+        return {target.data_centre: target.region for target in self.targets()}
--- a/amaranthring/routers/relays.py
+++ b/amaranthring/routers/relays.py
@@ -1,10 +1,10 @@
-"""Which routers link two data centres.
+"""Choice of the routers that link two data centres.
 
-Chosen by rendezvous over the live routers of a data centre, a different few
-for each pair of data centres, so that the work is spread and every router
-that has the same list chooses the same. When a relay dies, the next in order
-takes its place by itself. Lists that differ for seconds cost a link more or
-a digest twice: whoever gets a digest from elsewhere acts as a relay.
+Rendezvous hashing over the live routers of a data centre selects different
+relays for each pair of data centres, which balances the load, and routers
+with the same list agree. A dead relay is replaced by the next in order.
+Lists that differ for seconds cost an extra link or a duplicate digest: any
+router that receives a digest from another data centre acts as a relay.
 """
 
 import typing as t
@@ -14,7 +14,7 @@
 
 RELAYS = 2
 DIAL_SECONDS = 3.0
-SKIP_SECONDS = 10.0
+RETRY_SECONDS = 10.0
 
 
 def choose(names: t.Iterable[str], data_centre: str, other: str) -> list[str]:
@@ -23,22 +23,22 @@
     return hashing.order(key, names)[:RELAYS]
 
 
-def dial_candidates(there: list[peers.Peer], now: float) -> list[str]:
-    """Return routers of a data centre of which nothing is known yet.
+def dial_candidates(candidates: list[peers.Peer], now: float) -> list[str]:
+    """Return the routers to dial in a data centre without a live list.
 
-    One that was dialled for :data:`DIAL_SECONDS` without a link is passed
-    over until :data:`SKIP_SECONDS` have gone by, so that dead routers at
-    the head of the order do not keep a data centre apart.
+    A router that was dialled for :data:`DIAL_SECONDS` without success is
+    skipped until :data:`RETRY_SECONDS` have passed, so that dead routers at
+    the head of the order cannot isolate a data centre.
     """
-    fine = []
-    for peer in there:
+    names = []
+    for peer in candidates:
         waited = now - peer.dialled_at
-        failed = peer.dialled_at and DIAL_SECONDS < waited < SKIP_SECONDS
+        failed = peer.dialled_at and DIAL_SECONDS < waited < RETRY_SECONDS
         if peer.link is not None or not failed:
-            fine.append(peer.name)
-    return fine or [peer.name for peer in there]
+            names.append(peer.name)
+    return names or [peer.name for peer in candidates]
 
 
 def should_redial(peer: peers.Peer, now: float) -> bool:
-    """Return whether dialling `peer` failed so long that it starts anew."""
-    return peer.link is None and now - peer.dialled_at > SKIP_SECONDS
+    """Return whether dialling `peer` failed for long enough to restart."""
+    return peer.link is None and now - peer.dialled_at > RETRY_SECONDS
--- a/amaranthring/routers/target_sync.py
+++ b/amaranthring/routers/target_sync.py
@@ -1,14 +1,13 @@
-"""Spread of target changes between routers.
+"""Synchronises target records between routers.
 
-Inside a data centre each router sends one batch a second to every other:
-which targets renewed at it, with their reports, and what changed. A change
-goes at once as well, is repeated in the next batches, and is repaired by
-comparing digests of the records. Between data centres the relays exchange
-digests and changed records, and pass them on to their own data centre.
+Inside a data centre each router broadcasts a batch every second: the targets
+that renewed at it, their reports and changed records. A change is also sent
+at once and repeated in the next batches; comparing digests (anti-entropy)
+repairs what was lost. Between data centres the relays exchange digests and
+changed records and forward them to their own data centre.
 
-A message that is lost, late, doubled or out of order does no harm: records
-merge by version, evidence of life by its age (see
-:mod:`amaranthring.targets.table`).
+Lost, late, duplicate or reordered messages are harmless: records merge by
+version, heartbeats by age (see :mod:`amaranthring.targets.table`).
 """
 
 import asyncio
@@ -36,38 +35,39 @@
 AHEAD_SECONDS = 0.15
 FLUSH_SECONDS = 0.01
 TIMER_SECONDS = 0.002
-EARLY_SECONDS = 0.5
+MIN_BATCH_SECONDS = 0.5
 GATHER_SECONDS = 0.05
 REPEATS = 3
 PULL_AFTER_SECONDS = 0.3
 PULL_EVERY_SECONDS = 0.5
 PULL_TIMEOUT_SECONDS = 1.0
-DIGEST_STALE_SECONDS = 1.5
-NEWS_MISSED_SECONDS = 1.3
+STALE_SECONDS = 1.5
+RELAY_SILENT_SECONDS = 1.3
 CUT_OFF_SECONDS = 3.0
 
 
-def mark_of(names: t.Iterable[str]) -> int:
+def digest_of(names: t.Iterable[str]) -> int:
     """Return the digest of a list of routers."""
     return int(hashing.digest(*sorted(names))[:16], 16)
 
 
 class TargetSync:
-    """Sends what this router's table learns and merges what others send.
+    """Broadcasts changes of the target table and merges those of others.
 
     Parameters
     ----------
     mesh : mesh.Mesh
-        Links; its handlers get those of this class.
+        Links; this class registers its message handlers there.
     table : table.TargetTable
-        What is spread.
+        Table to synchronise.
 
     Attributes
     ----------
-    marks : dict
-        Router to the digest that its last batch held.
-    heard_of : dict
-        Data centre to when its digest last came, on this router's clock.
+    peer_digests : dict
+        Router to the digest in its last batch.
+    last_digest_at : dict
+        Data centre to when its last digest was sent, on this router's
+        clock.
     """
 
     def __init__(
@@ -81,104 +81,119 @@
         self.table = table
         self.metrics = metrics or metrics_module.Metrics()
         self.clock = clock
-        self.marks: dict[str, int] = {}
-        self.heard_of: dict[str, float] = {}
+        self.peer_digests: dict[str, int] = {}
+        self.last_digest_at: dict[str, float] = {}
         self.task: asyncio.Task | None = None
-        self.next_at = clock() + BATCH_SECONDS
-        self._moved_here: set[str] = set()
-        self._near: set[str] = set()
-        self._beyond: set[str] = set()
-        self._repeat: dict[str, int] = {}
+        self.next_batch_at = clock() + BATCH_SECONDS
+        self._renewed_here: set[str] = set()
+        self._unsent_local: set[str] = set()
+        self._unsent_remote: set[str] = set()
+        self._repeats_left: dict[str, int] = {}
         self._source = ""
         self._flushing = False
         self._lateness: dict[str, lateness.Lateness] = {}
-        self._far: dict[str, float] = {}
-        self.batched_at = 0.0
-        self._passing: dict[str, tuple] = {}
-        self._near_news: dict[str, float] = {}
+        self._remote_seen: dict[str, float] = {}
+        self.last_batch_at = 0.0
+        self._digests_to_relay: dict[str, tuple] = {}
+        self._relayed_at: dict[str, float] = {}
         self._pulled_at: dict[str, float] = {}
         self._pulls: dict[str, asyncio.Task] = {}
         handlers = mesh.handlers
-        handlers.add(messages.Batch, self._take_batch)
-        handlers.add(messages.Digest, self._take_digest)
-        handlers.add(messages.Pull, self._answer_pull)
-        table.on_change(self._changed)
-        table.on_resume(self._wake)
-        table.on_move(self._moved)
+        handlers.add(messages.Batch, self._on_batch)
+        handlers.add(messages.Digest, self._on_digest)
+        handlers.add(messages.Pull, self._on_pull)
+        table.on_change(self._on_change)
+        table.on_resume(self._on_wake)
+        table.on_move(self._on_move)
         table.renew_in = self.renew_in
-        mesh.on_link(self._greet)
+        mesh.on_link(self._on_link)
 
     def start(self) -> None:
-        """Start the task that sends the batches."""
+        """Start the task that sends batches."""
         self.task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """End every task."""
+        """Stop all tasks."""
         for task in [self.task, *self._pulls.values()]:
             if task:
                 task.cancel()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(max(0.0, self.next_at - self.clock()))
-            if self.clock() < self.next_at - TIMER_SECONDS:
+            await asyncio.sleep(max(0.0, self.next_batch_at - self.clock()))
+            if self.clock() < self.next_batch_at - TIMER_SECONDS:
                 # An early batch went out meanwhile.
                 continue
-            # A late tick shifts the next ones: none is made up for.
-            self.next_at = max(self.next_at, self.clock() - SLACK_SECONDS)
-            self.next_at += BATCH_SECONDS
+            # A late tick delays the next ones; missed ticks are skipped.
+            self.next_batch_at = max(
+                self.next_batch_at, self.clock() - SLACK_SECONDS
+            )
+            self.next_batch_at += BATCH_SECONDS
             repeating.guarded(self.tick, "spread.ticks", self.metrics)
 
     def renew_in(self) -> float:
-        """Return when a target that just renewed should do so again.
+        """Return the seconds until a target that just renewed should renew.
 
-        Just before the batch after the next one, once a second: its
-        evidence then is fresh when it reaches the other routers.
+        The renewal falls just before a batch, so that the heartbeat is
+        fresh when it reaches the other routers.
         """
-        left = self.next_at - self.clock()
+        left = self.next_batch_at - self.clock()
         return max(0.0, left) % BATCH_SECONDS + BATCH_SECONDS - AHEAD_SECONDS
 
     def tick(self) -> None:
-        """Send this second's batch and, from a relay, the digests."""
+        """Send the periodic batch and, from a relay, the digests."""
         now = self.clock()
-        self.batched_at = now
+        self.last_batch_at = now
         self.mesh.broadcast(self._batch(now))
-        for place in self.mesh.data_centres():
-            if place == self.mesh.data_centre:
+        for data_centre in self.mesh.data_centres():
+            if data_centre == self.mesh.data_centre:
                 continue
-            self._send_digest(place, now)
-            if now - self.heard_of.get(place, now) > CUT_OFF_SECONDS:
-                self.mesh.set_remote_routers(place, [])
+            self._send_digest(data_centre, now)
+            if (
+                now - self.last_digest_at.get(data_centre, now)
+                > CUT_OFF_SECONDS
+            ):
+                self.mesh.set_remote_routers(data_centre, [])
 
     # -- sending --
 
     def _batch(self, now: float) -> messages.Batch:
-        beats = [
-            self._beat(name, now) for name in sorted(self.table.heard_directly)
+        heartbeats = [
+            self._heartbeat(name, now)
+            for name in sorted(self.table.heard_directly)
         ]
         self.table.heard_directly.clear()
-        records_ = self._records(self._repeat, now)
-        self._repeat = {
-            n: left - 1 for n, left in self._repeat.items() if left
+        changed = self._records(self._repeats_left, now)
+        self._repeats_left = {
+            n: left - 1 for n, left in self._repeats_left.items() if left
         }
         passed = [
-            messages.RelayedDigest(place, int((now - heard) * 1000), *word)
-            for place, (heard, *word) in self._passing.items()
+            messages.RelayedDigest(
+                data_centre, int((now - heard) * 1000), *content
+            )
+            for data_centre, (
+                heard,
+                *content,
+            ) in self._digests_to_relay.items()
         ]
-        self._passing.clear()
-        return self._message(now, [b for b in beats if b], records_, passed)
+        self._digests_to_relay.clear()
+        return self._message(
+            now, [b for b in heartbeats if b], changed, passed
+        )
 
-    def _message(self, now, beats, changed, passed=()) -> messages.Batch:
+    def _message(self, now, heartbeats, changed, passed=()) -> messages.Batch:
         mark = self.table.digests.get(self.mesh.data_centre, 0)
         return messages.Batch(
-            int(now * 1000), mark, beats, changed, list(passed)
+            int(now * 1000), mark, heartbeats, changed, list(passed)
         )
 
     def _records(self, names: t.Iterable[str], now: float):
         known = self.table.entries
         return [known[n].record(now) for n in names if n in known]
 
-    def _beat(self, name: str, now: float) -> messages.TargetHeartbeat | None:
+    def _heartbeat(
+        self, name: str, now: float
+    ) -> messages.TargetHeartbeat | None:
         entry = self.table.entries.get(name)
         if entry is None:
             return None
@@ -197,26 +212,26 @@
             int(report.kv_used * 100),
         )
 
-    def _changed(self, entry: entries.Entry) -> None:
-        """Send a changed record at once to those who need it from here."""
+    def _on_change(self, entry: entries.Entry) -> None:
+        """Schedule a changed record for the routers that lack it."""
         name = entry.target.name
         here = entry.target.data_centre == self.mesh.data_centre
         source = self._source and self.mesh.data_centre_of(self._source)
         if not source:
-            self._repeat[name] = REPEATS
+            self._repeats_left[name] = REPEATS
         if source != self.mesh.data_centre:
-            self._near.add(name)
+            self._unsent_local.add(name)
         if here:
-            self._beyond.add(name)
+            self._unsent_remote.add(name)
         self._flush_soon()
 
-    def _moved(self, name: str) -> None:
-        """Tell at once that a target renews here now.
+    def _on_move(self, name: str) -> None:
+        """Announce at once that a target now renews at this router.
 
-        Its former router may have died with its last renewals; waiting for
-        the batch as well would make the target stale elsewhere.
+        Its former router may have died with unsent renewals; waiting for
+        the next batch could make the target stale elsewhere.
         """
-        self._moved_here.add(name)
+        self._renewed_here.add(name)
         self._flush_soon()
 
     def _flush_soon(self) -> None:
@@ -228,44 +243,51 @@
     def _flush(self) -> None:
         self._flushing = False
         now = self.clock()
-        near = self._records(self._near, now)
-        beyond = self._records(self._beyond, now)
-        # A record tells its age itself.
-        beats = [self._beat(n, now) for n in self._moved_here - self._near]
-        self._near.clear()
-        self._beyond.clear()
-        self._moved_here.clear()
-        if near or beats:
-            found = [beat for beat in beats if beat]
-            self.mesh.broadcast(self._message(now, found, near))
-        if beyond:
+        local = self._records(self._unsent_local, now)
+        remote = self._records(self._unsent_remote, now)
+        # A record carries its own age; it needs no heartbeat.
+        heartbeats = [
+            self._heartbeat(n, now)
+            for n in self._renewed_here - self._unsent_local
+        ]
+        self._unsent_local.clear()
+        self._unsent_remote.clear()
+        self._renewed_here.clear()
+        if local or heartbeats:
+            found = [heartbeat for heartbeat in heartbeats if heartbeat]
+            self.mesh.broadcast(self._message(now, found, local))
+        if remote:
             for name in self.remote_links():
-                self.mesh.send(name, self._message(now, [], beyond))
+                self.mesh.send(name, self._message(now, [], remote))
 
-    def _chosen_links(self) -> set[str]:
-        """Return routers elsewhere that this relay exchanges with."""
+    def _remote_relays(self) -> set[str]:
+        """Return remote relays that this router exchanges digests with."""
         found = set()
-        for place in self.mesh.data_centres():
-            if place != self.mesh.data_centre and self.mesh.is_relay_to(place):
-                found.update(self.mesh.relays(place))
+        for data_centre in self.mesh.data_centres():
+            if data_centre != self.mesh.data_centre and self.mesh.is_relay_to(
+                data_centre
+            ):
+                found.update(self.mesh.relays(data_centre))
         return found
 
     def remote_links(self) -> list[str]:
-        """Return linked routers elsewhere, chosen or that chose this one."""
+        """Return linked remote relays, chosen here or by their own list."""
         now = self.clock()
         known = self.mesh.peers
-        found = self._chosen_links()
+        found = self._remote_relays()
         found.update(
             name
-            for name, at in self._far.items()
+            for name, at in self._remote_seen.items()
             if now - at < CUT_OFF_SECONDS
         )
         return sorted(n for n in found if n in known and known[n].link)
 
-    def _send_digest(self, place: str, now: float) -> None:
+    def _send_digest(self, data_centre: str, now: float) -> None:
         known = self.mesh.peers
         names = [
-            n for n in self.remote_links() if known[n].data_centre == place
+            n
+            for n in self.remote_links()
+            if known[n].data_centre == data_centre
         ]
         if not names:
             return
@@ -273,14 +295,14 @@
         stale = [
             entry.target.name
             for entry in self.table.entries_in(here)
-            if not entry.lost and now - entry.heard_at > DIGEST_STALE_SECONDS
+            if not entry.lost and now - entry.heard_at > STALE_SECONDS
         ]
-        chosen = self._chosen_links()
+        chosen = self._remote_relays()
         digest = messages.Digest(
             here,
             int(now * 1000),
             self.table.digests.get(here, 0),
-            mark_of(self.mesh.live(here)),
+            digest_of(self.mesh.live(here)),
             stale,
             False,
         )
@@ -288,8 +310,8 @@
             digest.chosen = name in chosen
             self.mesh.send(name, digest)
 
-    def _greet(self, peer: peers.Peer) -> None:
-        """Let a new link show at once where the records differ."""
+    def _on_link(self, peer: peers.Peer) -> None:
+        """Send digests on a new link, to detect differences at once."""
         self._lateness.pop(peer.name, None)
         now = self.clock()
         if peer.data_centre == self.mesh.data_centre:
@@ -299,179 +321,187 @@
 
     # -- merging --
 
-    def _sent_at(self, name: str, clock_ms: int, now: float) -> float:
-        """Return when `name` sent a message, on this router's clock."""
+    def _local_send_time(self, name: str, clock_ms: int, now: float) -> float:
+        """Return when `name` sent a message, by this router's clock."""
         known = self._lateness.setdefault(name, lateness.Lateness())
         return now - known.measure(clock_ms / 1000, now)
 
-    def _merge(self, source: str, sent: float, beats, changed) -> None:
+    def _merge(self, source: str, sent: float, heartbeats, changed) -> None:
         self._source = source
         try:
             for record in changed:
                 self.table.merge_record(record, sent - record.age)
         finally:
             self._source = ""
-        for beat in beats:
-            entry = self.table.by_key.get(beat.key)
+        for heartbeat in heartbeats:
+            entry = self.table.by_key.get(heartbeat.key)
             if entry is not None:
-                heard = sent - beat.age_ms / 1000
+                heard = sent - heartbeat.age_ms / 1000
                 target = entry.target
                 self.table.merge_heartbeat(
                     target.name,
                     target.incarnation,
                     heard,
-                    beat.spoken,
-                    _report(target, beat),
+                    heartbeat.spoken,
+                    _report(target, heartbeat),
                 )
 
-    def _take_batch(self, link, batch: messages.Batch) -> None:
+    def _on_batch(self, link, batch: messages.Batch) -> None:
         now = self.clock()
         name = link.peer.name
-        sent = self._sent_at(name, batch.clock_ms, now)
+        sent = self._local_send_time(name, batch.clock_ms, now)
         self._merge(name, sent, batch.beats, batch.records)
         here = self.mesh.data_centre
         if link.peer.data_centre != here:
             return
-        self.marks[name] = batch.mark
+        self.peer_digests[name] = batch.mark
         if batch.mark != self.table.digests.get(here, 0):
-            self._later(here, name)
-        for word in batch.passed:
-            if word.data_centre != here:
-                self._near_news[word.data_centre] = now
-                self._take_word(word, sent - word.age_ms / 1000, name)
+            self._schedule_pull(here, name)
+        for digest in batch.passed:
+            if digest.data_centre != here:
+                self._relayed_at[digest.data_centre] = now
+                self._merge_digest(digest, sent - digest.age_ms / 1000, name)
 
-    def _take_digest(self, link, digest: messages.Digest) -> None:
+    def _on_digest(self, link, digest: messages.Digest) -> None:
         now = self.clock()
         name = link.peer.name
-        place = link.peer.data_centre
-        if digest.data_centre != place or place == self.mesh.data_centre:
+        data_centre = link.peer.data_centre
+        if (
+            digest.data_centre != data_centre
+            or data_centre == self.mesh.data_centre
+        ):
             return
-        heard = self._sent_at(name, digest.clock_ms, now)
-        self._take_word(digest, heard, name)
+        heard = self._local_send_time(name, digest.clock_ms, now)
+        self._merge_digest(digest, heard, name)
         if digest.chosen:
-            self._far[name] = now
-        self._pass_on(digest, heard, now)
-
-    def _take_word(self, word, heard: float, name: str) -> None:
-        """Take a data centre's word of `heard`, which came through `name`."""
-        place = word.data_centre
-        self.heard_of[place] = max(heard, self.heard_of.get(place, heard))
-        if word.mark == self.table.digests.get(place, 0):
-            self.table.vouch(place, heard, word.stale)
+            self._remote_seen[name] = now
+        self._relay_digest(digest, heard, now)
+
+    def _merge_digest(self, digest, heard: float, name: str) -> None:
+        """Merge a digest of time `heard` that came through `name`."""
+        data_centre = digest.data_centre
+        self.last_digest_at[data_centre] = max(
+            heard, self.last_digest_at.get(data_centre, heard)
+        )
+        if digest.mark == self.table.digests.get(data_centre, 0):
+            self.table.vouch(data_centre, heard, digest.stale)
         else:
-            self._later(place, name)
-        routers = self.mesh.remote_routers.get(place, [])
-        if mark_of(routers) != word.routers_mark:
-            self._later(place, name)
-
-    def _pass_on(self, digest, heard: float, now: float) -> None:
-        """Put a digest from elsewhere into the next batch.
-
-        The first relay does; another one only if the first has been
-        silent, so that a relay which lost its link holds nobody up. The
-        batch is sent early, once, and then follows the digests: they wait
-        for it no longer than it takes to gather those of all relays.
+            self._schedule_pull(data_centre, name)
+        routers = self.mesh.remote_routers.get(data_centre, [])
+        if digest_of(routers) != digest.routers_mark:
+            self._schedule_pull(data_centre, name)
+
+    def _relay_digest(self, digest, heard: float, now: float) -> None:
+        """Put a digest of another data centre into the next batch.
+
+        The first relay does so; the others only if it has been silent,
+        which covers a relay that lost its remote links. The batch is sent
+        early, after a short wait that collects the digests of all relays.
         """
-        place = digest.data_centre
-        ours = self.mesh.ordered_relays(place)
-        news_at = self._near_news.get(place, 0.0)
+        data_centre = digest.data_centre
+        ours = self.mesh.ordered_relays(data_centre)
+        relayed_at = self._relayed_at.get(data_centre, 0.0)
         first = ours and ours[0] == self.mesh.identity.name
-        if not first and now - news_at < NEWS_MISSED_SECONDS:
+        if not first and now - relayed_at < RELAY_SILENT_SECONDS:
             return
-        word = (digest.mark, digest.routers_mark, digest.stale)
-        self._passing[place] = (heard, *word)
-        due = min(self.next_at, self.batched_at + EARLY_SECONDS)
+        content = (digest.mark, digest.routers_mark, digest.stale)
+        self._digests_to_relay[data_centre] = (heard, *content)
+        due = min(self.next_batch_at, self.last_batch_at + MIN_BATCH_SECONDS)
         soon = max(due, now + GATHER_SECONDS)
-        if soon < self.next_at:
-            self.next_at = soon
+        if soon < self.next_batch_at:
+            self.next_batch_at = soon
             loop = asyncio.get_running_loop()
             loop.call_later(soon - now, self._tick_early, soon)
 
     def _tick_early(self, due: float) -> None:
-        if self.next_at == due:
-            self.next_at = self.clock() + BATCH_SECONDS
+        if self.next_batch_at == due:
+            self.next_batch_at = self.clock() + BATCH_SECONDS
             self.tick()
 
     # -- repair --
 
-    def _later(self, place: str, name: str, sure: bool = False) -> None:
-        """Pull from router `name` soon.
+    def _schedule_pull(
+        self, data_centre: str, name: str, force: bool = False
+    ) -> None:
+        """Schedule a pull from router `name`.
 
-        Unless it is `sure` that it knows more, nothing is pulled if the
-        digests agree by then: most differences are changes under way.
+        Unless `force`, the pull is skipped if the digests agree by then:
+        most differences are changes in flight.
         """
-        if place in self._pulls:
+        if data_centre in self._pulls:
             return
-        task = asyncio.ensure_future(self._pull(place, name, sure))
-        self._pulls[place] = task
-        task.add_done_callback(lambda _: self._pulls.pop(place, None))
+        task = asyncio.ensure_future(self._pull(data_centre, name, force))
+        self._pulls[data_centre] = task
+        task.add_done_callback(lambda _: self._pulls.pop(data_centre, None))
 
-    def _wake(self) -> None:
+    def _on_wake(self) -> None:
         here = self.mesh.data_centre
         for name in self.mesh.live(here):
             if name != self.mesh.identity.name:
-                self._later(here, name, sure=True)
+                self._schedule_pull(here, name, force=True)
 
-    async def _pull(self, place: str, name: str, sure: bool) -> None:
-        since = self.clock() - self._pulled_at.get(place, 0.0)
-        first = 0.0 if sure else PULL_AFTER_SECONDS
+    async def _pull(self, data_centre: str, name: str, force: bool) -> None:
+        since = self.clock() - self._pulled_at.get(data_centre, 0.0)
+        first = 0.0 if force else PULL_AFTER_SECONDS
         wait = max(first, PULL_EVERY_SECONDS - since)
         await asyncio.sleep(wait)
-        if not sure and self._ended(place, name):
+        if not force and self._in_sync(data_centre, name):
             return
-        self._pulled_at[place] = self.clock()
+        self._pulled_at[data_centre] = self.clock()
         self.metrics.count("spread.pulls")
         known = [
             messages.KnownVersion(entry.target.name, *entry.version)
-            for entry in self.table.entries_in(place)
+            for entry in self.table.entries_in(data_centre)
         ]
         try:
             answer = await self.mesh.call(
-                name, messages.Pull(place, known), PULL_TIMEOUT_SECONDS
+                name, messages.Pull(data_centre, known), PULL_TIMEOUT_SECONDS
             )
         except errors.AmaranthringError:
             self.metrics.count("spread.pulls_failed")
             return
         now = self.clock()
-        sent = self._sent_at(name, answer.clock_ms, now)
+        sent = self._local_send_time(name, answer.clock_ms, now)
         self._merge(name, sent, answer.beats, answer.records)
-        if place != self.mesh.data_centre:
-            self.mesh.set_remote_routers(place, answer.routers)
-            self.table.vouched[place] = sent - answer.age_ms / 1000
+        if data_centre != self.mesh.data_centre:
+            self.mesh.set_remote_routers(data_centre, answer.routers)
+            self.table.vouched[data_centre] = sent - answer.age_ms / 1000
 
-    def _ended(self, place: str, name: str) -> bool:
-        """Return whether the difference to `name` is gone by now."""
-        if place != self.mesh.data_centre:
+    def _in_sync(self, data_centre: str, name: str) -> bool:
+        """Return whether the digests of `name` and this router agree now."""
+        if data_centre != self.mesh.data_centre:
             return False
-        return self.marks.get(name) == self.table.digests.get(place, 0)
+        return self.peer_digests.get(name) == self.table.digests.get(
+            data_centre, 0
+        )
 
-    def _answer_pull(self, link, pull: messages.Pull) -> messages.PullReply:
+    def _on_pull(self, link, pull: messages.Pull) -> messages.PullReply:
         now = self.clock()
-        place = pull.data_centre
+        data_centre = pull.data_centre
         known = {one.name: entries.Version(*one[1:]) for one in pull.known}
         newer = []
-        beats = []
-        for entry in self.table.entries_in(place):
+        heartbeats = []
+        for entry in self.table.entries_in(data_centre):
             name = entry.target.name
             if name not in known or known[name] < entry.version:
                 newer.append(entry.record(now))
-            beats.append(self._beat(name, now))
+            heartbeats.append(self._heartbeat(name, now))
         age = 0.0
-        if place != self.mesh.data_centre:
-            age = now - self.table.vouched.get(place, 0.0)
-        if self._behind(known):
-            # The asker knows what every message to this router lost.
-            self._later(place, link.peer.name, sure=True)
+        if data_centre != self.mesh.data_centre:
+            age = now - self.table.vouched.get(data_centre, 0.0)
+        if self._is_behind(known):
+            # The requester has records that never reached this router.
+            self._schedule_pull(data_centre, link.peer.name, force=True)
         return messages.PullReply(
             int(now * 1000),
             int(age * 1000),
             newer,
-            beats,
-            self.mesh.live(place),
+            heartbeats,
+            self.mesh.live(data_centre),
         )
 
-    def _behind(self, known: dict[str, entries.Version]) -> bool:
-        """Return whether another router has a record that is newer."""
+    def _is_behind(self, known: dict[str, entries.Version]) -> bool:
+        """Return whether `known` has a record that is newer than here."""
         for name, version in known.items():
             entry = self.table.entries.get(name)
             if entry is None or entry.version < version:
@@ -480,15 +510,15 @@
 
 
 def _report(
-    target: records.Target, beat: messages.TargetHeartbeat
+    target: records.Target, heartbeat: messages.TargetHeartbeat
 ) -> records.Report | None:
-    if not beat.sequence:
+    if not heartbeat.sequence:
         return None
     return records.Report(
         target.name,
         target.incarnation,
-        beat.sequence,
-        beat.running,
-        beat.waiting,
-        beat.kv_percent / 100,
+        heartbeat.sequence,
+        heartbeat.running,
+        heartbeat.waiting,
+        heartbeat.kv_percent / 100,
     )
--- a/amaranthring/routers/target_sync_messages.py
+++ b/amaranthring/routers/target_sync_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which routers spread what they know of targets."""
+"""Messages that synchronise target records between routers."""
 
 import typing as t
 
@@ -7,20 +7,20 @@
 
 
 class TargetHeartbeat(t.NamedTuple):
-    """Evidence that a target lives, with its last report.
+    """Last heartbeat of a target, with its last load report.
 
     Attributes
     ----------
     key : int
         64-bit digest of the target's name and incarnation.
     age_ms : int
-        Milliseconds from the evidence to the sending of the message.
+        Age of the heartbeat when the message was sent, in milliseconds.
     spoken : int
-        Highest sequence of the target's own messages.
+        Highest sequence number of the target's own messages.
     sequence : int
-        Of the report; 0 if there is none.
+        Sequence number of the report; 0 if there is none.
     kv_percent : int
-        KV memory in use, in hundredths.
+        KV memory in use, in percent.
     """
 
     key: int
@@ -33,7 +33,7 @@
 
 
 class KnownVersion(t.NamedTuple):
-    """Name and version of a record that the asker has."""
+    """Name and version of a record that the requester has."""
 
     name: str
     incarnation: int
@@ -43,7 +43,7 @@
 
 
 class RelayedDigest(t.NamedTuple):
-    """Word of another data centre, passed on by a relay; see Digest."""
+    """Digest of another data centre, forwarded by a relay; see Digest."""
 
     data_centre: str
     age_ms: int
@@ -54,19 +54,19 @@
 
 @wire.message("sb", compact=True)
 class Batch:
-    """One router's news for its data centre, once a second.
+    """Updates of one router for its data centre, sent every second.
 
     Attributes
     ----------
     clock_ms : int
-        Sender's monotonic clock, which shows the lateness of the message.
+        Sender's monotonic clock, used to estimate the message's delay.
     mark : int
         Digest of the sender's records of the data centre.
-    beats : list of Beat
+    beats : list of TargetHeartbeat
         Targets that renewed at the sender since its last batch.
     records : list of Record
-        Records that changed of late.
-    passed : list of Passed
+        Recently changed records.
+    passed : list of RelayedDigest
         Digests of other data centres, from a relay.
     """
 
@@ -79,7 +79,7 @@
 
 @wire.message("sd", compact=True)
 class Digest:
-    """A data centre's word for its targets and routers, between relays.
+    """State of a data centre's targets and routers, sent between relays.
 
     Attributes
     ----------
@@ -90,11 +90,11 @@
     routers_mark : int
         Digest of its list of live routers.
     stale : list of str
-        Targets that have not been heard there for a while.
+        Targets without a recent heartbeat there.
     chosen : bool
-        Whether sender and receiver are relays by the sender's list. Else it
-        only answers digests, and must not be answered: two routers that are
-        relays no more would go on for ever.
+        Whether sender and receiver are relays by the sender's list. If not,
+        the digest is a reply and must not be answered: two former relays
+        would otherwise answer each other forever.
     """
 
     data_centre: str
@@ -107,7 +107,7 @@
 
 @wire.message("spread-pull")
 class Pull:
-    """Asks for every record of `data_centre` that is newer than `known`."""
+    """Requests the records of `data_centre` that are newer than `known`."""
 
     data_centre: str
     known: list[KnownVersion]
@@ -115,12 +115,12 @@
 
 @wire.message("spread-pulled")
 class PullReply:
-    """Answer to a pull: newer records, ages of the rest, live routers.
+    """Reply to a pull: newer records, heartbeats and live routers.
 
     Attributes
     ----------
     age_ms : int
-        Milliseconds since the data centre asked for vouched for them.
+        Milliseconds since the data centre last confirmed its records.
     """
 
     clock_ms: int
