--- a/amaranthring/routers/revision_file.py
+++ b/amaranthring/routers/revision_file.py
@@ -1,8 +1,8 @@
-"""The last revision on this router's disk, where there is one.
+"""Stores the last configuration revision on the router's disk, if any.
 
-Written whole to another name, synced and renamed, under a checksum. A file
-that was damaged is as good as none: the keepers and the other routers have
-the content.
+The file is written atomically (temporary file, fsync, rename) and carries a
+checksum. A damaged file is ignored: the keepers and the other routers have
+its content.
 """
 
 import asyncio
@@ -28,19 +28,19 @@
 
 
 def write(path: str, data: bytes) -> None:
-    """Replace the file at `path` so that a crash leaves old or new.
+    """Replace the file at `path` atomically and durably.
 
     Raises
     ------
     OSError
-        If the disk does not take it.
+        If writing fails.
     """
-    trial = f"{path}.new"
-    with open(trial, "wb") as file:
+    temporary = f"{path}.new"
+    with open(temporary, "wb") as file:
         file.write(MAGIC + _checksum(data) + data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(trial, path)
+    os.replace(temporary, path)
     folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
     try:
         os.fsync(folder)
@@ -49,20 +49,20 @@
 
 
 class RevisionFile:
-    """Saves and loads a map of parts; an empty path does neither.
+    """Saves and loads the parts of a revision; disabled if `path` is empty.
 
-    Saving runs in a thread, since a sync may take long; of several changes
-    that come while it runs only the last is written.
+    Saving runs in a thread, since fsync may take long. Of several changes
+    made meanwhile only the last is written.
     """
 
     def __init__(self, path: str, metrics: t.Any):
         self.path = path
         self.metrics = metrics
-        self.wanted: dict[str, t.Any] | None = None
+        self.pending: dict[str, t.Any] | None = None
         self.task: asyncio.Task | None = None
 
     def load(self) -> parts.Parts | None:
-        """Return the map on disk, or None if there is none that is whole."""
+        """Return the stored parts, or None if absent or damaged."""
         if not self.path or not os.path.exists(self.path):
             return None
         try:
@@ -76,15 +76,15 @@
             return None
 
     def save(self, held: parts.Parts) -> None:
-        """Write `held` soon."""
+        """Schedule writing `held`."""
         if not self.path:
             return
-        self.wanted = held.dump()
+        self.pending = held.dump()
         if self.task is None or self.task.done():
             self.task = asyncio.ensure_future(self._write())
 
     async def flush(self) -> None:
-        """Wait until what was saved is on disk."""
+        """Wait until the scheduled write is on disk."""
         if self.task is not None:
             await self.task
 
@@ -93,7 +93,7 @@
         body = data[start:]
         if data[:start] != MAGIC + _checksum(body):
             raise errors.StorageError(
-                "checksum of the revision file",
+                "checksum mismatch in the revision file",
                 given="another",
                 expected="that of its content",
             )
@@ -101,9 +101,9 @@
 
     async def _write(self) -> None:
         loop = asyncio.get_running_loop()
-        while self.wanted is not None:
-            data = wire.encode_value(self.wanted)
-            self.wanted = None
+        while self.pending is not None:
+            data = wire.encode_value(self.pending)
+            self.pending = None
             try:
                 await loop.run_in_executor(None, write, self.path, data)
             except OSError as error:
--- a/amaranthring/routers/revision_messages.py
+++ b/amaranthring/routers/revision_messages.py
@@ -1,13 +1,13 @@
-"""Messages between routers about the revision they run."""
+"""Messages between routers about their active revisions."""
 
 from amaranthring.core import wire
 
 
 @wire.message("revision-number")
 class RunningRevision:
-    """The revision that a router runs, and whether it is ready.
+    """The active revision of a router.
 
-    Sent once a second to a relay, which answers with its own.
+    Sent every second to a relay, which replies with its own.
     """
 
     router: str
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -1,14 +1,14 @@
-"""The revision in force on this router, and its spread over the fleet.
+"""Active configuration revision of this router, and its distribution.
 
-The keepers hand changes to the few relays of each data centre, which hold a
-query open; a relay sends them on to its data centre at once. Once a second
-each router compares its number with a relay's (anti-entropy), so that a lost
-message costs a second; the relays tell the keepers who runs what.
+The relays of each data centre fetch changes from the keepers by long polling
+and broadcast them to their data centre. Every second each router compares
+its revision with a relay's (anti-entropy), which repairs lost messages. The
+relays report to the keepers which router runs which revision.
 
-A router is ready when the keepers told it the highest revision. When they
-cannot be reached, it takes the highest that it and the other routers of its
-data centre hold, but not its own file alone while it has such neighbours:
-they may have moved on while it was down.
+A router is ready when the keepers have confirmed the highest revision. If
+they cannot be reached, it takes the highest revision of its data centre. Its
+own file alone is not enough while it has neighbours: they may have advanced
+while it was down.
 """
 
 import asyncio
@@ -29,14 +29,14 @@
 
 log = logbook.Logger(__name__)
 
-# Below the time that KeeperClient gives one keeper for one try.
+# Must be shorter than KeeperClient's timeout for one attempt.
 WATCH_SECONDS = 0.7
 PULL_SECONDS = 2.0
 COMPARE_SECONDS = 1.0
 REPORT_SECONDS = 10.0
 RETRY_SECONDS = 0.2
 CUT_OFF_SECONDS = 3.0
-FORGET_SECONDS = 3600.0
+STALE_SECONDS = 3600.0
 RELAYS = 2
 
 RELAY_KEY = "revisions "
@@ -46,7 +46,7 @@
 
 
 class Revisions:
-    """Holds, applies and spreads revisions.
+    """Holds, applies and distributes configuration revisions.
 
     Parameters
     ----------
@@ -57,23 +57,23 @@
     mesh : object
         The mesh of routers.
     handlers : links.Handlers
-        Where incoming messages of the mesh are routed.
+        Message handlers of the mesh.
     metrics : metrics.Metrics
-        Counters.
+        Metrics of this process.
     neighbours : list of str
         Other routers of this data centre, from the settings.
     path : str
-        File that keeps the last revision; empty where there is no disk.
+        File that stores the last revision; empty if there is no disk.
 
     Attributes
     ----------
     current : fleet.FleetConfig
-        The revision in force here.
+        The active revision of this router.
     ready : bool
-        Whether `current` may be served under.
+        Whether requests may be served under `current`.
     confirmed_at : float
-        Monotonic time at which the keepers last said that no higher
-        revision was accepted; only relays ask them.
+        Monotonic time at which the keepers last confirmed that there is no
+        higher revision; only relays ask them.
     """
 
     def __init__(
@@ -101,35 +101,35 @@
         self.callbacks: list[Callback] = []
         self.tasks: list[asyncio.Task] = []
         self.pulls: dict[str, asyncio.Task] = {}
-        # What the routers of this data centre told this one, as a relay.
-        self.heard: dict[str, tuple[int, float]] = {}
-        self.reported: dict[str, int] = {}
+        # Revision and time of the last report of each local router.
+        self.revision_by_router: dict[str, tuple[int, float]] = {}
+        self.last_report: dict[str, int] = {}
         self.reported_at = 0.0
-        self.whole_wanted = False
+        self.needs_full_state = False
         handlers.add(parts.Delta, self._on_delta)
         handlers.add(commands.ConfigSince, self._on_config_since)
         handlers.add(revision_messages.RunningRevision, self._on_number)
 
     def subscribe(self, callback: Callback) -> None:
-        """Call `callback` with each new revision, after it took hold."""
+        """Call `callback` with each new revision once it is active."""
         self.callbacks.append(callback)
 
     def start(self) -> None:
-        """Read the file and start the tasks."""
+        """Load the stored revision and start the tasks."""
         loaded = self.file.load()
         if loaded is not None:
             self.parts = loaded
-            self._take_hold(loaded.config())
+            self._activate(loaded.config())
         for run in (
             self._become_ready,
-            self._watch,
+            self._run_relay,
             self._compare,
-            self._tell_keepers,
+            self._report_to_keepers,
         ):
             self.tasks.append(asyncio.ensure_future(run()))
 
     async def stop(self) -> None:
-        """End the tasks and write what is not on disk yet."""
+        """Stop the tasks and flush the file."""
         for task in [*self.tasks, *self.pulls.values()]:
             task.cancel()
         await self.file.flush()
@@ -142,31 +142,31 @@
     def relays(self) -> list[str]:
         """Return the routers of this data centre that ask the keepers.
 
-        Two by rendezvous among the live ones: while one that died is still
-        listed, the other goes on. Lists that differ make a third relay for
-        a while, which does no harm.
+        There are two, by rendezvous order, so that one remains while a dead
+        one is still listed. Lists that differ add a third for a while,
+        which is harmless.
         """
         live = self.mesh.live(self.data_centre)
         return hashing.order(RELAY_KEY + self.data_centre, live)[:RELAYS]
 
     def apply_delta(self, delta: parts.Delta, source: str) -> bool:
-        """Apply `delta` if it leads upward; return whether it did."""
+        """Apply `delta` if it raises the revision; return whether it did."""
         try:
             moved = self.parts.apply(delta)
         except errors.FrameError as error:
             self.metrics.count("revisions.refused")
             log.warning("revisions.refused source={} fault={}", source, error)
-            # Asking for the same delta again would fail again; the whole
-            # map does not depend on what is held here.
+            # The same delta would fail again; request the full state, which
+            # does not depend on the local state.
             if source == KEEPERS:
-                self.whole_wanted = True
+                self.needs_full_state = True
             else:
                 self._pull(source, -1)
             return False
         if moved:
             self.metrics.count("revisions.applied")
             base = fleet.FleetConfig() if delta.whole else self.current
-            self._take_hold(
+            self._activate(
                 parts.advance(
                     base, delta.revision, delta.changed, delta.removed
                 )
@@ -174,7 +174,7 @@
             self.file.save(self.parts)
         return moved
 
-    def _take_hold(self, config: fleet.FleetConfig) -> None:
+    def _activate(self, config: fleet.FleetConfig) -> None:
         self.current = config
         self.metrics.gauge("revisions.revision", self.parts.revision)
         logs.event(
@@ -186,43 +186,43 @@
         for callback in self.callbacks:
             callback(self.current)
 
-    # -- from the keepers --------------------------------------------------
+    # -- updates from the keepers ------------------------------------------
 
-    async def _watch(self) -> None:
-        """As a relay, follow the keepers and send changes on."""
+    async def _run_relay(self) -> None:
+        """While a relay, fetch keeper changes and broadcast them."""
         while True:
             if not self.is_relay:
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             try:
-                await self._follow()
+                await self._fetch_from_keepers()
             except errors.AmaranthringError:
                 self.metrics.count("revisions.keepers-unreachable")
                 await asyncio.sleep(RETRY_SECONDS * random.uniform(0.5, 1.5))
 
-    async def _follow(self) -> None:
-        revision = -1 if self.whole_wanted else self.parts.revision
+    async def _fetch_from_keepers(self) -> None:
+        revision = -1 if self.needs_full_state else self.parts.revision
         ask = commands.ConfigSince(revision, WATCH_SECONDS)
-        self.whole_wanted = False
+        self.needs_full_state = False
         delta = await self.query(ask, WATCH_SECONDS + PULL_SECONDS)
         if self.apply_delta(delta, KEEPERS):
             self.mesh.broadcast(delta)
         elif delta.revision > self.parts.revision:
-            # Refused; asking on and on would load the leader.
+            # The delta was refused; back off to spare the leader.
             await asyncio.sleep(RETRY_SECONDS)
         self._confirm_highest(delta.revision)
 
     def _confirm_highest(self, revision: int) -> None:
         if revision < self.parts.revision:
-            # Keepers that lost their state must not pull routers back.
+            # Keepers that lost their state must not roll routers back.
             self.metrics.count("revisions.keepers-behind")
             return
         self.confirmed_at = time.monotonic()
         if not self.ready and revision > 0:
             self._set_ready(KEEPERS)
 
-    async def _tell_keepers(self) -> None:
-        """As a relay, tell the keepers who here runs which revision."""
+    async def _report_to_keepers(self) -> None:
+        """While a relay, report the routers' revisions to the keepers."""
         while True:
             await asyncio.sleep(COMPARE_SECONDS)
             if not self.is_relay:
@@ -234,48 +234,55 @@
 
     async def _report(self) -> None:
         now = time.monotonic()
-        self.heard[self.name] = (self.parts.revision, now)
-        for name in [n for n, h in self.heard.items() if _old(h, now)]:
-            del self.heard[name]
-        routers = {name: heard[0] for name, heard in self.heard.items()}
+        self.revision_by_router[self.name] = (self.parts.revision, now)
+        for name in [
+            n for n, h in self.revision_by_router.items() if _is_stale(h, now)
+        ]:
+            del self.revision_by_router[name]
+        routers = {
+            name: entry[0] for name, entry in self.revision_by_router.items()
+        }
         due = now - self.reported_at >= REPORT_SECONDS
-        if routers == self.reported and not due:
+        if routers == self.last_report and not due:
             return
-        ages = {n: round(now - h[1], 1) for n, h in self.heard.items()}
+        ages = {
+            n: round(now - h[1], 1) for n, h in self.revision_by_router.items()
+        }
         message = commands.RouterRevisions(self.data_centre, routers, ages)
         await self.query(message, PULL_SECONDS)
-        self.reported = routers
+        self.last_report = routers
         self.reported_at = now
 
     # -- between routers ---------------------------------------------------
 
     async def _compare(self) -> None:
-        """Compare numbers with another router, once a second."""
+        """Compare revisions with another router about every second."""
         while True:
             wait = COMPARE_SECONDS * random.uniform(0.8, 1.2)
             await asyncio.sleep(wait)
-            for name in self._compared():
+            for name in self._compare_peers():
                 try:
                     await self._compare_with(name)
                 except errors.AmaranthringError:
                     self.metrics.count("revisions.compare-failed")
 
-    def _compared(self) -> list[str]:
-        """Return whom to compare with: a relay, and one abroad if cut off.
+    def _compare_peers(self) -> list[str]:
+        """Return the routers to compare revisions with.
 
-        A data centre that lost the keepers still hears of changes from any
-        other that it reaches; one that did not lose them need not ask.
+        A local relay; if this router is a relay without contact to the
+        keepers, also a router of another data centre, which may have newer
+        revisions.
         """
         relays = [name for name in self.relays() if name != self.name]
         found = random.sample(relays, min(1, len(relays)))
         silent = time.monotonic() - self.confirmed_at
         if self.is_relay and silent > CUT_OFF_SECONDS:
-            abroad = [
+            remote = [
                 name
                 for name in self.mesh.live()
                 if self.mesh.data_centre_of(name) != self.data_centre
             ]
-            found += random.sample(abroad, min(1, len(abroad)))
+            found += random.sample(remote, min(1, len(remote)))
         return found
 
     async def _compare_with(self, name: str) -> None:
@@ -288,7 +295,10 @@
 
     def _on_number(self, _link, message):
         if message.router in self.neighbours:
-            self.heard[message.router] = (message.revision, time.monotonic())
+            self.revision_by_router[message.router] = (
+                message.revision,
+                time.monotonic(),
+            )
         if message.revision > self.parts.revision:
             self._pull(message.router, self.parts.revision)
         return revision_messages.RunningRevision(
@@ -301,7 +311,7 @@
     def _on_delta(self, link, delta):
         source = link.peer.name
         if not delta.whole and delta.since > self.parts.revision:
-            # A change before this one was lost on its way.
+            # An earlier change was lost.
             self._pull(source, self.parts.revision)
             return
         self.apply_delta(delta, source)
@@ -327,7 +337,7 @@
     # -- readiness -----------------------------------------------------------
 
     async def _become_ready(self) -> None:
-        """Ask keepers and neighbours until one rule makes this one ready."""
+        """Ask keepers and neighbours until this router is ready."""
         began = time.monotonic()
         while not self.ready:
             answers = await asyncio.gather(
@@ -335,9 +345,9 @@
             )
             if self.ready:
                 return
-            told = answers[1] > 0 or not self.neighbours
+            has_report = answers[1] > 0 or not self.neighbours
             cut_off = time.monotonic() - began >= CUT_OFF_SECONDS
-            if cut_off and told and self.parts.revision > 0:
+            if cut_off and has_report and self.parts.revision > 0:
                 self._set_ready("neighbours" if self.neighbours else "file")
                 return
             await asyncio.sleep(RETRY_SECONDS)
@@ -357,7 +367,7 @@
         self._confirm_highest(delta.revision)
 
     async def _ask_neighbours(self) -> int:
-        """Take the highest of the neighbours; return how many answered."""
+        """Adopt the neighbours' highest revision; count those that answer."""
         live = set(self.mesh.live(self.data_centre))
         asked = [name for name in self.neighbours if name in live]
         calls = [self._ask_one(name) for name in asked]
@@ -373,5 +383,5 @@
         return True
 
 
-def _old(heard: tuple[int, float], now: float) -> bool:
-    return now - heard[1] > FORGET_SECONDS
+def _is_stale(entry: tuple[int, float], now: float) -> bool:
+    return now - entry[1] > STALE_SECONDS
--- a/amaranthring/routers/target_reports.py
+++ b/amaranthring/routers/target_reports.py
@@ -1,8 +1,8 @@
-"""Tells the keepers which targets of this data centre are ready.
+"""Reports the ready targets of this data centre to the keepers.
 
-The keepers' leader orders models from what all data centres report. Only
-the relays of revisions report; each report is whole, so that a lost one
-costs nothing but time.
+The keepers' leader plans model orders from the reports of all data centres.
+Only the relays of revisions report. Each report is complete, so that the
+next one makes up for a lost one.
 """
 
 import asyncio
@@ -13,28 +13,30 @@
 from amaranthring.core import records
 from amaranthring.keepers import commands
 
-LOOK_SECONDS = 1.0
+CHECK_SECONDS = 1.0
 REPORT_SECONDS = 30.0
-QUERY_SECONDS = 2.0
+QUERY_TIMEOUT_SECONDS = 2.0
 
 
 class TargetReporter:
-    """Reports on change, and now and then without one.
+    """Reports ready targets on change, and periodically without one.
 
     Parameters
     ----------
     data_centre : str
-        Of this router.
+        Data centre of this router.
     query : callable
         ``KeeperClient.query``.
     may_report : callable
-        Whether this router is the one to report.
+        Returns whether this router should report.
     ready : callable
         Returns every ready target that this router knows.
     metrics : metrics.Metrics
-        Counters.
+        Metrics of this process.
     leader : callable
         Returns the keeper that answered last.
+    clock : callable
+        Monotonic clock, in seconds.
     """
 
     def __init__(
@@ -54,9 +56,9 @@
         self.metrics = metrics
         self.clock = clock
         self.leader = leader
-        self.told_leader = ""
-        self.told: list[records.Target] | None = None
-        self.told_at = 0.0
+        self.last_leader = ""
+        self.last_report: list[records.Target] | None = None
+        self.reported_at = 0.0
 
     async def run(self) -> None:
         """Report until cancelled."""
@@ -65,27 +67,26 @@
                 await self.report()
             except errors.AmaranthringError:
                 self.metrics.count("targets.report-failed")
-                self.told = None
-            await asyncio.sleep(LOOK_SECONDS)
+                self.last_report = None
+            await asyncio.sleep(CHECK_SECONDS)
 
     async def report(self) -> None:
-        """Report if it is this router's turn and there is reason to."""
+        """Send a report if this router is a reporter and one is due."""
         if not self.may_report():
-            self.told = None
+            self.last_report = None
             return
-        found = sorted(
+        targets = sorted(
             (t for t in self.ready() if t.data_centre == self.data_centre),
             key=lambda target: target.name,
         )
-        due = self.clock() - self.told_at >= REPORT_SECONDS
-        # What the keepers' leader knows of targets it keeps in memory; the
-        # next one starts with nothing.
-        if self.leader() != self.told_leader:
+        due = self.clock() - self.reported_at >= REPORT_SECONDS
+        # The leader keeps reports in memory only; a new one has none.
+        if self.leader() != self.last_leader:
             due = True
-        if found == self.told and not due:
+        if targets == self.last_report and not due:
             return
-        message = commands.ReadyTargets(self.data_centre, found)
-        await self.query(message, QUERY_SECONDS)
-        self.told = found
-        self.told_leader = self.leader()
-        self.told_at = self.clock()
+        message = commands.ReadyTargets(self.data_centre, targets)
+        await self.query(message, QUERY_TIMEOUT_SECONDS)
+        self.last_report = targets
+        self.last_leader = self.leader()
+        self.reported_at = self.clock()
