--- a/amaranthring/app.py
+++ b/amaranthring/app.py
@@ -1,9 +1,8 @@
 """Composition root: starts, serves and stops a process.
 
-``run`` is what the command line calls for a daemon. The parts of a router
-and of a keeper are wired in :mod:`amaranthring.router_parts` and
-:mod:`amaranthring.keeper_parts`, which belong to this root; nothing else
-wires parts together.
+The command line calls ``run`` for a daemon. :mod:`amaranthring.router_parts`
+and :mod:`amaranthring.keeper_parts` wire the components of a router and of a
+keeper; no other module does.
 """
 
 import asyncio
@@ -35,29 +34,29 @@
     Raises
     ------
     errors.SettingsError
-        If a file that the settings name is not usable.
+        If a file named in the settings is not usable.
     errors.ListenError
-        If an address is taken.
+        If an address is in use.
     """
     settings_module.check_files(settings, role)
     process = settings.process
     logs.setup(process.name, process.log_level, process.log_format)
-    mains = {"router": run_router, "keeper": run_keeper}
-    asyncio.run(mains[role](settings))
+    runners = {"router": run_router, "keeper": run_keeper}
+    asyncio.run(runners[role](settings))
 
 
-def _unlogged(_handler: tornado.web.RequestHandler) -> None:
-    """Write no line per request: requests are counted, not logged."""
+def _no_access_log(_handler: tornado.web.RequestHandler) -> None:
+    """Disable Tornado's access log; requests are counted in metrics."""
 
 
 def listen_internal(
     settings: settings_module.Settings, routes: list
 ) -> listeners.Listener:
-    """Serve `routes` on the internal listener, with TLS where set."""
+    """Serve `routes` on the internal listener, with TLS if configured."""
     listen = settings.listen
     bounds = settings.callers
     server = tornado.httpserver.HTTPServer(
-        tornado.web.Application(routes, log_function=_unlogged),
+        tornado.web.Application(routes, log_function=_no_access_log),
         ssl_options=files.tls_context(
             listen.internal_certificate_file,
             listen.internal_certificate_key_file,
@@ -73,14 +72,14 @@
 def identity_of(
     role: str, settings: settings_module.Settings
 ) -> links.Identity:
-    """Return who this process is on the fleet's streams."""
+    """Return the identity of this process on fleet links."""
     process = settings.process
     incarnation = time.time_ns() // 1_000_000
     return links.Identity(process.name, role, process.data_centre, incarnation)
 
 
 async def run_router(settings: settings_module.Settings) -> None:
-    """Run a router until it is told to stop, then end it gracefully."""
+    """Run a router until a stop signal, then shut it down gracefully."""
     stop = signals.stop_event()
     router = router_parts.Router(settings, identity_of("router", settings))
     internal = listen_internal(settings, router.internal_routes())
@@ -97,8 +96,8 @@
     settings: settings_module.Settings, router: router_parts.Router
 ) -> listeners.Listener:
     """Serve callers and the balancer's health check."""
-    given = {"ready": router.not_ready_reason}
-    routes = [("/health", health.HealthHandler, given)]
+    options = {"ready": router.not_ready_reason}
+    routes = [("/health", health.HealthHandler, options)]
     app = server.make_app(router.needs, settings.callers, routes)
     listen = settings.listen
     context = files.tls_context(
@@ -110,7 +109,7 @@
 
 
 async def run_keeper(settings: settings_module.Settings) -> None:
-    """Run a keeper until it is told to stop."""
+    """Run a keeper until a stop signal."""
     stop = signals.stop_event()
     keeper, served = keeper_parts.make(settings)
     routes = [
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -1,7 +1,7 @@
-"""Wiring of a router that forwards by a routing plan.
+"""Wires a router that forwards requests by a routing plan.
 
-Part of the composition root. A caller such as the adapter to a platform
-hands in what is particular to it: names on the wire and the form of plans.
+Part of the composition root. A platform adapter passes in its header names
+and the decoder of its plan documents.
 """
 
 import asyncio
@@ -32,44 +32,41 @@
 
 log = logbook.Logger(__name__)
 
-# What a withdrawn key may still work is counted from an acknowledgement;
-# the lease ends earlier by this share, for clocks that run at different
-# rates and for the way to a target.
+# Share of the key lease that this router uses; the rest covers clock drift
+# and the network delay to a target.
 LEASE_SHARE = 0.9
-# The balancer asks every second and takes a router out after two misses; it
-# may open connections until then.
+# The balancer checks every second and removes a router after two failures;
+# it may open connections until then.
 ROTATION_SECONDS = 2.5
-# How long a router that starts waits for what the others do and know. It is
-# there 50 ms after the first link to a keeper; without, prompts would go
-# where they have to be read again.
-HEAR_SECONDS = 3.0
-# Idle connections to one target: more than a router has requests there at
-# most times, and with all routers' together half of what a target accepts.
-KEPT_MOST = 8
-KEPT_SHARE = 0.5
-# Kept of the time before the process is killed, to end in good order; the
-# listener's end takes a fifth of it.
-END_SECONDS = 0.5
-# Kept of that for the end of the process itself, on half of a core.
-LAST_SECONDS = 0.4
-FORGET_EVERY_SECONDS = 5.0
+# How long a starting router waits for the load and cache reports of the
+# others. Without them, prompts miss the targets' prefix caches.
+MAX_REPORT_WAIT_SECONDS = 3.0
+# Idle connections kept to one target, and the share of a target's connection
+# limit that all routers together may keep idle.
+MAX_IDLE_CONNECTIONS = 8
+IDLE_SHARE = 0.5
+# Part of the grace period reserved for closing the listener and requests.
+CLOSE_SECONDS = 0.5
+# Part of CLOSE_SECONDS reserved for the exit of the process.
+EXIT_SECONDS = 0.4
+FORGET_SECONDS = 5.0
 
 
 @dataclasses.dataclass
 class RouterConfig:
-    """Where and how a router runs.
+    """Configuration of a router.
 
     Attributes
     ----------
     callers, health, metrics : str
         ``host:port`` of its listeners.
     keepers : list of str
-        Addresses of keepers to begin with.
+        Seed addresses of keepers.
     key_lease : float
-        Seconds within which a withdrawn key must stop to work; 0 if that
-        is not asked for.
+        Seconds within which a withdrawn key must stop working; 0 disables
+        the lease.
     grace : float
-        Seconds that a planned stop may take.
+        Seconds that a graceful stop may take.
     """
 
     name: str
@@ -86,36 +83,36 @@
 
 
 class PlanRouter:
-    """The parts of a router that forwards by a plan.
+    """Components of a router that forwards requests by a plan.
 
     Parameters
     ----------
     decode : callable
-        Returns the plan in a document.
+        Decodes a plan document.
     """
 
     def __init__(
         self,
-        place: RouterConfig,
+        config: RouterConfig,
         keys: links.Keys,
         dialect: records.Dialect,
         decode: t.Callable[[bytes], routing.Plan],
     ):
-        self.config = place
+        self.config = config
         self.decode = decode
         self.metrics = metrics_module.Metrics()
         self.table: routing.RouteTable | None = None
         identity = links.Identity(
-            place.name,
+            config.name,
             messages.ROUTER_ROLE,
-            place.data_centre,
+            config.data_centre,
             time.time_ns(),
         )
         self.subscriber = subscribers.Subscriber(
             identity, keys, self.take_plan
         )
         self.placer = placement.Placer(
-            self.subscriber.table, place.data_centre
+            self.subscriber.table, config.data_centre
         )
         self.reporter = reporting.Reporter(
             self.subscriber.handlers,
@@ -130,14 +127,14 @@
             self.placer,
             functools.partial(
                 budgets.WindowBudget,
-                place.retry_ratio,
-                place.retry_allowance,
-                place.retry_window,
+                config.retry_ratio,
+                config.retry_allowance,
+                config.retry_window,
                 time.monotonic,
             ),
             lambda: self.subscriber.routers,
             self.metrics,
-            pool.Pool(self.kept_most),
+            pool.Pool(self.max_idle_connections),
             startup.StartupGate(
                 self.metrics,
                 self.subscriber.first_confirmed,
@@ -150,31 +147,32 @@
         self.tasks: list[asyncio.Task] = []
 
     def bounds(self) -> routing.Bounds:
-        """Return the bounds on what callers may send."""
+        """Return the limits on callers' requests."""
         return self.table.plan.bounds if self.table else routing.Bounds()
 
-    def kept_most(self) -> int:
-        """Return how many connections to one target may idle.
+    def max_idle_connections(self) -> int:
+        """Return how many idle connections to one target are kept.
 
-        All routers' together must leave room for those in use.
+        The idle connections of all routers must leave capacity for those
+        in use.
         """
         services = self.table.services.values() if self.table else ()
         bounds = [one.connections_most for one in services]
-        most = min([b for b in bounds if b], default=KEPT_MOST)
-        shared = int(most * KEPT_SHARE / self.subscriber.routers)
-        return max(1, min(KEPT_MOST, shared))
+        limit = min([b for b in bounds if b], default=MAX_IDLE_CONNECTIONS)
+        shared = int(limit * IDLE_SHARE / self.subscriber.routers)
+        return max(1, min(MAX_IDLE_CONNECTIONS, shared))
 
     def take_plan(self, document: bytes) -> None:
-        """Put the plan in `document` in force."""
+        """Activate the plan in `document`."""
         self.table = routing.RouteTable(self.decode(document))
 
     def may_admit(self) -> bool:
-        """Return whether the keys of the plan may be trusted."""
+        """Return whether the plan's keys are still valid under the lease."""
         lease = self.config.key_lease
         return not lease or self.subscriber.is_fresh(lease * LEASE_SHARE)
 
     def not_ready_reason(self) -> str:
-        """Return why the balancer should not send callers, or nothing."""
+        """Return why the health check fails, or an empty string."""
         if self.stopping:
             return "stopping"
         if self.table is None:
@@ -182,25 +180,25 @@
         if not self.may_admit():
             return "no keeper confirms the plan"
         waited = time.monotonic() - self.started_at
-        if not self.reporter.has_heard and waited < HEAR_SECONDS:
+        if not self.reporter.has_heard and waited < MAX_REPORT_WAIT_SECONDS:
             return "no word of the other routers yet"
         return ""
 
     def start(self) -> None:
-        """Listen and link to the keepers."""
+        """Open the listeners and connect to the keepers."""
         self.front.listen(listeners.listening(self.config.callers))
         endpoints.serve(self.config.health, self._health)
         endpoints.serve(self.config.metrics, endpoints.figures(self.metrics))
         self.subscriber.use_seeds(self.config.keepers)
         for work in (
-            self._forget(),
+            self._forget_gone_targets(),
             self.reporter.run(),
             self.relay.connections.run(),
         ):
             self.tasks.append(asyncio.ensure_future(work))
 
     def use_seeds(self, addresses: list[str]) -> None:
-        """Take the keepers that the settings name now."""
+        """Update the seed addresses of the keepers."""
         self.subscriber.use_seeds(addresses)
 
     async def _health(self, _call: endpoints.Call) -> endpoints.Result:
@@ -208,25 +206,25 @@
         body = json.dumps({"ready": not reason, "reason": reason}).encode()
         return endpoints.Result(503 if reason else 200, body)
 
-    async def _forget(self) -> None:
+    async def _forget_gone_targets(self) -> None:
         while True:
-            await asyncio.sleep(FORGET_EVERY_SECONDS)
+            await asyncio.sleep(FORGET_SECONDS)
             self.placer.prune()
 
     async def stop(self) -> None:
-        """End in good order: no new callers, then all requests ended.
+        """Shut down gracefully within the grace period.
 
-        Callers whom the balancer still sends are served until the end, or
-        refused once they may take longer.
+        Requests that still arrive are served; those that could exceed the
+        grace period are refused.
         """
-        killed_at = time.monotonic() + self.config.grace
+        deadline = time.monotonic() + self.config.grace
         self.stopping = True
         self.front.closing = True
         await asyncio.sleep(ROTATION_SECONDS)
-        self.front.shutdown_at = killed_at - END_SECONDS
-        await self.front.drain(killed_at - END_SECONDS)
+        self.front.shutdown_at = deadline - CLOSE_SECONDS
+        await self.front.drain(deadline - CLOSE_SECONDS)
         await self.front.listener.close()
-        await self.front.drain(killed_at - LAST_SECONDS)
+        await self.front.drain(deadline - EXIT_SECONDS)
         if self.front.in_flight:
             logs.event(log, "router.cut-off", running=self.front.in_flight)
         self.subscriber.stop()
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -1,4 +1,4 @@
-"""Wiring of a router, part of the composition root."""
+"""Wires the components of a router; part of the composition root."""
 
 import asyncio
 import dataclasses
@@ -41,33 +41,32 @@
 from amaranthring.targets import announce
 from amaranthring.targets import table
 
-# Rides over an election; a longer wait would only keep the caller waiting.
+# Long enough to survive a leader election.
 CLAIM_SECONDS = 2.5
-# A claim is held past the caller's deadline by what settling may take.
+# A claim outlives the caller's deadline by the time that settling may take.
 CLAIM_GRACE_SECONDS = 15.0
 QUARANTINE_SECONDS = 24 * 3600.0
 REVISION_FILE = "revision"
 EXPLAINED_CANDIDATES = 8
-# Callers who keep a connection open without using it read in this time that
-# it has closed.
-END_SECONDS = 2.0
+# Time for callers with idle connections to notice that they are closed.
+CLOSE_SECONDS = 2.0
 
 log = logbook.Logger(__name__)
 
 
 class Router:
-    """All parts of one router.
+    """All components of one router.
 
     Attributes
     ----------
     needs : way.Needs
-        What the request's way was given.
+        Dependencies of the request pipeline.
     drain : drain.Drain
-        Requests of callers in progress.
-    operated : drain.Drain
-        Requests of operators in progress.
+        Callers' requests in progress.
+    operator_drain : drain.Drain
+        Operators' requests in progress.
     stopping : bool
-        Whether the health check fails for a shutdown.
+        Whether the health check fails because of a shutdown.
     """
 
     def __init__(
@@ -86,8 +85,8 @@
         self.keys = links.Keys(settings_module.keys(section.keys_file))
         self.handlers = links.Handlers()
         self._make_mesh()
-        self._make_decisions()
-        self.needs = self._needs()
+        self._make_admission()
+        self.needs = self._make_needs()
 
     # -- wiring --
 
@@ -110,11 +109,11 @@
         self.keepers = keeper_client.KeeperClient(
             settings.fleet.group, settings.keepers(), self.identity, self.keys
         )
-        place = settings.process.data_centre
+        data_centre = settings.process.data_centre
         folder = settings.process.data_folder
         self.revisions = revisions.Revisions(
             self.name,
-            place,
+            data_centre,
             self.keepers.query,
             self.mesh,
             self.handlers,
@@ -122,11 +121,11 @@
             [
                 peer.name
                 for peer in settings.routers()
-                if peer.data_centre == place and peer.name != self.name
+                if peer.data_centre == data_centre and peer.name != self.name
             ],
             os.path.join(folder, REVISION_FILE) if folder else "",
         )
-        self.table = table.TargetTable(place, self.config, self.metrics)
+        self.table = table.TargetTable(data_centre, self.config, self.metrics)
         self.target_sync = target_sync.TargetSync(
             self.mesh, self.table, self.metrics
         )
@@ -135,7 +134,7 @@
         )
         self.table.subscribe(self._target_changed)
         self.target_reporter = target_reports.TargetReporter(
-            place,
+            data_centre,
             self.keepers.query,
             lambda: self.revisions.is_relay,
             self._ready_targets,
@@ -143,7 +142,7 @@
             lambda: self.keepers.leader,
         )
 
-    def _make_decisions(self) -> None:
+    def _make_admission(self) -> None:
         process = self.settings.process
         self.regions = regions.Regions(
             process.region, self.mesh, self.table.targets
@@ -186,7 +185,7 @@
             lambda: len(self.settings.routers()),
             self.metrics,
         )
-        self.budget = retries.RetryBudget(
+        self.retry_budget = retries.RetryBudget(
             lambda: self.config().preset.retry_budget, time.monotonic
         )
         self.explainer = explainer.Explainer(
@@ -197,7 +196,7 @@
             self.mesh,
             lambda attempt: attempt in self.needs.settlements.pending,
         )
-        for part in (
+        for component in (
             self.attempts,
             self.suspicion,
             self.directory,
@@ -206,9 +205,9 @@
             self.limits,
             self.explainer,
         ):
-            part.add_handlers(self.handlers)
+            component.add_handlers(self.handlers)
 
-    def _needs(self) -> way.Needs:
+    def _make_needs(self) -> way.Needs:
         return way.Needs(
             router=self.name,
             keys=self._resume_keys(),
@@ -220,8 +219,8 @@
             settle=self._settle,
             is_quarantined=self.suspicion.is_quarantined,
             report_crash=self.suspicion.report_crash,
-            may_retry=self.budget.may_retry,
-            succeeded=self.budget.record_success,
+            may_retry=self.retry_budget.may_retry,
+            succeeded=self.retry_budget.record_success,
             when_lost=self.table.when_lost,
             note=self.decisions.note,
             target=self.table.get,
@@ -237,24 +236,24 @@
         return links.Keys(settings_module.keys(path)) if path else self.keys
 
     def config(self):
-        """Return the revision in force on this router."""
+        """Return the active configuration revision of this router."""
         return self.revisions.current
 
-    # -- what the parts are handed --
+    # -- callbacks of the components --
 
     async def _admit(
         self, request: records.Request, excluded: set[str]
     ) -> records.Grant:
-        """Admit, and keep for ``explain`` what it was decided on."""
-        near = self.table.eligible(request.kind, request.serves)
+        """Admit a request and record the inputs for ``explain``."""
+        eligible = self.table.eligible(request.kind, request.serves)
         loads = {}
-        for target in near[:EXPLAINED_CANDIDATES]:
+        for target in eligible[:EXPLAINED_CANDIDATES]:
             report = self.table.report(target.name)
             loads[target.name] = report.running if report else None
         self.decisions.note(
             request.request_id,
             "candidates",
-            eligible=len(near),
+            eligible=len(eligible),
             reported=loads,
             excluded=sorted(excluded),
             revision=self.config().revision,
@@ -379,17 +378,17 @@
         return {"keepers": found}
 
     def not_ready_reason(self) -> str:
-        """Return why the balancer should leave this router out, or empty."""
+        """Return why the health check fails, or an empty string."""
         if self.stopping:
             return "stopping"
         if not self.revisions.ready:
             return "no revision confirmed yet"
         return self.readiness.missing()
 
-    # -- life --
+    # -- start and shutdown --
 
     def start(self, sockets: list) -> None:
-        """Serve the fleet's streams on `sockets` and start every task."""
+        """Serve fleet links on `sockets` and start all tasks."""
         self.server.add_sockets(sockets)
         self.mesh.start()
         self.table.start()
@@ -410,12 +409,11 @@
     async def shut_down(
         self, callers: listeners.Listener, internal: listeners.Listener
     ) -> None:
-        """End gracefully: no request in progress is cut off.
+        """Shut down gracefully, without cutting off requests in progress.
 
-        The health check fails first, so that the balancer leaves this
-        router out; those whom a late balancer still sends are served. Then
-        owners and shards move to other routers; then what runs ends; then
-        the process may.
+        The health check fails first, so that the balancer removes this
+        router; requests that still arrive are served. Then cells and shards
+        move to other routers and the remaining requests complete.
         """
         self.stopping = True
         bounds = self.settings.callers
@@ -430,7 +428,7 @@
         self.owners.hand_over()
         self.directory.hand_over()
         await self.drain.wait_idle(bounds.shutdown_seconds)
-        await callers.server.waiting.end(time.monotonic() + END_SECONDS)
+        await callers.server.waiting.end(time.monotonic() + CLOSE_SECONDS)
         await internal.close()
         await self.operator_drain.wait_idle(operators_base.COMMAND_SECONDS)
         self.needs.settlements.stop()
