--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Routers that spread targets and each other, under cuts and losses."""
+"""Membership and target sync between routers, with cuts and lost messages."""
 
 import asyncio
 import unittest
@@ -11,14 +11,14 @@
 
 
 class FleetCase(unittest.IsolatedAsyncioTestCase):
-    """Members over loopback; the data centres are set by the class."""
+    """Members over loopback; a subclass sets the data centres."""
 
-    places = ["dc1", "dc1", "dc1"]
+    data_centres = ["dc1", "dc1", "dc1"]
 
     async def asyncSetUp(self):
-        self.fleet = members.Fleet(self.places)
+        self.fleet = members.Fleet(self.data_centres)
         await self.fleet.start()
-        count = len(self.places)
+        count = len(self.data_centres)
         await members.until(
             lambda: all(len(m.mesh.live()) == count for m in self.all)
         )
@@ -39,8 +39,8 @@
         )
 
 
-class TestSpread(FleetCase):
-    """Inside one data centre."""
+class TestTargetSync(FleetCase):
+    """Target sync inside one data centre."""
 
     async def test_targets_reach_every_router_with_their_reports(self):
         self.fleet.renew(members.target("e1", "dc1"), [0])
@@ -59,11 +59,11 @@
         self.assertLess(took, 1.0)
         self.assertEqual(self.all[2].table.state("e1"), "leaving")
 
-    async def test_router_that_no_message_reaches_stops_within_the_bound(self):
-        """A caller's request goes to an engine that left 3 s ago.
+    async def test_isolated_router_drops_a_leaving_engine_in_time(self):
+        """A router that is cut off must not use an engine that left 3 s ago.
 
-        The engine tells r0 that it leaves; r2 is cut off from every router
-        and hears neither that nor any renewal. Its list must age.
+        r0 learns of the leave; r2 receives neither it nor any heartbeat, so
+        its entry must expire.
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
@@ -73,11 +73,10 @@
         await asyncio.sleep(3.0)
         self.assertEqual(self.all[2].eligible(), [])
 
-    async def test_leave_lost_on_one_link_comes_round_another(self):
-        """r1 gives work to an engine that left, as r0's word never came.
+    async def test_leave_lost_on_one_link_arrives_through_another(self):
+        """A leave lost from r0 to r1 must reach r1 through r2.
 
-        The link r0 to r1 loses everything; r2 hears of the leave, and its
-        digest shows r1 that a record differs.
+        r2's digest shows r1 that a record differs.
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
@@ -88,7 +87,7 @@
         )
 
     async def test_lost_batches_are_repaired_by_digests(self):
-        """Every message that names the leave is lost, repeats included."""
+        """Every batch with the leave is lost, including the repeats."""
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         mesh = self.all[0].mesh
@@ -109,11 +108,11 @@
             3.0,
         )
 
-    async def test_lists_that_differ_converge(self):
-        """A cut that ends must not leave routers with different engines.
+    async def test_tables_converge_after_a_partition(self):
+        """Routers must agree on the engines after a partition heals.
 
-        Every router is alone. r2 gives e1 up, which goes on renewing at
-        r0, while r1 alone learns of e2.
+        Every router is isolated. r2 loses e1, which still renews at r0, and
+        only r1 learns of e2.
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
@@ -133,11 +132,10 @@
             lambda: len({m.table.digests["dc1"] for m in self.all}) == 1
         )
 
-    async def test_target_that_moves_is_told_of_at_once(self):
-        """An engine gets no work for a second though it never stopped.
+    async def test_moved_target_is_announced_at_once(self):
+        """An engine that renews at another router must stay eligible.
 
-        Its router died; it renewed at the next one, whose batch is sent
-        only once a second.
+        Waiting for that router's next batch would make it stale elsewhere.
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
@@ -148,10 +146,10 @@
         self.all[2].table.renew("e1", 1)
         await self.until_eligible(["e1"], [0, 1])
 
-    async def test_fault_of_a_subscriber_does_not_end_the_leases(self):
-        """A dead engine is never given up, and its requests hang.
+    async def test_subscriber_exception_does_not_end_expiry(self):
+        """An exception in a subscriber must not end the expiry task.
 
-        Some subscriber failed once, and with it the task that watches.
+        Otherwise a dead engine is never detected and its requests hang.
         """
 
         def fail(name):
@@ -171,9 +169,9 @@
 
 
 class TestMesh(FleetCase):
-    """Live list, calls, leaving and frozen peers."""
+    """Live list, calls, leaving routers and frozen peers."""
 
-    async def test_router_that_leaves_is_gone_before_it_ends(self):
+    async def test_leaving_router_is_removed_before_it_stops(self):
         changes = []
         self.all[1].mesh.subscribe(lambda: changes.append(1))
         self.all[0].mesh.leave()
@@ -183,7 +181,7 @@
         self.assertTrue(changes)
         self.assertIsNotNone(self.all[1].mesh.peers["r0"].link)
 
-    async def test_restarted_router_comes_back_under_its_name(self):
+    async def test_restarted_router_rejoins(self):
         self.all[1].mesh.leave()
         await members.until(lambda: "r1" not in self.all[0].mesh.live())
         self.fleet.restart(1)
@@ -191,7 +189,7 @@
             lambda: all(len(m.mesh.live()) == 3 for m in self.all)
         )
 
-    async def test_killed_router_is_gone_at_once(self):
+    async def test_killed_router_is_removed_at_once(self):
         self.all[1].stop()
         others = [self.all[0], self.all[2]]
         took = await members.until(
@@ -199,10 +197,10 @@
         )
         self.assertLess(took, 2.0)
 
-    async def test_frozen_router_is_given_up_and_holds_up_nobody(self):
+    async def test_frozen_router_is_dropped_without_delaying_others(self):
         """A frozen peer keeps its connections open but reads nothing.
 
-        What is sent to it must not pile up, and the others get theirs.
+        It must be dropped without delaying messages to the others.
         """
         self.fleet.near[1].cut()
         await members.until(
@@ -215,12 +213,12 @@
         await members.until(lambda: len(self.all[0].mesh.live()) == 3)
         await self.until_eligible(["e1"])
 
-    async def test_one_way_cut_is_noticed_by_both(self):
+    async def test_one_way_cut_is_detected_on_both_sides(self):
         self.fleet.near[1].cut(to_target=True, to_client=False)
         await members.until(lambda: "r0" not in self.all[1].mesh.live())
         await members.until(lambda: "r1" not in self.all[0].mesh.live())
 
-    async def test_calls_to_itself_and_to_strangers(self):
+    async def test_calls_to_itself_and_to_unknown_routers(self):
         pull = target_sync_messages.Pull("dc1", [])
         answer = await self.all[0].mesh.call("r0", pull, 1)
         self.assertEqual(answer.routers, ["r0", "r1", "r2"])
@@ -229,11 +227,11 @@
 
 
 class TestDataCentres(FleetCase):
-    """Two data centres of three routers, through relays."""
+    """Two data centres of three routers, linked by relays."""
 
-    places = ["dc1", "dc1", "dc1", "dc2", "dc2", "dc2"]
+    data_centres = ["dc1", "dc1", "dc1", "dc2", "dc2", "dc2"]
 
-    async def test_targets_cross_and_leave_within_the_bound(self):
+    async def test_targets_reach_both_data_centres_and_leave_in_time(self):
         self.fleet.renew(members.target("e1", "dc1"), [0])
         self.fleet.renew(members.target("e2", "dc2"), [4])
         await self.until_eligible(["e1", "e2"])
@@ -242,11 +240,11 @@
         await self.until_eligible(["e2"])
         self.assertEqual(self.all[5].table.state("e1"), "leaving")
 
-    async def test_cut_off_data_centre_serves_its_own(self):
-        """The data centres lose each other for a while, and differ after.
+    async def test_partitioned_data_centre_serves_from_its_engines(self):
+        """Two partitioned data centres serve from their own engines only.
 
-        Each goes on with its own engines and does not use the other's;
-        those are stale, not lost. During the cut e1 leaves and e3 comes.
+        The engines of the other are suspended, not lost. During the cut e1
+        leaves and e3 joins; the tables must converge afterwards.
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         self.fleet.renew(members.target("e2", "dc2"), [4])
@@ -269,7 +267,7 @@
         )
 
     async def test_dead_relay_is_replaced(self):
-        """The relay that passes digests on is killed."""
+        """The relay that forwards digests is killed."""
         self.fleet.renew(members.target("e2", "dc2"), [4])
         await self.until_eligible(["e2"])
         first = self.all[0].mesh.ordered_relays("dc2")[0]
@@ -280,11 +278,11 @@
         await self.until_eligible(["e2", "e4"], rest)
         await members.until(lambda: first not in self.all[5].mesh.live("dc1"))
 
-    async def test_second_relay_speaks_when_the_first_is_cut(self):
-        """dc1 holds every engine of dc2 for stale though dc2 is well.
+    async def test_second_relay_forwards_when_the_first_is_cut(self):
+        """The first relay is alive but receives no remote digests.
 
-        The relay whose part it is to pass digests on lives, but its own
-        links across are gone; the second relay still hears dc2.
+        The second relay must forward them, or dc1 takes all engines of dc2
+        for stale.
         """
         self.fleet.renew(members.target("e2", "dc2"), [4])
         await self.until_eligible(["e2"])
@@ -294,17 +292,16 @@
         await asyncio.sleep(3.0)
         await self.until_eligible(["e2"])
 
-    async def test_call_across_dials_where_no_link_is(self):
+    async def test_call_to_another_data_centre_dials_on_demand(self):
         pull = target_sync_messages.Pull("dc2", [])
         for name in ("r3", "r4", "r5"):
             answer = await self.all[0].mesh.call(name, pull, 5)
             self.assertEqual(answer.routers, ["r3", "r4", "r5"])
 
-    async def test_routers_that_are_relays_no_more_fall_silent(self):
-        """Control traffic stays high for ever after a relay came back.
+    async def test_former_relays_stop_exchanging_digests(self):
+        """Former relays must not keep answering each other's digests.
 
-        Its stand-ins answer each other's digests, each taking the other's
-        for a sign that it is a relay.
+        Otherwise control traffic stays high after a relay has come back.
         """
         here = self.all[0].mesh.ordered_relays("dc2")
         there = self.all[3].mesh.ordered_relays("dc1")
@@ -316,11 +313,10 @@
         await asyncio.sleep(0.2)
         self.assertNotIn(one.name, other.target_sync.remote_links())
 
-    async def test_routers_that_dial_each_other_keep_one_link(self):
-        """Links across flap for ever and calls over them fail at random.
+    async def test_simultaneous_dials_keep_one_link(self):
+        """Routers that dial each other at once must agree on one link.
 
-        Two routers of different data centres call each other at the same
-        moment; each then has a link that it dialled and one that it took.
+        Otherwise they keep closing each other's link, and calls fail.
         """
         pairs = [(a, b) for a in (0, 1, 2) for b in (3, 4, 5)]
         for low, high in pairs:
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -1,4 +1,4 @@
-"""Owners that freeze, die, leave or disagree; messages that are lost."""
+"""Admission when owners freeze, die or disagree, or messages are lost."""
 
 import asyncio
 import unittest
@@ -9,8 +9,8 @@
 from amaranthring.testing import assembled
 
 
-async def no_time(_seconds):
-    """Pass no time while a call goes unanswered."""
+async def skip_timeout(_seconds):
+    """Skip the timeout of an unanswered call."""
 
 
 class TestOwnerChanges(unittest.IsolatedAsyncioTestCase):
@@ -18,7 +18,7 @@
 
     def setUp(self):
         self.fleet = assembled.Routers(4, 4, capacity=2)
-        self.fleet.net.pause = no_time
+        self.fleet.net.pause = skip_timeout
 
     def other(self):
         owner = self.fleet.owner()
@@ -29,8 +29,7 @@
             await self.fleet.admit(number, router, chat=str(number))
 
     async def test_frozen_owner_costs_one_timeout(self):
-        # Every request through a router waited for the timeout of a frozen
-        # owner, until the mesh gave the owner up seconds later.
+        # Only the first request may wait for a frozen owner's timeout.
         await self.fill(1)
         at = self.other()
         self.fleet.net.frozen.add(self.fleet.owner().name)
@@ -39,8 +38,8 @@
         silent = at.placer.metrics.counters["placing.owner-silent"]
         self.assertEqual(silent, 1)
 
-    async def test_deputy_of_a_frozen_owner_keeps_the_capacity(self):
-        # The deputy did not know what ran and filled full engines again.
+    async def test_deputy_of_a_frozen_owner_respects_capacity(self):
+        # A deputy that does not know the held grants would overload engines.
         await self.fill(1)
         at = self.other().name
         await self.fill(7, at)
@@ -51,8 +50,8 @@
         self.assertLessEqual(max(self.fleet.running().values()), 2)
         full.cancel()
 
-    async def test_waiting_request_asks_again_when_its_owner_dies(self):
-        # A caller waited at an owner that died, and nobody ever answered.
+    async def test_queued_request_is_repeated_when_its_owner_dies(self):
+        # A request queued at an owner that dies must be asked again.
         await self.fill(1)
         await self.fill(7, self.other().name)
         owner = self.fleet.owner()
@@ -65,9 +64,8 @@
             self.fleet.release(grant)
         self.assertIsNotNone(await asyncio.wait_for(waits, 5))
 
-    async def test_lost_release_is_healed(self):
-        # An engine looked busy for ever: the message that gave its grant
-        # back was lost with a broken link.
+    async def test_lost_release_is_repaired(self):
+        # A lost release must not keep an engine's capacity in use.
         await self.fill(4)
         self.fleet.net.lose = lambda *_: True
         for _, grant in list(self.fleet.grants.values()):
@@ -78,8 +76,8 @@
         self.assertEqual(self.fleet.counted(), 0)
 
     async def test_lost_grant_message_is_repeated(self):
-        # A request waited until its deadline although its turn had come:
-        # the owner's word was lost.
+        # A lost grant message must not leave the request queued until its
+        # deadline.
         await self.fill(1)
         at = self.other()
         await self.fill(7, at.name)
@@ -93,7 +91,7 @@
         self.fleet.renew()
         self.assertIsNotNone(await asyncio.wait_for(waits, 5))
 
-    async def test_dead_entry_router_frees_its_room_by_lease(self):
+    async def test_leases_of_a_dead_entry_router_expire(self):
         await self.fill(1)
         at = self.other()
         await self.fill(7, at.name)
@@ -102,7 +100,7 @@
         self.assertEqual(len(self.fleet.owner().owners.cells), 1)
         self.assertEqual(self.fleet.counted(), 0)
 
-    async def test_owner_that_leaves_hands_its_counts_over(self):
+    async def test_leaving_owner_transfers_its_counts(self):
         await self.fill(8)
         owner = self.fleet.owner()
         self.fleet.leave(owner.name)
@@ -112,7 +110,7 @@
             self.fleet.release(grant)
         self.assertEqual(self.fleet.counted(), 0)
 
-    async def test_caller_that_leaves_frees_its_place_in_the_queue(self):
+    async def test_cancelled_caller_leaves_the_queue(self):
         await self.fill(8)
         waits = asyncio.ensure_future(self.fleet.admit(9, chat="w"))
         await asyncio.sleep(0.01)
@@ -121,7 +119,7 @@
         cell = next(iter(self.fleet.owner().owners.cells.values()))
         self.assertEqual(len(cell.queue), 0)
 
-    async def test_deadline_ends_the_waiting(self):
+    async def test_deadline_ends_queueing(self):
         await self.fill(8)
         soon = self.fleet.clock.now + 0.05
         with self.assertRaises(errors.DeadlineError) as caught:
@@ -130,7 +128,7 @@
         self.assertIsNotNone(caught.exception.retry_after)
 
     async def test_drained_target_gets_no_new_work(self):
-        # An operator drained an engine and it went on getting requests.
+        # An engine drained by an operator must not get new requests.
         await self.fill(1)
         self.fleet.config.drained["e0"] = "maintenance"
         for router in self.fleet.live():
@@ -140,32 +138,31 @@
 
 
 class TestDataCentres(unittest.IsolatedAsyncioTestCase):
-    """Two data centres with twenty engines each: cells of their own."""
+    """Two data centres with twenty engines each, in separate cells."""
 
     def setUp(self):
         self.fleet = assembled.Routers(
             4, 40, data_centres=("dc1", "dc2"), capacity=1
         )
-        self.fleet.net.pause = no_time
+        self.fleet.net.pause = skip_timeout
 
-    def place(self, grant):
+    def data_centre(self, grant):
         return grant.target.data_centre
 
     async def test_requests_stay_in_their_data_centre(self):
         grant = await self.fleet.admit(0, "r0", chat="c")
-        self.assertEqual(self.place(grant), "dc1")
+        self.assertEqual(self.data_centre(grant), "dc1")
 
     async def test_full_data_centre_spills(self):
-        places = []
+        data_centres = []
         for number in range(30):
             self.fleet.digest()
             grant = await self.fleet.admit(number, "r0", chat=str(number))
-            places.append(self.place(grant))
-        self.assertEqual(places.count("dc1"), 20)
+            data_centres.append(self.data_centre(grant))
+        self.assertEqual(data_centres.count("dc1"), 20)
 
-    async def test_cut_off_data_centre_serves_what_it_can(self):
-        # The link between two data centres broke, and callers of either
-        # were refused although engines beside them were free.
+    async def test_partitioned_data_centre_serves_from_its_engines(self):
+        # Partitioned data centres must serve from their own free engines.
         names = ["r0", "r1", "r2", "r3"]
         sides = {"r0": 0, "r2": 0, "r1": 1, "r3": 1}
         self.fleet.net.cut = {
@@ -179,10 +176,10 @@
             for number in range(5):
                 grant = await self.fleet.admit(number, router, chat="c")
                 here = self.fleet.net.data_centres[router]
-                self.assertEqual(self.place(grant), here)
+                self.assertEqual(self.data_centre(grant), here)
 
-    async def test_no_owner_in_reach_leaves_local_estimates(self):
-        # Every link of a router broke; its callers were refused.
+    async def test_unreachable_owners_fall_back_to_local_estimates(self):
+        # A router without any link must serve from local estimates.
         at = self.fleet.by_name["r0"]
         names = ["r1", "r2", "r3"]
         self.fleet.net.cut = {("r0", n) for n in names}
@@ -197,10 +194,10 @@
     """Six routers, five engines with three requests each."""
 
     async def test_deputy_knows_what_all_routers_hold(self):
-        # The owner froze. The deputy knew only what its first asker held,
-        # and put a fourth request where three was the bound.
+        # A deputy that knows only the grants of the first router that asks
+        # would exceed the bound.
         fleet = assembled.Routers(6, 5)
-        fleet.net.pause = no_time
+        fleet.net.pause = skip_timeout
         for number in range(15):
             await fleet.admit(number, chat=str(number))
         owner = fleet.owner().name
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -1,4 +1,4 @@
-"""A request's place: entry router, owner and directory together."""
+"""Placement of requests by entry router, owner and directory."""
 
 import asyncio
 import unittest
@@ -8,7 +8,7 @@
 
 
 class TestPlacing(unittest.IsolatedAsyncioTestCase):
-    """Three routers in one data centre and their engines."""
+    """Three routers and five engines in one data centre."""
 
     def setUp(self):
         self.fleet = assembled.Routers(routers=3, engines=5)
@@ -20,14 +20,14 @@
             self.fleet.release(grant)
         self.assertEqual(self.fleet.counted(), 0)
 
-    async def test_chat_returns_to_its_place_through_another_router(self):
+    async def test_chat_returns_to_its_target_through_another_router(self):
         first = await self.fleet.admit(0, chat="c")
         self.fleet.release(first)
         again = await self.fleet.admit(1, chat="c")
         self.assertTrue(again.remembered)
         self.assertEqual(again.target, first.target)
 
-    async def test_leaving_target_gets_nothing_and_gives_its_cache(self):
+    async def test_leaving_target_gets_no_requests_and_exports_its_cache(self):
         first = await self.fleet.admit(0, chat="c")
         self.fleet.release(first)
         self.fleet.set_state(first.target.name, records.TargetState.LEAVING)
@@ -37,15 +37,14 @@
 
 
 class TestSeveralCells(unittest.IsolatedAsyncioTestCase):
-    """Twenty engines of one data centre, which form two cells."""
+    """Twenty engines of one data centre, in two cells."""
 
     def setUp(self):
         self.fleet = assembled.Routers(routers=3, engines=20)
 
-    async def test_nobody_waits_beside_free_engines(self):
-        # Requests waited until their deadline on an idle fleet. Their cell
-        # stood at the bound of a mean that a sibling's older, lower count
-        # pulled down, and the sibling stood there too.
+    async def test_no_request_queues_while_engines_are_free(self):
+        # A sibling's outdated digest lowers the mean; requests must not be
+        # queued at that bound while engines are free.
         for number in range(60):
             if number % 20 == 0:
                 self.fleet.digest()
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -1,4 +1,4 @@
-"""Spread of revisions over routers of a fake fleet."""
+"""Distribution of revisions to the routers of a fake fleet."""
 
 import os
 import pathlib
@@ -63,13 +63,13 @@
             await made.stop()
 
 
-def flipped(data, place=0.5):
+def flip_bit(data, place=0.5):
     at = int(len(data) * place)
     return data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
 
 
-def flipped_in_the_journal(data):
-    return flipped(data, 0.99)
+def flip_late_bit(data):
+    return flip_bit(data, 0.99)
 
 
 def read(path):
@@ -81,7 +81,7 @@
 
 
 class TestRevisions(unittest.IsolatedAsyncioTestCase):
-    """Routers beside keepers that answer, or not."""
+    """Routers with reachable and unreachable keepers."""
 
     async def asyncSetUp(self):
         self.fleet = Fleet()
@@ -100,7 +100,7 @@
     async def asyncTearDown(self):
         await self.fleet.stop()
 
-    async def test_every_change_is_in_force_everywhere_and_only_upward(self):
+    async def test_every_change_is_applied_everywhere_in_order(self):
         for name in self.fleet.names:
             self.fleet.start(name)
         await state.until(lambda: all(m.ready for m in self.made()))
@@ -119,9 +119,8 @@
     def made(self):
         return self.fleet.made.values()
 
-    async def test_lost_message_is_made_good(self):
-        # A relay's message to its data centre is lost. The router that
-        # missed it compares numbers within a second and asks for the rest.
+    async def test_lost_broadcast_is_repaired(self):
+        # A relay's broadcast is lost. Comparing revisions must repair it.
         meshes = [self.fleet.start(name)[1] for name in self.fleet.names]
         await state.until(lambda: all(m.ready for m in self.made()))
         for mesh in meshes:
@@ -134,9 +133,9 @@
         self.assertGreater(pulled, 0)
 
     async def test_cut_off_start_takes_the_highest_of_its_data_centre(self):
-        # a2 lost the keepers at revision 1 and a3 at revision 2. Then a1
-        # starts, cut off too, with revision 1 on its disk. Taking its own
-        # file or the first answer would put an older preset in force.
+        # a2 holds revision 1, a3 revision 2, and a1 starts cut off with
+        # revision 1 on disk. Taking its file or the first reply would
+        # activate an older preset.
         await self.write_file()
         group = state.FakeGroup(self.fleet.group.machine)
         self.fleet.start("a2", group=group)
@@ -166,9 +165,9 @@
         metrics = self.fleet.made[name].metrics
         return metrics.counters["revisions.keepers-unreachable"]
 
-    async def test_own_file_alone_does_not_make_ready_beside_neighbours(self):
-        # The router was down while its neighbours took a change. Cut off
-        # from all of them it must not serve under what its disk holds.
+    async def test_own_file_is_not_enough_with_neighbours(self):
+        # The neighbours may have taken a change while the router was down;
+        # cut off from them it must not serve from its own file.
         await self.write_file()
         self.fleet.group.cut = True
         made, _ = self.fleet.start("a1", path=self.path)
@@ -190,10 +189,9 @@
         self.fleet.routers.clear()
         self.fleet.made.clear()
 
-    async def test_data_centre_that_restarts_whole_while_cut_off(self):
-        # Both routers stop, a2 later than a1 and with a newer file; both
-        # start again without keepers. Each has only its file and the
-        # other, and both must go on under the newer revision.
+    async def test_cut_off_data_centre_restarts_with_its_newest_file(self):
+        # Both routers restart without keepers, a2 with a newer file than
+        # a1; both must activate the newer revision.
         await self.write_file()
         self.fleet.change(1)
         other = self.path + "-2"
@@ -212,8 +210,8 @@
         await self.write_file()
         whole = read(self.path)
         for damage in (
-            flipped,
-            flipped_in_the_journal,
+            flip_bit,
+            flip_late_bit,
             lambda data: data[:50],
             lambda data: b"",
         ):
@@ -225,9 +223,9 @@
             self.assertEqual(counters["revisions.file-damaged"], 1)
             await made.stop()
 
-    async def test_router_whose_map_differs_asks_for_the_whole(self):
-        # A part of this router's map was altered. No delta fits it any
-        # more; without asking for the whole it would stay behind for ever.
+    async def test_diverged_router_pulls_the_full_state(self):
+        # The router's state diverged, so no delta applies; without pulling
+        # the full state it would stay behind.
         made, _ = self.fleet.start("a1")
         await state.until(lambda: made.ready)
         made.parts.items["drained/x"] = "never said"
@@ -237,7 +235,7 @@
         self.assertEqual(made.current.drained, {})
         self.assertEqual(made.metrics.counters["revisions.refused"], 1)
 
-    async def test_keepers_that_lost_their_state_pull_nobody_back(self):
+    async def test_keepers_that_lost_their_state_roll_nobody_back(self):
         made, _ = self.fleet.start("a1")
         self.fleet.change(1)
         await state.until(lambda: made.current.revision == 2)
--- a/tests/test_router_parts.py
+++ b/tests/test_router_parts.py
@@ -1,4 +1,4 @@
-"""What the composition root of a router must not forget to connect."""
+"""Wiring of a router by the composition root."""
 
 import dataclasses
 import pathlib
@@ -32,8 +32,8 @@
             made = dataclasses.replace(made, address=address)
             self.router.table.announce(made)
 
-    async def test_deaths_together_reach_the_suspicion(self):
-        """A rack goes; its requests must not be taken for its killers."""
+    async def test_simultaneous_deaths_reach_the_crash_tracker(self):
+        """Requests of a lost rack must not become suspects."""
         self.announce(6)
         entries = list(self.router.table.entries.values())
         for entry in entries:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Routers that are told to stop while callers go on using them."""
+"""Graceful shutdown of routers that callers still use."""
 
 import asyncio
 import pathlib
@@ -21,16 +21,18 @@
 from tests import fleet_case
 
 REQUEST = b"GET /v1/models HTTP/1.1\r\nHost: router\r\n\r\n"
-ENDING = REQUEST.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
-# Steps of the loop in which a caller opens a connection each; a listener
-# that closes at once closes within them.
-STEPS = 6
+CLOSING_REQUEST = REQUEST.replace(
+    b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"
+)
+# Event loop iterations that each open one connection; a listener without
+# grace closes within them.
+ITERATIONS = 6
 
 
-def open_and_ask(address, request=REQUEST):
+def open_and_send(address, request=REQUEST):
     """Open a connection and send a request; None if it is refused.
 
-    All in one step of the loop: the kernel opens the connection alone.
+    Blocks the event loop, so that only the kernel accepts the connection.
     """
     host, port = address.rsplit(":", 1)
     try:
@@ -41,17 +43,17 @@
     return sock
 
 
-async def ask_each_step(address):
-    """Ask once in each of some steps of the loop."""
+async def send_each_step(address):
+    """Send a request in each of several event loop iterations."""
     asked = []
-    for _ in range(STEPS):
-        asked.append(open_and_ask(address))
+    for _ in range(ITERATIONS):
+        asked.append(open_and_send(address))
         await asyncio.sleep(0)
     return [sock for sock in asked if sock is not None]
 
 
-def answer(sock):
-    """Return what came of an answer, with the loop at a standstill."""
+def read_answer(sock):
+    """Return the start of an answer or the error, blocking the loop."""
     sock.settimeout(0.5)
     try:
         return sock.recv(64)
@@ -62,7 +64,7 @@
 
 
 class TestRouterStops(unittest.IsolatedAsyncioTestCase):
-    """A router, from its start to its end in this process."""
+    """A router that starts and stops in this process."""
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -81,38 +83,33 @@
         return running
 
     async def test_open_connections_are_answered(self):
-        """Operators replace a router that callers still come to.
-
-        The kernel opens a caller's connection, the caller sends its request;
-        the router closes its listener before it has taken the connection,
-        and the kernel resets it. The caller has no answer and can't tell
-        whether its request ran. Seen were resets within 11 ms of the
-        listener's end, all of connections opened just before, and none of
-        a request that had begun to be served.
+        """Connections in the accept backlog must be served before closing.
+
+        Otherwise the kernel resets them when the listener closes, and the
+        caller cannot tell whether its request ran.
         """
         running = await self.run_router()
         self.stop.set()
-        asked = await ask_each_step(self.address)
+        asked = await send_each_step(self.address)
         await running
         self.assertTrue(asked)
         for sock in asked:
-            self.assertIn(b"HTTP/1.1 ", answer(sock))
+            self.assertIn(b"HTTP/1.1 ", read_answer(sock))
 
     async def test_kept_connections_are_told_to_close(self):
-        """A caller keeps its connection to a router that is stopping.
+        """Answers of a stopping router must ask to close the connection.
 
-        Told so with its answer, it sends the next request elsewhere, instead
-        of into the end of the process.
+        Otherwise the next request is lost when the process exits.
         """
         running = await self.run_router()
         self.stop.set()
-        asked = await ask_each_step(self.address)
+        asked = await send_each_step(self.address)
         await running
         for sock in asked:
-            self.assertIn(b"close", _whole(sock).lower())
+            self.assertIn(b"close", _read_all(sock).lower())
 
 
-def _whole(sock):
+def _read_all(sock):
     sock.settimeout(0.5)
     found = b""
     while data := sock.recv(4096):
@@ -122,7 +119,7 @@
 
 
 class TestPlanRouterStops(unittest.IsolatedAsyncioTestCase):
-    """A router that forwards by plan, to its end in this process."""
+    """A plan router that stops in this process."""
 
     async def asyncSetUp(self):
         ports = local_fleet.free_ports(3)
@@ -144,55 +141,46 @@
 
     @mock.patch.object(plan_router, "ROTATION_SECONDS", 0.0)
     async def test_open_connections_are_answered(self):
-        """The balancer has nobody else and sends callers until the end.
-
-        As with any listener: what the kernel has opened is answered before
-        the process ends.
-        """
+        """Connections that the kernel has accepted must be answered."""
         stopping = asyncio.ensure_future(self.router.stop())
-        asked = await ask_each_step(self.address)
+        asked = await send_each_step(self.address)
         await stopping
         self.assertTrue(asked)
         for sock in asked:
-            self.assertIn(b"HTTP/1.1 ", answer(sock))
+            self.assertIn(b"HTTP/1.1 ", read_answer(sock))
 
     @mock.patch.object(plan_router, "ROTATION_SECONDS", 0.0)
     async def test_new_connection_is_not_idle(self):
-        """A caller's request follows its connection 0.3 s later.
+        """A request that follows its connection 0.3 s later is answered.
 
-        A stopping router took such a connection for an idle one and closed
-        it, with the request on its way.
+        A new connection must not be closed as idle.
         """
         stopping = asyncio.ensure_future(self.router.stop())
         await asyncio.sleep(0)
-        sock = open_and_ask(self.address, b"")
+        sock = open_and_send(self.address, b"")
         await asyncio.sleep(0.3)
         sock.sendall(REQUEST)
         await stopping
-        self.assertIn(b"HTTP/1.1 ", answer(sock))
+        self.assertIn(b"HTTP/1.1 ", read_answer(sock))
 
     @mock.patch.object(plan_router, "ROTATION_SECONDS", 0.0)
-    async def test_request_that_has_come_is_not_idle(self):
-        """A request comes on a kept connection as that is closed as idle.
-
-        It was reset, unread; now it is read and answered.
-        """
-        sock = open_and_ask(self.address, b"")
+    async def test_arrived_request_is_not_idle(self):
+        """A request arriving while an idle connection closes is answered."""
+        sock = open_and_send(self.address, b"")
         await asyncio.sleep(1.2)
         stopping = asyncio.ensure_future(self.router.stop())
         sock.sendall(REQUEST)
         await stopping
-        self.assertIn(b"HTTP/1.1 ", answer(sock))
+        self.assertIn(b"HTTP/1.1 ", read_answer(sock))
 
 
 class TestSlowReader(unittest.IsolatedAsyncioTestCase):
-    """A router's way before a booking service with long answers."""
+    """A router that sends a long answer."""
 
-    async def test_answer_that_is_not_sent_yet_holds_up_the_end(self):
-        """A caller on a slow line has read a part of its answer.
+    async def test_unsent_answer_delays_shutdown(self):
+        """A request counts as running until its answer is sent completely.
 
-        The request was counted out as soon as its answer was written into
-        the router's own buffer; the process ended and the rest with it.
+        Otherwise shutdown cuts off an answer in the router's send buffer.
         """
         made = local.Local()
         self.addAsyncCleanup(made.close)
@@ -200,7 +188,7 @@
         drain = router.fakes.needs.drain
         many = {f"model-{number:06}" for number in range(200_000)}
         router.fakes.needs.serves = lambda kind: many
-        async with router.raw(_ask_models()) as stream:
+        async with router.raw(_models_request()) as stream:
             head = await stream.read_bytes(1000)
             await asyncio.sleep(0.1)
             self.assertEqual(drain.running, 1)
@@ -209,14 +197,14 @@
             await local.until(lambda: not drain.running)
 
 
-def _ask_models():
+def _models_request():
     return b"GET /v1/models HTTP/1.1\r\nHost: router\r\n%b\r\n" % (
         b"Authorization: Bearer %b\r\n" % needs.TOKEN.encode()
     )
 
 
-class TestUsedUntilGone(unittest.IsolatedAsyncioTestCase):
-    """Routers that callers go on using until the process is gone."""
+class TestUseUntilExit(unittest.IsolatedAsyncioTestCase):
+    """Routers that callers use until the process exits."""
 
     callers = 40
     routers = 3
@@ -239,13 +227,11 @@
             self.fleet.start(name)
         self.fleet.wait_ready(names)
 
-    async def test_no_request_that_was_sent_is_lost(self):
-        """Callers without a balancer use a router to its very end.
+    async def test_no_sent_request_is_lost(self):
+        """Callers without a balancer must not lose a sent request.
 
-        Half open a connection for each request, half keep theirs as long as
-        they are not told to close it. Connections opened in the step of the
-        loop in which the listener closed were reset, requests and all: one
-        to four callers in a quarter of all stops.
+        Half of them open a connection for each request, half keep theirs.
+        Connections opened while the listener closes must not be reset.
         """
         for name in self.fleet.names("router"):
             with self.subTest(router=name):
@@ -266,8 +252,8 @@
         self.assertEqual(code, 0)
 
     async def use(self, address, keeps):
-        """Send one request after the other until connections are refused."""
-        head = REQUEST if keeps else ENDING
+        """Send requests one by one until connections are refused."""
+        head = REQUEST if keeps else CLOSING_REQUEST
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*address)
@@ -275,11 +261,11 @@
                 return
             more = True
             while more:
-                more = await self.ask(reader, writer, head) and keeps
+                more = await self.send(reader, writer, head) and keeps
             writer.close()
 
-    async def ask(self, reader, writer, head):
-        """Ask once; return whether the connection may be used again."""
+    async def send(self, reader, writer, head):
+        """Send one request; return whether the connection can be reused."""
         try:
             writer.write(head)
             found = await reader.readuntil(b"\r\n\r\n")
@@ -292,20 +278,18 @@
         return b"connection: close" not in found.lower()
 
 
-class TestLateBalancer(fleet_case.FleetCase):
-    """A balancer that is late to leave out a router that stops."""
+class TestSlowBalancer(fleet_case.FleetCase):
+    """A balancer that is slow to remove a stopping router."""
 
     routers = 3
-    # More than the least time between the failing check and the end.
+    # Longer than the minimum time from the failing check to the end.
     late_seconds = 2.5
 
-    async def test_callers_who_still_come_are_served(self):
-        """A busy balancer goes on sending callers to a stopping router.
+    async def test_late_callers_are_served(self):
+        """A stopping router must serve callers of a slow balancer.
 
-        Its round of health checks waits for the slowest. The router closed
-        its listener a second after its check had begun to fail; callers who
-        opened a connection in that step lost it with their request sent,
-        later ones were refused.
+        If it closed its listener a second after the check began to fail,
+        their requests would be lost or refused.
         """
         chats = asyncio.ensure_future(self.keep_chatting(max_tokens=10))
         name = self.names[0]
--- a/tests/test_target_reports.py
+++ b/tests/test_target_reports.py
@@ -13,9 +13,9 @@
 
 
 class TestTargetReports(unittest.IsolatedAsyncioTestCase):
-    """One relay with a clock of its own."""
+    """One relay with a fake clock."""
 
-    async def test_reports_on_change_and_now_and_then(self):
+    async def test_reports_on_change_and_periodically(self):
         sent = []
         now = [100.0]
         known = [engine("e1", "a"), engine("e2", "b")]
