--- a/amaranthring/routers/admission.py
+++ b/amaranthring/routers/admission.py
@@ -99,7 +99,7 @@
         if owner and ask.cell not in self.cells:
             self._request_grant_reports(ask.cell, scope)
         cell = self._cell(ask.cell)
-        wanted = admission.Request(
+        request = admission.Request(
             (ask.router, ask.serial),
             ask.account,
             ask.priority,
@@ -112,7 +112,7 @@
             ask.alone,
         )
         try:
-            placed = cell.admit(wanted, self._policy(ask), self.clock())
+            placed = cell.admit(request, self._policy(ask), self.clock())
         except errors.RefusedError as error:
             self.metrics.count(f"admission.refused.{error.code}")
             raise
@@ -121,11 +121,11 @@
         if placed is not None:
             self.metrics.count("admission.granted")
             return _granted(ask.cell, ask.serial, placed)
-        if wanted.key in cell.queue.waiters:
+        if request.key in cell.queue.waiters:
             self.metrics.count("admission.queued")
             return messages.Queued()
         self.metrics.count("admission.elsewhere")
-        return messages.CellFull(cell.cells_with_room(wanted, self.clock()))
+        return messages.CellFull(cell.cells_with_room(request, self.clock()))
 
     def on_release(self, _link, message: messages.Release) -> None:
         """Release a grant or withdraw a queued request."""
--- a/amaranthring/routers/directory.py
+++ b/amaranthring/routers/directory.py
@@ -175,10 +175,10 @@
             self._store(key, targets)
 
     def _store(self, key: str, targets: list[str]) -> None:
-        known = self.locations.get(key, [])
+        previous = self.locations.get(key, [])
         # Interned names are shared, so an entry costs two references.
         newest = [sys.intern(target) for target in targets]
-        older = [target for target in known if target not in newest]
+        older = [target for target in previous if target not in newest]
         self.locations[key] = (newest + older)[:LOCATIONS_KEPT]
         self.locations.move_to_end(key)
         while len(self.locations) > self.max_entries:
--- a/amaranthring/routers/placement.py
+++ b/amaranthring/routers/placement.py
@@ -144,7 +144,7 @@
         errors.QuarantinedError
             If two targets died while the request ran there.
         """
-        began = self.clock()
+        started = self.clock()
         found = await self.directory.find(
             request.chat or request.body_digest, request.body_digest
         )
@@ -159,7 +159,7 @@
             excluded | set(found.deaths),
         )
         grant = await self._place(search)
-        grant.queued_seconds = self.clock() - began
+        grant.queued_seconds = self.clock() - started
         return grant
 
     def release(self, grant: records.Grant, end: records.End) -> None:
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -108,7 +108,9 @@
         self.needs_full_state = False
         handlers.add(parts.Delta, self._on_delta)
         handlers.add(commands.ConfigSince, self._on_config_since)
-        handlers.add(revision_messages.RunningRevision, self._on_number)
+        handlers.add(
+            revision_messages.RunningRevision, self._on_running_revision
+        )
 
     def subscribe(self, callback: Callback) -> None:
         """Call `callback` with each new revision once it is active."""
@@ -293,7 +295,7 @@
         if theirs.revision > self.parts.revision:
             self._pull(name, self.parts.revision)
 
-    def _on_number(self, _link, message):
+    def _on_running_revision(self, _link, message):
         if message.router in self.neighbours:
             self.revision_by_router[message.router] = (
                 message.revision,
@@ -338,16 +340,16 @@
 
     async def _become_ready(self) -> None:
         """Ask keepers and neighbours until this router is ready."""
-        began = time.monotonic()
+        started = time.monotonic()
         while not self.ready:
             answers = await asyncio.gather(
                 self._ask_keepers(), self._ask_neighbours()
             )
             if self.ready:
                 return
-            has_report = answers[1] > 0 or not self.neighbours
-            cut_off = time.monotonic() - began >= CUT_OFF_SECONDS
-            if cut_off and has_report and self.parts.revision > 0:
+            informed = answers[1] > 0 or not self.neighbours
+            cut_off = time.monotonic() - started >= CUT_OFF_SECONDS
+            if cut_off and informed and self.parts.revision > 0:
                 self._set_ready("neighbours" if self.neighbours else "file")
                 return
             await asyncio.sleep(RETRY_SECONDS)
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -63,9 +63,9 @@
             await made.stop()
 
 
-def flip_bit(data, place=0.5):
-    at = int(len(data) * place)
-    return data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
+def flip_bit(data, position=0.5):
+    index = int(len(data) * position)
+    return data[:index] + bytes([data[index] ^ 1]) + data[index + 1 :]
 
 
 def flip_late_bit(data):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -124,14 +124,14 @@
     async def asyncSetUp(self):
         ports = local_fleet.free_ports(3)
         addresses = [f"127.0.0.1:{port}" for port in ports]
-        place = plan_router.RouterConfig(
+        config = plan_router.RouterConfig(
             "r1", "here", *addresses, [], 0.0, 2.0, 0.2, 10.0, 10.0
         )
         keys = links.Keys({"k": b"secret"})
         self.router = plan_router.PlanRouter(
-            place, keys, scripted.DIALECT, lambda document: None
+            config, keys, scripted.DIALECT, lambda document: None
         )
-        self.address = place.callers
+        self.address = config.callers
         self.router.start()
         self.addCleanup(self.end)
 
--- a/tests/test_target_reports.py
+++ b/tests/test_target_reports.py
@@ -7,9 +7,11 @@
 from amaranthring.routers import target_reports
 
 
-def engine(name, place):
+def engine(name, data_centre):
     kind = records.TargetKind.ENGINE
-    return records.Target(name, 1, kind, "127.0.0.1:1", place, "r", ("m",))
+    return records.Target(
+        name, 1, kind, "127.0.0.1:1", data_centre, "r", ("m",)
+    )
 
 
 class TestTargetReports(unittest.IsolatedAsyncioTestCase):
