--- a/amaranthring/routers/admission.py
+++ b/amaranthring/routers/admission.py
@@ -152,7 +152,9 @@
         cell = self._cell(message.cell)
         now = self.clock()
         held = _decode_held(message)
-        waiting = {message.next_serial - back for back in message.waiting}
+        waiting = {
+            message.next_serial - distance for distance in message.waiting
+        }
         cell.counts.renew(message.router, held, now)
         if not message.partial:
             known = waiting | set(held)
--- a/amaranthring/routers/target_sync.py
+++ b/amaranthring/routers/target_sync.py
@@ -169,10 +169,10 @@
         }
         passed = [
             messages.RelayedDigest(
-                data_centre, int((now - heard) * 1000), *content
+                data_centre, int((now - heard_at) * 1000), *content
             )
             for data_centre, (
-                heard,
+                heard_at,
                 *content,
             ) in self._digests_to_relay.items()
         ]
@@ -336,12 +336,12 @@
         for heartbeat in heartbeats:
             entry = self.table.by_key.get(heartbeat.key)
             if entry is not None:
-                heard = sent - heartbeat.age_ms / 1000
+                heard_at = sent - heartbeat.age_ms / 1000
                 target = entry.target
                 self.table.merge_heartbeat(
                     target.name,
                     target.incarnation,
-                    heard,
+                    heard_at,
                     heartbeat.spoken,
                     _report(target, heartbeat),
                 )
@@ -371,27 +371,27 @@
             or data_centre == self.mesh.data_centre
         ):
             return
-        heard = self._local_send_time(name, digest.clock_ms, now)
-        self._merge_digest(digest, heard, name)
+        heard_at = self._local_send_time(name, digest.clock_ms, now)
+        self._merge_digest(digest, heard_at, name)
         if digest.chosen:
             self._remote_seen[name] = now
-        self._relay_digest(digest, heard, now)
+        self._relay_digest(digest, heard_at, now)
 
-    def _merge_digest(self, digest, heard: float, name: str) -> None:
-        """Merge a digest of time `heard` that came through `name`."""
+    def _merge_digest(self, digest, heard_at: float, name: str) -> None:
+        """Merge a digest of time `heard_at` that came through `name`."""
         data_centre = digest.data_centre
         self.last_digest_at[data_centre] = max(
-            heard, self.last_digest_at.get(data_centre, heard)
+            heard_at, self.last_digest_at.get(data_centre, heard_at)
         )
         if digest.mark == self.table.digests.get(data_centre, 0):
-            self.table.vouch(data_centre, heard, digest.stale)
+            self.table.vouch(data_centre, heard_at, digest.stale)
         else:
             self._schedule_pull(data_centre, name)
         routers = self.mesh.remote_routers.get(data_centre, [])
         if digest_of(routers) != digest.routers_mark:
             self._schedule_pull(data_centre, name)
 
-    def _relay_digest(self, digest, heard: float, now: float) -> None:
+    def _relay_digest(self, digest, heard_at: float, now: float) -> None:
         """Put a digest of another data centre into the next batch.
 
         The first relay does so; the others only if it has been silent,
@@ -405,13 +405,13 @@
         if not first and now - relayed_at < RELAY_SILENT_SECONDS:
             return
         content = (digest.mark, digest.routers_mark, digest.stale)
-        self._digests_to_relay[data_centre] = (heard, *content)
+        self._digests_to_relay[data_centre] = (heard_at, *content)
         due = min(self.next_batch_at, self.last_batch_at + MIN_BATCH_SECONDS)
-        soon = max(due, now + GATHER_SECONDS)
-        if soon < self.next_batch_at:
-            self.next_batch_at = soon
+        send_at = max(due, now + GATHER_SECONDS)
+        if send_at < self.next_batch_at:
+            self.next_batch_at = send_at
             loop = asyncio.get_running_loop()
-            loop.call_later(soon - now, self._tick_early, soon)
+            loop.call_later(send_at - now, self._tick_early, send_at)
 
     def _tick_early(self, due: float) -> None:
         if self.next_batch_at == due:
