--- a/tests/test_target_reports.py
+++ b/tests/test_target_reports.py
@@ -7,15 +7,17 @@
 from amaranthring.routers import target_reports
 
 
-def engine(name, place):
+def engine(name, data_centre):
     kind = records.TargetKind.ENGINE
-    return records.Target(name, 1, kind, "127.0.0.1:1", place, "r", ("m",))
+    return records.Target(
+        name, 1, kind, "127.0.0.1:1", data_centre, "r", ("m",)
+    )
 
 
 class TestTargetReports(unittest.IsolatedAsyncioTestCase):
-    """One relay with a clock of its own."""
+    """One relay with a fake clock."""
 
-    async def test_reports_on_change_and_now_and_then(self):
+    async def test_reports_on_change_and_periodically(self):
         sent = []
         now = [100.0]
         known = [engine("e1", "a"), engine("e2", "b")]
