--- a/amaranthring/registry/__init__.py
+++ b/amaranthring/registry/__init__.py
@@ -1,6 +1,6 @@
-"""What every process learns from the keepers: plan, targets, other VMs.
+"""Distributes the routing plan and the target table from keepers to routers.
 
-Targets and operators speak to keepers. A router keeps a link to every
-keeper, hears of each change at once, and asks a few times a second whether
-the plan that it holds is still the newest.
+Targets and operators talk to keepers. A router holds a link to every keeper,
+receives each change as it happens, and checks a few times a second that its
+plan is still the newest.
 """
--- a/amaranthring/registry/backlogs.py
+++ b/amaranthring/registry/backlogs.py
@@ -1,74 +1,76 @@
-"""What one process has still to be told of prompt places."""
+"""Queues of locations that a process has yet to be sent."""
 
 import typing as t
 
-# News beyond so many are dropped, the least urgent first.
+# Above this the updates of the lowest priority are dropped.
 MAX_UPDATES = 20_000
 
 
 class Backlog:
-    """Pairs that one process has still to be told, the most urgent first.
+    """Locations that one process has yet to be sent, the most urgent first.
 
-    A part of a long beginning takes as many bytes to tell of as one of a
-    short one, and costs more where a router doesn't know its place and has
-    it read again. Few parts hold most of the tokens, so where the link has
-    no room for all, a router knows in a moment what is worth most.
+    Locations of short and long prompt parts take the same bytes to send, but a
+    long part costs more when a router does not know where it is cached and
+    has it computed again. Few parts hold most of the tokens, so they go
+    first when the link has no room for all.
 
     Parameters
     ----------
-    rank : callable
-        Of a part; those with the highest go first. There are few ranks.
-    known : list of list of str
-        What was known when it came, the lowest rank first; shared by all
-        who came together, as a copy for each router would fill the memory.
+    priority : callable
+        Of a part; the highest goes first. There are few distinct values.
+    initial : list of list of str
+        Locations known when the process linked, the lowest priority first.
+        Backlogs that begin together share it, to save memory.
     """
 
-    def __init__(self, rank: t.Callable[[str], int], known: list[list[str]]):
-        self.priority = rank
-        self.initial = known
-        self.remaining = len(known)
+    def __init__(
+        self, priority: t.Callable[[str], int], initial: list[list[str]]
+    ):
+        self.priority = priority
+        self.initial = initial
+        self.remaining = len(initial)
         self.updates: dict[int, list[list[str]]] = {}
 
     def __len__(self) -> int:
         return self.remaining + sum(map(len, self.updates.values()))
 
     def add(self, pairs: dict[int, list[list[str]]]) -> None:
-        """Add pairs that are new, by rank."""
-        for rank, ranked in pairs.items():
-            self.updates.setdefault(rank, []).extend(ranked)
+        """Add new locations, grouped by priority."""
+        for priority, locations in pairs.items():
+            self.updates.setdefault(priority, []).extend(locations)
         if sum(map(len, self.updates.values())) > MAX_UPDATES:
             del self.updates[min(self.updates)]
 
-    def take(self, most: int) -> list[list[str]]:
-        """Remove and return up to `most` pairs, the most urgent last.
+    def take(self, limit: int) -> list[list[str]]:
+        """Remove and return up to `limit` locations, the most urgent last.
 
-        Among those of a rank, what came last is the most likely to be asked
-        for next.
+        Within a priority the latest go first: they are the most likely to be
+        requested next.
         """
         taken: list[list[str]] = []
-        while len(taken) < most and len(self):
-            taken = self._take_rank(most - len(taken)) + taken
+        while len(taken) < limit and len(self):
+            taken = self._take_top(limit - len(taken)) + taken
         return taken
 
-    def _take_rank(self, most: int) -> list[list[str]]:
-        """Remove and return up to `most` pairs of the highest rank."""
-        rank = max(self.updates, default=-1)
+    def _take_top(self, limit: int) -> list[list[str]]:
+        """Remove and return up to `limit` locations of the top priority."""
+        priority = max(self.updates, default=-1)
         if (
             self.remaining
-            and self.priority(self.initial[self.remaining - 1][0]) > rank
+            and self.priority(self.initial[self.remaining - 1][0]) > priority
         ):
-            return self._take_known(most, rank)
-        held = self.updates[rank]
-        taken = held[-most:]
-        del held[-most:]
-        if not held:
-            del self.updates[rank]
+            return self._take_initial(limit, priority)
+        queued = self.updates[priority]
+        taken = queued[-limit:]
+        del queued[-limit:]
+        if not queued:
+            del self.updates[priority]
         return taken
 
-    def _take_known(self, most: int, above: int) -> list[list[str]]:
-        """Remove and return up to `most` known pairs above a rank."""
+    def _take_initial(self, limit: int, above: int) -> list[list[str]]:
+        """Remove and return up to `limit` initial locations above `above`."""
         last = self.remaining
-        first = max(0, last - most)
+        first = max(0, last - limit)
         while self.remaining > first and (
             self.priority(self.initial[self.remaining - 1][0]) > above
         ):
@@ -77,9 +79,11 @@
 
 
 def fair_shares(wanted: dict[t.Any, int], room: int) -> dict[t.Any, int]:
-    """Share `room` alike; what one does not want goes to the others."""
+    """Divide `room` evenly; what one does not want goes to the others."""
     shares = {}
-    for to in sorted(wanted, key=wanted.get):
-        shares[to] = min(wanted[to], room // (len(wanted) - len(shares)))
-        room -= shares[to]
+    for receiver in sorted(wanted, key=wanted.get):
+        shares[receiver] = min(
+            wanted[receiver], room // (len(wanted) - len(shares))
+        )
+        room -= shares[receiver]
     return shares
--- a/amaranthring/registry/hint_file.py
+++ b/amaranthring/registry/hint_file.py
@@ -1,10 +1,10 @@
-"""What a keeper remembers over a loss of power: prompt places and targets.
+"""Keeps a keeper's locations and targets in a file, across a power loss.
 
-When all processes lose power at once the engines still hold their prompts
-and go on serving, and nobody remembers where or which. A keeper writes both
-down every few seconds. The file is a hint: one that is old, missing or
-damaged costs prompts that are read again and targets that are found a beat
-later, and nothing else, so no failure here stops a keeper.
+After all processes lose power at once, the engines still hold their prefix
+caches and keep serving, but nobody knows where or which. Each keeper writes
+both to a file every few seconds. The file is only a hint: an old, missing or
+damaged one costs recomputed prompts and targets that are found one
+announcement later, so no failure here stops a keeper.
 """
 
 import asyncio
@@ -26,28 +26,29 @@
 
 log = logbook.Logger(__name__)
 
-# What changed within the last seconds before a loss of power is lost; a
-# sync takes a disk 5 ms, so this often it is busy for 0.2% of the time.
+# Bounds what a power loss can lose. A sync occupies a disk for 5 ms, 0.2% of
+# the time at this interval.
 WRITE_SECONDS = 2.0
-# Where nothing changes the file is still written this often, for its age.
+# Interval at which an unchanged file is rewritten to refresh its age.
 REWRITE_SECONDS = 10.0
-# Targets in an older file have mostly been replaced. By the time of day,
-# which may have been set meanwhile: a wrong guess costs what no file does.
+# Targets in an older file have mostly been replaced. The age is measured by
+# wall-clock time, which may have been adjusted; a wrong age costs no more than
+# a missing file.
 MAX_TARGETS_AGE_SECONDS = 30.0
 
 
 @wire.message("registry-hints")
 class Hints:
-    """The content of the file.
+    """Content of the file.
 
     Attributes
     ----------
     written_at : float
-        Time of day in seconds.
+        Wall-clock time in seconds.
     places : list of list of str
-        Pairs of part and target, the oldest first.
+        Pairs of prompt part and target, the oldest first.
     targets : list of TargetRecord
-        Those that were heard of.
+        Targets that were not silent.
     tokens : dict of str to int
         As in :class:`sharing.Report`, for `places`.
     """
@@ -59,20 +60,20 @@
 
 
 class HintFile:
-    """Keeps the pairs of an exchange and the targets of a table in a file.
+    """File of the locations of an exchange and the targets of a table.
 
     Parameters
     ----------
     path : path
-        In a folder that exists.
+        In a directory that exists.
     trusted_age : float
-        Age in seconds that targets from the file get in the table. What is
-        not heard of within the rest of the time after which a target counts
-        as silent is then silent.
-    files : disk.Files
+        Age in seconds that targets from the file get in the table. A target
+        that is not heard from within the rest of the silence timeout counts
+        as silent.
+    files : disk.FileOps
         System calls.
     wall : callable
-        Time of day in seconds.
+        Wall-clock time in seconds.
     """
 
     def __init__(
@@ -93,59 +94,64 @@
         self.written: t.Any = None
         self.written_at = float("-inf")
         self.faulty = False
-        # A disk that stalls must hold up neither the loop nor the log.
+        # Writes in a thread, so that a stalled disk blocks neither the event
+        # loop nor the log.
         self.thread = concurrent.futures.ThreadPoolExecutor(1, "hints")
 
     def load(self) -> None:
-        """Hand what the file holds to the exchange and the table."""
+        """Load the file into the exchange and the table."""
         try:
             data = disk.verify_checksum(self.path.read_bytes(), self.path)
-            plain = wire.decode_value(data)
-            found = wire.decode_message(wire.tag_of(Hints), plain)
+            decoded = wire.decode_value(data)
+            hints = wire.decode_message(wire.tag_of(Hints), decoded)
         except FileNotFoundError:
             return
         except (OSError, ValueError, TypeError, errors.AmaranthringError) as e:
             log.warning("hints.unreadable fault={}", e)
             return
-        self.exchange.merge_tokens(found.tokens)
-        self.exchange.store_locations(found.places)
-        age = self.wall() - found.written_at
-        known = found.targets if abs(age) <= MAX_TARGETS_AGE_SECONDS else []
-        self.table.restore(known, self.trusted_age)
+        self.exchange.merge_tokens(hints.tokens)
+        self.exchange.store_locations(hints.places)
+        age = self.wall() - hints.written_at
+        recent = hints.targets if abs(age) <= MAX_TARGETS_AGE_SECONDS else []
+        self.table.restore(recent, self.trusted_age)
         logs.event(
             log,
             "hints.loaded",
             age_seconds=round(age, 1),
-            places=len(found.places),
-            targets=len(known),
+            places=len(hints.places),
+            targets=len(recent),
         )
 
     async def run(self) -> None:
-        """Write what changed until cancelled."""
+        """Write changes until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(WRITE_SECONDS)
             hints = self._hints()
-            held = self._held(hints)
+            comparable = self._comparable(hints)
             due = hints.written_at - self.written_at >= REWRITE_SECONDS
-            if held == self.written and not due:
+            if comparable == self.written and not due:
                 continue
-            fault = await loop.run_in_executor(self.thread, self._write, hints)
-            self._note(fault)
-            if fault is None:
-                self.written, self.written_at = held, hints.written_at
+            error = await loop.run_in_executor(self.thread, self._write, hints)
+            self._record_result(error)
+            if error is None:
+                self.written, self.written_at = comparable, hints.written_at
 
     def _hints(self) -> Hints:
-        heard = [one for one in self.table.active() if not one.silent]
-        places = self.exchange.recent_locations()
-        tokens = self.exchange.tokens_of(places)
-        return Hints(self.wall(), places, heard, tokens)
+        active = [
+            record for record in self.table.active() if not record.silent
+        ]
+        locations = self.exchange.recent_locations()
+        tokens = self.exchange.tokens_of(locations)
+        return Hints(self.wall(), locations, active, tokens)
 
     @staticmethod
-    def _held(hints: Hints) -> t.Any:
-        """Return what makes a file that is written worth replacing."""
-        places = {tuple(pair) for pair in hints.places}
-        return places, {(one.id, one.state) for one in hints.targets}
+    def _comparable(hints: Hints) -> t.Any:
+        """Return the content whose change makes the file worth rewriting."""
+        locations = {tuple(pair) for pair in hints.places}
+        return locations, {
+            (record.id, record.state) for record in hints.targets
+        }
 
     def _write(self, hints: Hints) -> OSError | None:
         data = disk.with_checksum(wire.encode_value(hints))
@@ -155,11 +161,11 @@
             return error
         return None
 
-    def _note(self, fault: OSError | None) -> None:
-        if (fault is not None) != self.faulty:
-            self.faulty = fault is not None
-            log.warning("hints.disk fault={}", fault or "none any more")
+    def _record_result(self, error: OSError | None) -> None:
+        if (error is not None) != self.faulty:
+            self.faulty = error is not None
+            log.warning("hints.disk fault={}", error or "none")
 
     def close(self) -> None:
-        """Let the thread end."""
+        """Shut down the writer thread."""
         self.thread.shutdown(wait=False, cancel_futures=True)
--- a/amaranthring/registry/hub.py
+++ b/amaranthring/registry/hub.py
@@ -1,4 +1,4 @@
-"""The keeper's side: announcements in, plan and targets out to routers."""
+"""The keeper's service: takes announcements, distributes plan and targets."""
 
 import asyncio
 import typing as t
@@ -21,34 +21,34 @@
 
 log = logbook.Logger(__name__)
 
-# Targets announce themselves about every beat; one lost or late beat is
-# ordinary, so silence begins after three.
+# In announcement intervals. One lost or late announcement is ordinary, so a
+# target counts as silent after three.
 SILENT_INTERVALS = 3.5
 FRESH_INTERVALS = 1.5
-# Keepers tell each other this often whom they heard.
+# Interval at which keepers tell each other which targets they have heard from.
 GOSSIP_SECONDS = 0.4
-# Longer than a beat held up by a cut is likely to be late.
+# Longer than a partition is likely to delay an announcement.
 RETENTION_SECONDS = 60.0
-# An operator gives a keeper one second for an answer and then asks another.
+# An operator allows a keeper one second for an answer, then asks another.
 ANSWER_SECONDS = 0.9
 RETRY_SECONDS = 0.05
 
 
 class Hub:
-    """State of one keeper towards targets, operators and routers.
+    """Serves targets, operators and routers on one keeper.
 
     Parameters
     ----------
     group : consensus.Group
-        The group that holds the plan.
-    machine : plans.PlanMachine
-        Its state.
+        The group that replicates the plan.
+    machine : plans.PlanStateMachine
+        The state machine of the group.
     handlers : links.Handlers
         Of this keeper's listener.
-    beat_seconds : float
+    announce_seconds : float
         How often targets announce themselves.
     clock : callable
-        Seconds that go on while the VM is suspended.
+        Seconds; continues while the VM is suspended.
     pacer : pacing.Pacer
         Of this VM's link.
 
@@ -63,14 +63,16 @@
         group: t.Any,
         machine: plans.PlanStateMachine,
         handlers: links.Handlers,
-        beat_seconds: float,
+        announce_seconds: float,
         clock: t.Callable[[], float],
         pacer: pacing.Pacer,
     ):
         self.group = group
         self.machine = machine
-        self.announce_seconds = beat_seconds
-        self.table = targets.TargetTable(clock, FRESH_INTERVALS * beat_seconds)
+        self.announce_seconds = announce_seconds
+        self.table = targets.TargetTable(
+            clock, FRESH_INTERVALS * announce_seconds
+        )
         self.routers: dict[links.Link, str] = {}
         self.exchange = sharing.Exchange(
             handlers,
@@ -85,52 +87,57 @@
         )
         self.notified_version = machine.version
         self.notice_due = False
-        group.on_applied.append(self._applied)
-        group.on_leader.append(self._leads)
+        group.on_applied.append(self._on_applied)
+        group.on_leader.append(self._on_leader)
         handlers.add(messages.Renew, self._on_renew)
         handlers.add(messages.FetchPlan, self._on_fetch)
-        handlers.add(messages.PlanTaken, self._on_held)
+        handlers.add(messages.PlanTaken, self._on_plan_taken)
         handlers.add(messages.Targets, self._on_targets)
         handlers.add(messages.AllTargets, self._on_all_targets)
         handlers.add(messages.Heard, self._on_heard)
 
     def start(self) -> None:
-        """Start telling the other keepers whom this one heard."""
-        for work in (self._run(), self.exchange.run(), self.publisher.run()):
-            self.tasks.append(asyncio.ensure_future(work))
+        """Start the background tasks."""
+        for coroutine in (
+            self._run(),
+            self.exchange.run(),
+            self.publisher.run(),
+        ):
+            self.tasks.append(asyncio.ensure_future(coroutine))
 
     def stop(self) -> None:
-        """End the tasks."""
+        """Cancel the background tasks."""
         for task in self.tasks:
             task.cancel()
 
     # -- targets -----------------------------------------------------
 
     def announce(self, record: messages.TargetRecord) -> None:
-        """Take the announcement of a target.
+        """Merge the announcement of a target.
 
         Raises
         ------
         errors.NotReadyError
-            If nobody would hear of it here; the target asks another keeper.
+            If this keeper can pass it on to nobody; the target then asks
+            another keeper.
         """
         self._require_connected()
         if self.table.merge(record):
-            held = self.table.entries[record.id].record
-            targets.log_change(held)
-            self._tell([held])
+            merged = self.table.entries[record.id].record
+            targets.log_change(merged)
+            self._broadcast([merged])
 
-    def refuse(self, fault: errors.AmaranthringError) -> None:
-        """Note an announcement that names no target to use.
+    def refuse(self, error: errors.AmaranthringError) -> None:
+        """Record a refused announcement.
 
-        It may come from another writer than a target: the targets that are
-        known stay as they are.
+        It may come from a sender other than the target, so the known targets
+        stay as they are.
         """
         self.group.metrics.count("announcement.refused")
-        logs.event(log, "announcement.refused", fault=str(fault))
+        logs.event(log, "announcement.refused", fault=str(error))
 
     def leave(self, name: str, born: int = 0) -> None:
-        """Take the notice that a target is gone.
+        """Mark a target as gone.
 
         Parameters
         ----------
@@ -146,17 +153,17 @@
         record = self.table.mark_gone_by_name(name, born)
         if record is not None:
             logs.event(log, "target.left", target=record.id)
-            self._tell([record])
+            self._broadcast([record])
 
     def _require_connected(self) -> None:
-        # A keeper that is cut off would acknowledge that a target leaves
-        # while the routers go on sending to it.
+        # A partitioned keeper would acknowledge that a target leaves while the
+        # routers continue to send to it.
         if not self.routers and not self.group.leader():
             raise errors.NotReadyError(
                 "this keeper is cut off from the others and from all routers"
             )
 
-    def _tell(self, records: list[messages.TargetRecord]) -> None:
+    def _broadcast(self, records: list[messages.TargetRecord]) -> None:
         self.publisher.publish(records)
         message = messages.Targets(records)
         for peer in self.group.peers.values():
@@ -185,71 +192,75 @@
         _require_keeper(link)
         for target_id, sequence in message.sequences.items():
             if self.table.record_heartbeat(target_id, sequence):
-                self._tell([self.table.entries[target_id].record])
+                self._broadcast([self.table.entries[target_id].record])
 
     async def _run(self) -> None:
-        told: dict[str, int] = {}
+        gossiped: dict[str, int] = {}
         linked: set[str] = set()
         while True:
             await asyncio.sleep(GOSSIP_SECONDS)
-            told = self._tell_heard(told)
-            linked = self._greet_new_peers(linked)
+            gossiped = self._gossip_heard(gossiped)
+            linked = self._sync_new_peers(linked)
             if self.group.leader():
-                silent = SILENT_INTERVALS * self.announce_seconds
-                marked = self.table.mark_silent(silent)
-                if marked:
-                    for record in marked:
+                timeout = SILENT_INTERVALS * self.announce_seconds
+                silent = self.table.mark_silent(timeout)
+                if silent:
+                    for record in silent:
                         logs.event(log, "target.silent", target=record.id)
-                    self._tell(marked)
+                    self._broadcast(silent)
             self.table.remove_expired(RETENTION_SECONDS)
 
-    def _tell_heard(self, told: dict[str, int]) -> dict[str, int]:
-        now = {r.id: r.sequence for r in self.table.records()}
-        news = {i: s for i, s in now.items() if s > told.get(i, -1)}
-        if news:
+    def _gossip_heard(self, gossiped: dict[str, int]) -> dict[str, int]:
+        current = {r.id: r.sequence for r in self.table.records()}
+        advanced = {
+            i: s for i, s in current.items() if s > gossiped.get(i, -1)
+        }
+        if advanced:
             for peer in self.group.peers.values():
-                peer.dialler.send(messages.Heard(news))
-        return now
+                peer.dialler.send(messages.Heard(advanced))
+        return current
 
-    def _greet_new_peers(self, linked: set[str]) -> set[str]:
-        # A keeper that was away hears everything again on its new link.
-        now = {
+    def _sync_new_peers(self, linked: set[str]) -> set[str]:
+        # A keeper that was disconnected gets the whole state on its new link.
+        current = {
             name
             for name, peer in self.group.peers.items()
             if peer.dialler.link is not None
         }
         records = self.table.records()
-        for name in now - linked:
+        for name in current - linked:
             dialler = self.group.peers[name].dialler
             self.exchange.sync_keeper(dialler)
             if records:
                 dialler.send(messages.pack_targets(records))
-        return now
+        return current
 
     # -- plan --------------------------------------------------------
 
     async def put(self, version: int, document: bytes) -> int:
-        """Put a plan in force and return the version in force after it.
+        """Commit a plan and return the version in force afterwards.
 
         Raises
         ------
         errors.NoQuorumError, errors.NotLeaderError
             Nothing was accepted.
         errors.CommitUnknownError, errors.LinkError
-            It may come in force.
+            The plan may still be committed.
         """
-        held = await self._propose(self.machine.put_command(version, document))
-        if held.version < version:
-            # The change was made from a plan that this keeper held and that
-            # was not in force any more, or not yet.
-            whole = plans.PutPlan(version, plans.compress(document))
-            held = await self._propose(whole)
-        logs.event(log, "plan.put", version=version, in_force=held.version)
-        return held.version
+        in_force = await self._propose(
+            self.machine.put_command(version, document)
+        )
+        if in_force.version < version:
+            # The delta was made against a plan of this keeper that is not the
+            # one in force, so the whole plan is proposed.
+            full_plan = plans.PutPlan(version, plans.compress(document))
+            in_force = await self._propose(full_plan)
+        logs.event(log, "plan.put", version=version, in_force=in_force.version)
+        return in_force.version
 
     async def _propose(self, command: t.Any) -> plans.PlanVersion:
         tag = wire.tag_of(type(command))
-        return await self._at_leader(
+        return await self._call_leader(
             lambda seconds: self.group.propose(command, seconds),
             lambda seconds: keeper_messages.Propose(
                 self.group.name, tag, command, seconds
@@ -257,14 +268,14 @@
         )
 
     async def read(self) -> messages.PlanBody:
-        """Return the newest plan that was acknowledged anywhere.
+        """Return the newest plan that any keeper has acknowledged.
 
         Raises
         ------
         errors.AmaranthringError
-            If this keeper cannot be sure which one is.
+            If this keeper cannot establish which plan that is.
         """
-        return await self._at_leader(
+        return await self._call_leader(
             self._read_here, lambda _: messages.FetchPlan(newest=True)
         )
 
@@ -272,49 +283,52 @@
         await self.group.read_barrier(seconds)
         return messages.PlanBody(self.machine.version, self.machine.body)
 
-    async def _at_leader(self, here, message):
-        """Do a thing here if this keeper leads, else ask the leader.
+    async def _call_leader(self, local_call, make_request):
+        """Run `local_call` if this keeper leads, else ask the leader.
 
-        Both things may be repeated, so a leader that has just changed is
-        no reason to send the operator away while there is time.
+        Both are idempotent, so a change of leader is retried until the
+        deadline instead of failing the operator's call.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + ANSWER_SECONDS
-        fault: errors.AmaranthringError = errors.NoQuorumError(
+        last_error: errors.AmaranthringError = errors.NoQuorumError(
             "the keepers have no leader", retry_after=1.0
         )
-        while (left := deadline - loop.time()) > RETRY_SECONDS:
+        while (remaining := deadline - loop.time()) > RETRY_SECONDS:
             try:
                 if self.group.leading:
-                    return await here(left)
+                    return await local_call(remaining)
                 peer = self.group.peers.get(self.group.leader())
                 if peer is not None:
-                    return await peer.dialler.call(message(left), left)
+                    return await peer.dialler.call(
+                        make_request(remaining), remaining
+                    )
             except (
                 errors.NotLeaderError,
                 errors.NoQuorumError,
                 errors.LinkClosedError,
             ) as error:
-                fault = error
+                last_error = error
             await asyncio.sleep(RETRY_SECONDS)
-        raise fault
+        raise last_error
 
-    def _applied(self, _index: int) -> None:
+    def _on_applied(self, _index: int) -> None:
         if self.machine.version <= self.notified_version:
             return
         self.notified_version = self.machine.version
         self.plan_source.record_version()
         if not self.notice_due:
-            # A follower that catches up applies many plans in one go.
+            # A follower that catches up applies many plans in one pass;
+            # routers get one notice for all of them.
             self.notice_due = True
-            asyncio.get_running_loop().call_soon(self._notify)
+            asyncio.get_running_loop().call_soon(self._notify_routers)
 
-    def _leads(self, _term: int) -> None:
-        # Routers without a confirmed plan ask at once; their next question
-        # would come up to half a second later.
-        self._notify()
+    def _on_leader(self, _term: int) -> None:
+        # Lets routers without a confirmed plan ask at once; their next renewal
+        # may be half a second away.
+        self._notify_routers()
 
-    def _notify(self) -> None:
+    def _notify_routers(self) -> None:
         self.notice_due = False
         notice = messages.PlanNotice(self.machine.version, self.group.leading)
         publisher.broadcast(self.routers, notice)
@@ -322,7 +336,7 @@
     # -- routers -----------------------------------------------------
 
     def on_link(self, link: links.Link) -> None:
-        """Take in a router that has just linked."""
+        """Register a router that has just linked."""
         if link.peer.role != messages.ROUTER_ROLE:
             return
         logs.event(log, "router.linked", router=link.peer.name)
@@ -330,7 +344,7 @@
         self.publisher.add_router(link)
 
     def on_unlink(self, link: links.Link) -> None:
-        """Forget a router whose link has ended."""
+        """Remove a router whose link has closed."""
         self.plan_source.forget(link)
         if self.routers.pop(link, None) is not None:
             logs.event(log, "router.unlinked", router=link.peer.name)
@@ -342,7 +356,8 @@
                 await self.group.read_barrier(ANSWER_SECONDS)
                 confirmed = True
             except errors.RefusedError:
-                # Deposed or cut off meanwhile: the router asks another.
+                # Deposed or partitioned meanwhile: the router asks another
+                # keeper.
                 pass
         peers = self.group.peers.values()
         known = [self.group.keeper.address, *(peer.address for peer in peers)]
@@ -358,12 +373,14 @@
             return await self._read_here(ANSWER_SECONDS)
         return await self.plan_source.fetch(message.held, link)
 
-    def _on_held(self, link: links.Link, message: messages.PlanTaken) -> None:
+    def _on_plan_taken(
+        self, link: links.Link, message: messages.PlanTaken
+    ) -> None:
         self.plan_source.note_held(link, message.version)
 
 
 def _require_keeper(link: links.Link) -> None:
     if link.peer.role != dispatch.KEEPER_ROLE:
         raise errors.ForbiddenError(
-            "news of targets", given=link.peer.role, expected="a keeper"
+            "target records", given=link.peer.role, expected="a keeper"
         )
--- a/amaranthring/registry/keeper.py
+++ b/amaranthring/registry/keeper.py
@@ -20,42 +20,42 @@
 
 GROUP = "plan"
 FOLDER = "keeper"
-HINTS = "hints"
-# A target that a keeper knows from before its start, and that has not
-# announced itself again after so many beats, counts as silent: one beat, and
-# three quarters of one for a late one. It may have left meanwhile, and the
-# word of it may have been lost with the power.
+HINTS_FILE = "hints"
+# In announcement intervals: a target restored from the hints file that has not
+# announced itself again after this time counts as silent. One interval, plus
+# three quarters for a late announcement. It may have left, and the keepers may
+# have lost the notice in the power loss.
 RESTORED_INTERVALS = 1.75
-# A plan with hundreds of routes takes some tens of kilobytes: snapshots
-# keep the log short, and a follower that missed a few changes still gets
-# them one by one.
+# A plan with hundreds of routes takes tens of kilobytes: frequent snapshots
+# keep the log short, and a follower that missed a few changes still gets them
+# as log entries.
 SNAPSHOT_ENTRIES = 50
-# A leader that is lost is replaced within one to two of these, and without a
-# leader no router that starts gets its plan. Four heartbeats are enough where
-# keepers are a millisecond apart.
+# A lost leader is replaced within one to two election times; until then a
+# router that starts gets no plan. Four heartbeats per election time are enough
+# where keepers are a millisecond apart.
 HEARTBEAT_SECONDS = 0.1
 ELECTION_SECONDS = 0.45
-KEPT_ENTRIES = 20
+RETAINED_ENTRIES = 20
 
 
 @dataclasses.dataclass
 class Config:
-    """Where and as whom a keeper runs.
+    """Settings of a keeper.
 
     Attributes
     ----------
     address : str
-        ``host:port`` of its streams; it also names the keeper.
+        ``host:port`` of its links; it also names the keeper.
     seeds : list of str
-        Addresses of keepers to begin with or to ask to be taken in.
+        Addresses of keepers to bootstrap with or to ask for membership.
     may_bootstrap : bool
-        Whether it may begin a group with the seeds.
+        Whether it may bootstrap a group with the seeds.
     folder : str
         For its durable state.
-    beat_seconds : float
+    announce_seconds : float
         How often targets announce themselves.
     link_rate : float
-        Bytes a second that this VM's link carries; 0 if not told.
+        Bytes per second that this VM's link carries; 0 if unknown.
     process_started_at : float, optional
         As in :class:`options.Options`.
     """
@@ -76,40 +76,40 @@
     Parameters
     ----------
     keys : links.Keys
-        For the streams.
+        For the links.
     options : options.Options, optional
         Timing of the group.
-    files : disk.Files, optional
+    files : disk.FileOps, optional
         System calls that write.
     """
 
     def __init__(
         self,
-        place: Config,
+        config: Config,
         keys: links.Keys,
         metrics: metrics_module.Metrics,
         options: options_module.Options | None = None,
         files: disk.FileOps | None = None,
     ):
-        self.config = place
+        self.config = config
         self.metrics = metrics
         self.machine = plans.PlanStateMachine()
         self.handlers = links.Handlers()
         identity = links.Identity(
-            place.address,
+            config.address,
             dispatch.KEEPER_ROLE,
-            place.data_centre,
+            config.data_centre,
             time.time_ns(),
         )
         clocks = options_module.Clocks()
         self.pacer = pacing.Pacer(
-            self.handlers.sent, clocks.monotonic, place.link_rate
+            self.handlers.sent, clocks.monotonic, config.link_rate
         )
         self.group = consensus.Group(
             GROUP,
-            _member(place.address, place.data_centre),
-            [_member(address) for address in self._everyone()],
-            pathlib.Path(place.folder) / FOLDER,
+            _member(config.address, config.data_centre),
+            [_member(address) for address in self._initial_members()],
+            pathlib.Path(config.folder) / FOLDER,
             self.machine,
             identity,
             keys,
@@ -125,19 +125,19 @@
             self.group,
             self.machine,
             self.handlers,
-            place.announce_seconds,
+            config.announce_seconds,
             clocks.monotonic,
             self.pacer,
         )
-        unheard = hubs.SILENT_INTERVALS - RESTORED_INTERVALS
+        remaining_intervals = hubs.SILENT_INTERVALS - RESTORED_INTERVALS
         self.hints = hint_file.HintFile(
-            pathlib.Path(place.folder) / HINTS,
+            pathlib.Path(config.folder) / HINTS_FILE,
             self.hub.exchange,
             self.hub.table,
-            unheard * place.announce_seconds,
+            remaining_intervals * config.announce_seconds,
         )
-        self.watching: asyncio.Task | None = None
-        self.writing: asyncio.Task | None = None
+        self.pressure_task: asyncio.Task | None = None
+        self.hints_task: asyncio.Task | None = None
         self.server = links.LinkServer(
             identity,
             keys,
@@ -152,42 +152,42 @@
             heartbeat_seconds=HEARTBEAT_SECONDS,
             election_seconds=ELECTION_SECONDS,
             snapshot_entries=SNAPSHOT_ENTRIES,
-            kept_entries=KEPT_ENTRIES,
+            kept_entries=RETAINED_ENTRIES,
             may_bootstrap=self._may_bootstrap(),
             auto_admit=True,
             process_started_at=self.config.process_started_at,
         )
 
     def _may_bootstrap(self) -> bool:
-        # With more keepers than seeds, the others join what the seeds begin.
+        # Only seeds bootstrap the group; other keepers join it.
         return (
             self.config.may_bootstrap
             and self.config.address in self.config.seeds
         )
 
-    def _everyone(self) -> list[str]:
+    def _initial_members(self) -> list[str]:
         return sorted({*self.config.seeds, self.config.address})
 
     def start(self, sockets: list) -> None:
-        """Serve streams on the listening `sockets`, and take part."""
+        """Accept links on the listening `sockets` and join the group."""
         self.hints.load()
         self.server.add_sockets(sockets)
         self.group.start()
         self.hub.start()
-        self.writing = asyncio.ensure_future(self.hints.run())
-        self.watching = asyncio.ensure_future(
+        self.hints_task = asyncio.ensure_future(self.hints.run())
+        self.pressure_task = asyncio.ensure_future(
             pressure.watch(
                 self.group, self.handlers, self.links, self.config.link_rate
             )
         )
 
     def links(self) -> list[links.Link]:
-        """Return the links that stand, accepted and dialled."""
+        """Return the open links, accepted and dialled."""
         dialled = [p.dialler.link for p in self.group.peers.values()]
         return [*self.server.links, *(link for link in dialled if link)]
 
     def use_seeds(self, addresses: list[str]) -> None:
-        """Also ask the keepers at `addresses` to be taken in."""
+        """Also ask the keepers at `addresses` for membership."""
         for address in addresses:
             if address != self.config.address:
                 self.group.add_peer(address, address, "")
@@ -195,7 +195,7 @@
     async def stop(self) -> None:
         """Step down and close everything."""
         self.hub.stop()
-        for task in (self.writing, self.watching):
+        for task in (self.hints_task, self.pressure_task):
             if task is not None:
                 task.cancel()
         self.hints.close()
@@ -204,5 +204,5 @@
 
 
 def _member(address: str, data_centre: str = "") -> keeper_messages.Member:
-    # A keeper is named by its address, which is all that others are told.
+    # A keeper's name is its address; nothing else about it is distributed.
     return keeper_messages.Member("", address, address, data_centre)
--- a/amaranthring/registry/messages.py
+++ b/amaranthring/registry/messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers and keepers, and between keepers, about targets."""
+"""Messages about plans and targets, for routers and keepers."""
 
 import dataclasses
 import enum
@@ -8,12 +8,12 @@
 from amaranthring.core import wire
 
 COMPRESSION_LEVEL = 1
-# What a router calls itself on its links.
+# Role of a router in its link identity.
 ROUTER_ROLE = "router"
 
 
 class State(enum.StrEnum):
-    """What a target says of itself; it only goes forward in this order."""
+    """State of a target; it only advances in this order."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass
 class TargetRecord:
-    """One start of one target, as it last announced itself.
+    """One incarnation of a target, as it last announced itself.
 
     Attributes
     ----------
     id : str
-        New with every start of the target; see :func:`start_id`.
+        New with every start of the target; see :func:`incarnation_id`.
     service : str
         Service of the plan that it belongs to.
     address : str
@@ -42,17 +42,17 @@
     slots : int
         Requests that it runs at once.
     sequence : int
-        Grows with each announcement, so that a late one is told apart.
+        Grows with each announcement, so that a late one is recognised.
     cold_seconds : float
-        How much longer it will be slow after its start.
+        How much longer it stays slow after its start.
     silent : bool
-        Whether the keepers have heard nothing of it for too long.
+        Whether the keepers have heard nothing from it for too long.
     name : str
-        What the target calls itself. It may keep that over a start; where
-        nothing else is given it is the id.
+        Name that the target gives itself, which may outlast a restart. If it
+        gives none, the id.
     born : int
-        When it started, by its own clock, in milliseconds of the Unix time;
-        0 if it does not say.
+        When it started, by its own clock, in milliseconds of Unix time; 0 if
+        unknown.
     """
 
     id: str
@@ -69,17 +69,16 @@
     born: int = 0
 
     def __post_init__(self):
-        """Name a target that has no other name by its id."""
+        """Use the id as the name of a target without one."""
         self.name = self.name or self.id
 
 
 def incarnation_id(name: str, born: int) -> str:
-    """Return the id of one start of the target `name`.
+    """Return the id of one incarnation of the target `name`.
 
-    What is known of a target (its requests, the prompts that it keeps, its
-    connections) ends with its process. With an id for each start nothing
-    that was believed of one is ever taken for the next, in whatever order
-    word of them comes.
+    Requests, cached prompts and connections end with a target's process. With
+    an id for each start, what is known of one incarnation is never attributed
+    to the next, in whatever order messages arrive.
     """
     return f"{name}.{born:x}" if born else name
 
@@ -99,7 +98,7 @@
     ----------
     packed : bytes
         A :class:`Targets`, encoded and compressed: records are alike, and
-        all routers that come back at once get them from every keeper.
+        routers that reconnect together get them from every keeper.
     """
 
     packed: bytes
@@ -117,7 +116,7 @@
     Raises
     ------
     errors.FrameError
-        If there are none.
+        If they cannot be decompressed.
     """
     try:
         body = wire.decode_value(zlib.decompress(message.packed))
@@ -131,7 +130,7 @@
 
 @wire.message("registry-heard")
 class Heard:
-    """Between keepers: the newest sequence heard from each target."""
+    """Between keepers: the highest sequence received from each target."""
 
     sequences: dict[str, int]
 
@@ -158,8 +157,8 @@
     version : int
         Newest version that this keeper has applied.
     confirmed : bool
-        Whether no higher version was acknowledged anywhere before the
-        question came; only a leader with a quorum can say so.
+        Whether no higher version was acknowledged by any keeper before the
+        request arrived; only a leader with a quorum can confirm that.
     routers : int
         Routers that are linked to this keeper.
     keepers : list of str
@@ -179,7 +178,7 @@
     Attributes
     ----------
     leads : bool
-        Whether the keeper leads, so that it can confirm the version.
+        Whether the keeper leads and so can confirm the version.
     """
 
     version: int
@@ -188,15 +187,15 @@
 
 @wire.message("registry-plan-fetch")
 class FetchPlan:
-    """Asks for the plan.
+    """Requests the plan.
 
     Attributes
     ----------
     newest : bool
-        Whether it must be the newest that was acknowledged anywhere; then
+        Whether it must be the newest that any keeper has acknowledged; then
         only a leader with a quorum answers.
     held : int
-        Version that the asker holds, for a delta from it; -1 for a whole
+        Version that the sender holds, for a delta from it; -1 for a whole
         plan.
     """
 
@@ -206,7 +205,7 @@
 
 @wire.message("registry-plan-held")
 class PlanTaken:
-    """A router holds `version` now and wants it from no other keeper."""
+    """A router holds `version` and needs it from no other keeper."""
 
     version: int
 
@@ -215,7 +214,7 @@
 class PlanBody:
     """A plan; the version is -1 and the body empty before the first.
 
-    The body is also empty if the asker holds the version already.
+    The body is also empty if the receiver holds the version already.
 
     Attributes
     ----------
--- a/amaranthring/registry/plan_source.py
+++ b/amaranthring/registry/plan_source.py
@@ -8,21 +8,22 @@
 from amaranthring.keepers import plans
 from amaranthring.registry import messages
 
-# Routers that are so many versions behind get a whole plan. A storm of
-# changes puts two to five a second in force.
+# A router further behind gets a whole plan. Bursts of changes commit two to
+# five versions a second.
 MAX_HISTORY = 8
 
 
 class PlanSource:
-    """Plans as they are sent to routers.
+    """Builds the plans that are sent to routers.
 
     Parameters
     ----------
-    machine : plans.PlanMachine
+    machine : plans.PlanStateMachine
         Holds the newest plan.
     pacer : pacing.Pacer
-        Of the link that plans share with heartbeats: all routers that
-        fetch at once after a cut would cost the group its leader.
+        Of the link that plans share with heartbeats. Unpaced, all routers
+        that fetch after a partition would delay the heartbeats until the
+        group loses its leader.
     """
 
     def __init__(self, machine: plans.PlanStateMachine, pacer: pacing.Pacer):
@@ -31,55 +32,57 @@
         self.history: collections.OrderedDict[int, bytes] = (
             collections.OrderedDict()
         )
-        self.made: dict[tuple[int, int], bytes] = {}
+        self.delta_cache: dict[tuple[int, int], bytes] = {}
         self.held_versions: dict[links.Link, int] = {}
         self.record_version()
 
     def record_version(self) -> None:
-        """Keep the document in force, for deltas from it."""
+        """Keep the current document as a base for deltas."""
         version = self.machine.version
         if version < 0 or version in self.history:
             return
         self.history[version] = self.machine.document
-        self.made.clear()
+        self.delta_cache.clear()
         while len(self.history) > MAX_HISTORY:
             self.history.popitem(last=False)
 
-    def body_for(self, held: int) -> messages.PlanBody:
-        """Return the newest plan for a router that holds version `held`."""
+    def body_for(self, held_version: int) -> messages.PlanBody:
+        """Return the newest plan for a router that holds `held_version`."""
         version = self.machine.version
-        old, new = self.history.get(held), self.history.get(version)
-        if old is None or new is None or held >= version:
+        old, new = self.history.get(held_version), self.history.get(version)
+        if old is None or new is None or held_version >= version:
             return messages.PlanBody(version, self.machine.body)
-        if (held, version) not in self.made:
-            self.made[held, version] = deltas.diff(old, new)
-        return messages.PlanBody(version, self.made[held, version], held)
+        if (held_version, version) not in self.delta_cache:
+            self.delta_cache[held_version, version] = deltas.diff(old, new)
+        return messages.PlanBody(
+            version, self.delta_cache[held_version, version], held_version
+        )
 
     async def fetch(
-        self, held: int, router: links.Link | None = None
+        self, held_version: int, router: links.Link | None = None
     ) -> messages.PlanBody:
-        """Return a plan once the link has time for it.
+        """Return the newest plan once the pacer has room for it.
 
         Parameters
         ----------
-        held : int
-            As in :class:`messages.FetchPlan`.
+        held_version : int
+            As ``held`` of :class:`messages.FetchPlan`.
         router : links.Link, optional
-            Who asks. Nothing is sent if it says before its turn comes that
-            it holds the plan: routers that have lost theirs ask several
-            keepers, and all would send it.
+            The router that asks. It gets an empty body if it reports in the
+            meantime that it holds the plan: a router without a plan asks
+            several keepers, and all of them would send it.
         """
         await self.pacer.turn()
         # A newer one may have come meanwhile.
         version = self.machine.version
         if self.held_versions.get(router, -1) >= version:
             return messages.PlanBody(version, b"")
-        return self.body_for(held)
+        return self.body_for(held_version)
 
     def note_held(self, router: links.Link, version: int) -> None:
-        """Note that `router` holds `version`."""
+        """Record that `router` holds `version`."""
         self.held_versions[router] = version
 
     def forget(self, router: links.Link) -> None:
-        """Forget a router whose link has ended."""
+        """Remove a router whose link has closed."""
         self.held_versions.pop(router, None)
--- a/amaranthring/registry/pressure.py
+++ b/amaranthring/registry/pressure.py
@@ -1,8 +1,8 @@
-"""Says when a keeper's processor or link is what decides the group waits for.
+"""Logs when a keeper's processor or link delays its consensus messages.
 
-A leader is lost when messages come late by an election time. Whether the
-event loop was late, the processor's share used up, or bytes queued before
-the link shows only here.
+A leader is replaced when its messages are late by an election time. The log
+line shows whether the event loop was late, the processor was busy, or bytes
+were queued on the link.
 """
 
 import asyncio
@@ -17,15 +17,15 @@
 
 log = logbook.Logger(__name__)
 
-# Often enough to catch a loop that is late by a heartbeat (0.1 s).
-LOOK_SECONDS = 0.1
-# One line in so long at most.
-SPAN_SECONDS = 0.5
-# A loop that is later than a heartbeat makes the group's messages late.
+# Short enough to catch a loop that is late by a heartbeat (0.1 s).
+SAMPLE_SECONDS = 0.1
+# At most one line is logged per window.
+WINDOW_SECONDS = 0.5
+# A loop that is late by a heartbeat delays the group's messages.
 LATE_SECONDS = 0.1
-# Above this share of the link, in one span, messages may queue.
+# Above this share of the link in one window, messages may queue.
 LINK_SHARE = 0.5
-KINDS_MOST = 6
+MAX_KINDS = 6
 
 
 async def watch(
@@ -34,56 +34,59 @@
     own_links: t.Callable[[], t.Iterable[links.Link]],
     link_rate: float,
 ) -> None:
-    """Log until cancelled how pressed a keeper is, whenever it is.
+    """Log a line for each window under pressure, until cancelled.
 
     Parameters
     ----------
     group : consensus.Group
-        Its part in the log; without a leader it counts as pressed.
+        Named in the log; having no leader counts as pressure.
     handlers : links.Handlers
         Of all its links.
     own_links : callable
-        Returns the links that stand.
+        Returns the open links.
     link_rate : float
-        Bytes a second that the VM's link carries; 0 if not told.
+        Bytes per second that the VM's link carries; 0 if unknown.
     """
     while True:
-        before = handlers.sent.copy()
-        came, came_bytes = handlers.received.copy(), handlers.received_bytes
-        busy = time.process_time()
+        sent_before = handlers.sent.copy()
+        received_before, bytes_before = (
+            handlers.received.copy(),
+            handlers.received_bytes,
+        )
+        cpu_before = time.process_time()
         began = time.monotonic()
-        late = await _lateness(SPAN_SECONDS)
+        delay = await _worst_delay(WINDOW_SECONDS)
         seconds = time.monotonic() - began
-        sent = handlers.sent - before
+        sent = handlers.sent - sent_before
         share = sent.total() / (link_rate * seconds) if link_rate else 0.0
-        if late < LATE_SECONDS and share < LINK_SHARE and group.leader():
+        if delay < LATE_SECONDS and share < LINK_SHARE and group.leader():
             continue
-        standing = list(own_links())
+        open_links = list(own_links())
         logs.event(
             log,
             "keeper.pressed",
             leader=group.leader(),
             seconds=round(seconds, 3),
-            late=round(late, 3),
-            processor=round(time.process_time() - busy, 3),
+            late=round(delay, 3),
+            processor=round(time.process_time() - cpu_before, 3),
             link_share=round(share, 2),
-            links=len(standing),
-            writing=sum(link.is_writing() for link in standing),
-            sent=_most(sent),
-            received_bytes=handlers.received_bytes - came_bytes,
-            received=_most(handlers.received - came),
+            links=len(open_links),
+            writing=sum(link.is_writing() for link in open_links),
+            sent=_most_common(sent),
+            received_bytes=handlers.received_bytes - bytes_before,
+            received=_most_common(handlers.received - received_before),
         )
 
 
-async def _lateness(seconds: float) -> float:
-    """Return by how much the loop was late at most in the next `seconds`."""
-    worst = 0.0
-    for _ in range(int(seconds / LOOK_SECONDS)):
-        due = time.monotonic() + LOOK_SECONDS
-        await asyncio.sleep(LOOK_SECONDS)
-        worst = max(worst, time.monotonic() - due)
-    return worst
+async def _worst_delay(seconds: float) -> float:
+    """Return the longest delay of the loop within the next `seconds`."""
+    delay = 0.0
+    for _ in range(int(seconds / SAMPLE_SECONDS)):
+        due = time.monotonic() + SAMPLE_SECONDS
+        await asyncio.sleep(SAMPLE_SECONDS)
+        delay = max(delay, time.monotonic() - due)
+    return delay
 
 
-def _most(sent: collections.Counter) -> dict[str, int]:
-    return dict(sent.most_common(KINDS_MOST))
+def _most_common(counts: collections.Counter) -> dict[str, int]:
+    return dict(counts.most_common(MAX_KINDS))
--- a/amaranthring/registry/publisher.py
+++ b/amaranthring/registry/publisher.py
@@ -1,4 +1,4 @@
-"""Tells a keeper's routers of targets: all at first, then what changes."""
+"""Publishes targets to a keeper's routers: the whole table, then changes."""
 
 import asyncio
 import collections
@@ -10,22 +10,21 @@
 from amaranthring.core import wire
 from amaranthring.registry import messages
 
-# From so many records on, compressing them makes the message smaller.
-PACKED_FROM = 3
+# From this many records on, compression makes the message smaller.
+MIN_PACKED_RECORDS = 3
 
 
 class TargetPublisher:
-    """The latest record of each target that routers have not been told.
+    """Latest record of each target that routers have yet to be sent.
 
-    Records wait while the link has no room and then go together: a keeper
-    that has lost its disk would tell all routers of each target one by one,
-    many times the bytes of the compressed table. Routers that have just
-    linked wait for the whole table in turn.
+    Records wait while the link is busy and are then sent together: sent one
+    by one, a whole table would take many times the bytes of its compressed
+    form. Routers that have just linked are queued for the whole table.
 
     Parameters
     ----------
     routers : callable
-        Returns the links to tell.
+        Returns the links to send to.
     table : callable
         Returns all records.
     pacer : pacing.Pacer
@@ -43,38 +42,38 @@
         self.pacer = pacer
         self.pending: dict[str, messages.TargetRecord] = {}
         self.new_routers: collections.deque[links.Link] = collections.deque()
-        self.due = asyncio.Event()
+        self.wake = asyncio.Event()
 
     def publish(self, records: list[messages.TargetRecord]) -> None:
-        """Tell all routers of `records` as soon as there is room."""
+        """Send `records` to all routers as soon as there is room."""
         self.pending.update((record.id, record) for record in records)
-        self.due.set()
+        self.wake.set()
 
     def add_router(self, router: links.Link) -> None:
-        """Tell `router` of all targets as soon as there is room."""
+        """Send `router` all targets as soon as there is room."""
         self.new_routers.append(router)
-        self.due.set()
+        self.wake.set()
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Publish until cancelled."""
         while True:
-            await self.due.wait()
+            await self.wake.wait()
             await self.pacer.turn()
             if self.pending:
-                self._tell_changes()
+                self._send_changes()
             elif self.new_routers:
-                self._tell_newcomers()
+                self._send_table()
             else:
-                self.due.clear()
+                self.wake.clear()
 
-    def _tell_changes(self) -> None:
+    def _send_changes(self) -> None:
         records, self.pending = list(self.pending.values()), {}
         message: t.Any = messages.Targets(records)
-        if len(records) >= PACKED_FROM:
+        if len(records) >= MIN_PACKED_RECORDS:
             message = messages.pack_targets(records)
         broadcast(self.routers(), message)
 
-    def _tell_newcomers(self) -> None:
+    def _send_table(self) -> None:
         message = messages.pack_targets(self.table())
         frame = wire.encode(wire.ONE_WAY, 0, message)
         while self.new_routers:
@@ -84,7 +83,7 @@
 
 
 def broadcast(routers: t.Iterable[links.Link], message: t.Any) -> None:
-    """Send `message` to all `routers`, encoded once."""
+    """Send `message`, encoded once, to all `routers`."""
     frame = wire.encode(wire.ONE_WAY, 0, message)
     for link in list(routers):
         _send(link, frame, type(message))
@@ -94,5 +93,5 @@
     try:
         link.send_encoded(frame, wire.tag_of(kind))
     except errors.LinkError:
-        # It hears everything again on its next link.
+        # A router gets the whole table again on its next link.
         link.close()
--- a/amaranthring/registry/reporting.py
+++ b/amaranthring/registry/reporting.py
@@ -1,4 +1,4 @@
-"""A router's part in sharing counts and prompt places."""
+"""The router's side of sharing request counts and prompt locations."""
 
 import asyncio
 import collections
@@ -8,39 +8,39 @@
 from amaranthring.core import links
 from amaranthring.registry import sharing
 
-# A router that has just started reports as soon as it has a link.
-FIRST_SECONDS = 0.02
+# Until it has heard from a keeper, a router retries at this interval.
+FIRST_REPORT_SECONDS = 0.02
 
 
 class Reporter:
-    """Tells the router's keeper, and hears of the others from it.
+    """Reports to the router's home keeper and receives the others' totals.
 
     Parameters
     ----------
-    home : callable
+    home_link : callable
         Returns the link to the keeper that it reports to, or None.
     report : callable
-        Returns what the others should know, each thing that is new once.
+        Returns the next report; it contains each new location once.
     on_others : callable
-        Called with what the other routers said.
+        Called with the totals of the other routers.
     clock : callable
-        Seconds that go on while the VM is suspended.
+        Seconds; continues while the VM is suspended.
 
     Attributes
     ----------
-    heard : bool
-        Whether a keeper has said what the other routers do.
+    has_heard : bool
+        Whether a keeper has sent the totals of the other routers.
     """
 
     def __init__(
         self,
         handlers: links.Handlers,
-        home: t.Callable[[], links.Link | None],
+        home_link: t.Callable[[], links.Link | None],
         report: t.Callable[[], sharing.Report],
         on_others: t.Callable[[sharing.Others], None],
         clock: t.Callable[[], float] = clocks.boottime,
     ):
-        self.home_link = home
+        self.home_link = home_link
         self.clock = clock
         self.reported_to: links.Link | None = None
         self.synced_at: float | None = None
@@ -56,15 +56,19 @@
         """Report until cancelled."""
         while True:
             self.report()
-            pause = sharing.REPORT_SECONDS if self.has_heard else FIRST_SECONDS
-            await asyncio.sleep(pause)
+            interval = (
+                sharing.REPORT_SECONDS
+                if self.has_heard
+                else FIRST_REPORT_SECONDS
+            )
+            await asyncio.sleep(interval)
 
     def report(self) -> None:
-        """Tell the home keeper what this router does."""
+        """Send a report to the home keeper."""
         link = self.home_link()
         if link is None:
             return
-        self._leave_for(link)
+        self._switch_to(link)
         report = self.make_report()
         now = self.clock()
         if self.synced_at is not None:
@@ -72,17 +76,17 @@
         self.reported_at.append(now)
         sharing.send_if_open(link, report)
 
-    def _leave_for(self, link: links.Link) -> None:
-        """Tell the keeper reported to before that it is `link`'s turn."""
-        before, self.reported_to = self.reported_to, link
-        if before not in (None, link):
-            sharing.send_if_open(before, sharing.Left())
+    def _switch_to(self, link: links.Link) -> None:
+        """Tell the previous home keeper that this router has left it."""
+        previous, self.reported_to = self.reported_to, link
+        if previous not in (None, link):
+            sharing.send_if_open(previous, sharing.Left())
 
     def _on_others(self, link: links.Link, others: sharing.Others) -> None:
         self.has_heard = True
         if others.all_told and link is self.reported_to:
-            # A process that was frozen reads late what was sent to it
-            # before, perhaps after its next report; it knew no more then
-            # than when it made the one before that.
+            # After a freeze, this process may read the message only after its
+            # next report; the message then holds only as of the report before
+            # that one.
             self.synced_at = self.reported_at[0]
         self.on_others(others)
--- a/amaranthring/registry/sharing.py
+++ b/amaranthring/registry/sharing.py
@@ -1,8 +1,10 @@
-"""Keepers pass on what routers tell each other: counts and prompt places.
+"""Shares request counts and prompt locations between routers, through keepers.
 
-Each router reports to one keeper, its home, several times a second. Keepers
-exchange sums, and answer a router with the counts of all others. So a router
-sends and receives one message each time, however many routers there are.
+A location is a pair of prompt part and target: the target holds that part in
+its prefix cache. Each router reports to one keeper, its home keeper, several
+times a second. Keepers exchange sums and answer each router with the totals of
+all others, so a router sends and receives one message per interval, however
+many routers there are.
 """
 
 import asyncio
@@ -20,29 +22,30 @@
 from amaranthring.core import wire
 from amaranthring.registry import backlogs
 
-# Requests last about a second; counts that are a few hundred milliseconds
-# old are of use for bounding loads, for 8 messages a second and router.
+# Requests last about a second, so counts a few hundred milliseconds old still
+# bound the load, for 8 messages per second and router.
 REPORT_SECONDS = 0.25
-# Places are kept for routers that start or come to another keeper. A router
-# that restarts without them sends prompts where they must be read again.
+# Locations are kept for routers that start or move to another keeper. Without
+# them, a restarted router sends prompts to targets that must compute them
+# anew.
 RETENTION_SECONDS = 45.0
 MAX_LOCATIONS = 20_000
-# Places share what the link has room for. All at once, to many routers that
-# start or come back after a cut together, they fill it, and the keepers'
-# heartbeats come too late; a few at a time, routers send prompts where they
-# are read again until they have heard of all. Compressed, a pair takes about
-# as many bytes as its part's identifier.
+# Estimated size of a location: compressed, about that of its part's
+# identifier. Locations share the bandwidth that the pacer grants. Sent all at
+# once, to many routers that start or reconnect together, they would delay the
+# keepers' heartbeats.
 PAIR_BYTES = 10
-# Where the link's room is not known.
+# Used when there is no pacer.
 LOCATIONS_PER_MESSAGE = 100
-# What comes in any case, so that news go on during long pressure.
+# Sent regardless of the pacer, so that updates continue on a busy link.
 MIN_LOCATIONS_PER_MESSAGE = 30
-# A keeper that has said nothing for so long is cut off or gone.
+# A keeper that has sent nothing for this time is partitioned or gone.
 STALE_SECONDS = 1.5
-# What a router may lack although its keeper told it all: the other keepers'
-# last sums may be stale, and news take two messages from one to the router.
+# Age of the locations that a router may lack although its keeper had sent all:
+# the other keepers' last sums may be stale, and an update takes two messages
+# from another keeper to the router.
 PROPAGATION_SECONDS = STALE_SECONDS + 2 * REPORT_SECONDS
-# Between two lines that say how far behind places are.
+# Interval between log lines about the backlog.
 LOG_SECONDS = 1.0
 
 log = logbook.Logger(__name__)
@@ -50,26 +53,26 @@
 
 @wire.message("share-report")
 class Report:
-    """A router's requests by target, and prompt places that are new.
+    """A router's requests by target, and its new prompt locations.
 
     Attributes
     ----------
     counts : dict of str to int
-        Its requests at each target; those without any are left out.
+        Its requests at each target; targets without any are left out.
     places : list of list of str
-        Pairs of part and target.
+        Pairs of prompt part and target.
     unreached : list of str
         Targets that it could not reach when it last tried.
     reading : dict of str to int
-        Tokens that each target has yet to read for it.
+        Prompt tokens that each target has yet to process for it.
     failing : list of str
-        Targets that broke an answer off a short while ago.
+        Targets that recently broke off an answer.
     told_all_ago : float
-        Seconds since it was last told all places that there were; negative
+        Seconds since it was last sent all locations that there were; negative
         if it never was.
     tokens : dict of str to int
-        For each part in `places` the tokens of the longest beginning of a
-        prompt that it is in.
+        For each part in `places`, the tokens of the longest prompt prefix
+        that it belongs to.
     """
 
     counts: dict[str, int]
@@ -88,15 +91,15 @@
 
 @wire.message("share-sums", compressed=True)
 class Sums:
-    """Between keepers: the sums over the routers that report to the sender.
+    """Between keepers: sums over the routers that report to the sender.
 
     Attributes
     ----------
     unreached, failing : dict of str to int
-        Routers that could not reach each target, and for which it broke an
-        answer off.
+        Routers that could not reach each target, and for which it broke off
+        an answer.
     known : list of list of str
-        Pairs that are old news, for a keeper that may have lost them.
+        Older locations, for a keeper that may have lost them.
     tokens : dict of str to int
         As in :class:`Report`, for `places` and `known`.
     """
@@ -112,17 +115,15 @@
 
 @wire.message("share-others", compressed=True)
 class Others:
-    """To a router: what all other routers said; as in :class:`Sums`.
+    """To a router: totals of all other routers; fields as in :class:`Sums`.
 
-    Compressed: the same targets stand in the counts, in what they have to
-    read and in the places. Plain, the counts alone took the half of a
-    keeper's link that places have to share with them, and routers heard of
-    places seconds late or not at all.
+    Compressed, as the same target names occur in all of its fields.
+    Uncompressed, the counts alone take up the bandwidth that locations need.
 
     Attributes
     ----------
     all_told : bool
-        Whether this router has now been told all places that there are.
+        Whether this router has now been sent all locations that there are.
     """
 
     counts: dict[str, int]
@@ -144,9 +145,9 @@
     unreached : Counter
         Routers that could not reach each target.
     reading : Counter
-        Tokens that each target has yet to read.
+        Prompt tokens that each target has yet to process.
     failing : Counter
-        Routers for which each target broke an answer off.
+        Routers for which each target broke off an answer.
     """
 
     counts: collections.Counter = dataclasses.field(
@@ -162,15 +163,15 @@
         default_factory=collections.Counter
     )
 
-    def add(self, said: Report | Sums) -> None:
-        """Add one report, or the sums of others."""
-        self.counts.update(said.counts)
-        self.unreached.update(said.unreached)
-        self.reading.update(said.reading)
-        self.failing.update(said.failing)
+    def add(self, report: Report | Sums) -> None:
+        """Add one report, or the sums of another keeper."""
+        self.counts.update(report.counts)
+        self.unreached.update(report.unreached)
+        self.reading.update(report.reading)
+        self.failing.update(report.failing)
 
     def without(self, own: Report) -> "Totals":
-        """Return the sums without one report."""
+        """Return the totals minus one report."""
         return Totals(
             self.counts - collections.Counter(own.counts),
             self.unreached - collections.Counter(own.unreached),
@@ -178,11 +179,11 @@
             self.failing - collections.Counter(own.failing),
         )
 
-    def message(self, kind: type, places: list[list[str]]) -> t.Any:
-        """Return the sums as a message of `kind`, with new places."""
+    def message(self, kind: type, locations: list[list[str]]) -> t.Any:
+        """Return the totals as a message of class `kind`."""
         return kind(
             dict(self.counts),
-            places,
+            locations,
             dict(self.unreached),
             dict(self.reading),
             dict(self.failing),
@@ -190,7 +191,7 @@
 
 
 class Exchange:
-    """A keeper's part.
+    """Collects reports on a keeper and distributes the totals.
 
     Parameters
     ----------
@@ -236,27 +237,29 @@
             self.step()
 
     def step(self) -> None:
-        """Tell the other keepers, and every router that reports here."""
+        """Send the sums to the other keepers and the totals to the routers."""
         totals = self._own_totals()
-        places, self.new_locations = self.new_locations, []
-        message = totals.message(Sums, places)
-        message.tokens = self.tokens_of(places)
-        room = self._room()
-        allowed = self._allowed(room)
+        locations, self.new_locations = self.new_locations, []
+        message = totals.message(Sums, locations)
+        message.tokens = self.tokens_of(locations)
+        free = self._free_locations()
+        allowances = self._allowances(free)
         for dialler in self.peers():
-            known = self._next(self.keeper_backlogs, dialler, allowed)
-            tokens = message.tokens | self.tokens_of(known)
+            initial = self._take_locations(
+                self.keeper_backlogs, dialler, allowances
+            )
+            tokens = message.tokens | self.tokens_of(initial)
             dialler.send(
-                dataclasses.replace(message, known=known, tokens=tokens)
+                dataclasses.replace(message, known=initial, tokens=tokens)
             )
-        self._add_elsewhere(totals)
+        self._add_peer_sums(totals)
         for link, report in self.routers.items():
-            self._tell(link, report, totals, allowed)
+            self._send_others(link, report, totals, allowances)
         if self.router_backlogs:
-            self._log_behind(room)
+            self._log_backlog(free)
 
-    def _log_behind(self, room: int) -> None:
-        """Say what routers have still to be told, and what the link took."""
+    def _log_backlog(self, free: int) -> None:
+        """Log how many locations routers have yet to be sent."""
         now = self.clock()
         if now - self.logged_at < LOG_SECONDS:
             return
@@ -269,17 +272,17 @@
             waiting=len(waiting),
             pairs=sum(waiting),
             most=max(waiting),
-            room=room,
+            room=free,
         )
 
     def sync_keeper(self, dialler: t.Any) -> None:
-        """Tell a keeper that has just been linked what it may have lost.
+        """Send a newly linked keeper all locations, in case it has lost them.
 
-        One whose disk was wiped knows no place, and the routers that report
-        to it would send prompts where they have to be read again.
+        A keeper whose disk was wiped knows no locations; the routers that
+        report to it would send prompts to targets that must compute them anew.
         """
         self.keeper_backlogs[dialler] = backlogs.Backlog(
-            self.priority, self._known()
+            self.priority, self._ranked_recent_locations()
         )
 
     def _own_totals(self) -> Totals:
@@ -292,20 +295,20 @@
         return totals
 
     def _forget(self, link: links.Link) -> None:
-        """Count a router no more, and tell it nothing more."""
+        """Stop counting and informing a router."""
         if self.routers.pop(link, None) is not None:
             del self.reported_at[link]
             self.router_backlogs.pop(link, None)
 
     def _reports_elsewhere(self, link: links.Link) -> bool:
-        """Return whether the router has turned to another keeper.
+        """Return whether the router has moved to another keeper.
 
-        Its last report would count for ever beside those that it makes
-        there, as requests that no target has.
+        Its last report would otherwise be counted here forever, beside those
+        that it sends to the other keeper.
         """
         return self.clock() - self.reported_at[link] > STALE_SECONDS
 
-    def _add_elsewhere(self, totals: Totals) -> None:
+    def _add_peer_sums(self, totals: Totals) -> None:
         oldest = self.clock() - STALE_SECONDS
         for name, (heard_at, sums) in list(self.sums.items()):
             if heard_at <= oldest:
@@ -313,57 +316,61 @@
             else:
                 totals.add(sums)
 
-    def _tell(
+    def _send_others(
         self,
         link: links.Link,
         report: Report,
         totals: Totals,
-        allowed: dict[t.Any, int],
+        allowances: dict[t.Any, int],
     ) -> None:
-        places = self._next(self.router_backlogs, link, allowed)
-        message = totals.without(report).message(Others, places)
+        locations = self._take_locations(
+            self.router_backlogs, link, allowances
+        )
+        message = totals.without(report).message(Others, locations)
         message.all_told = (
-            link not in self.router_backlogs and self._hears_all()
+            link not in self.router_backlogs and self._hears_all_keepers()
         )
         send_if_open(link, message)
 
-    def _hears_all(self) -> bool:
-        """Return whether this keeper knows what every other one knows."""
+    def _hears_all_keepers(self) -> bool:
+        """Return whether the sums of every other keeper are current."""
         return len(self.sums) >= len(list(self.peers()))
 
-    def _next(
+    def _take_locations(
         self,
-        waiting: dict[t.Any, backlogs.Backlog],
-        to: t.Any,
-        allowed: dict[t.Any, int],
+        backlogs_by_receiver: dict[t.Any, backlogs.Backlog],
+        receiver: t.Any,
+        allowances: dict[t.Any, int],
     ) -> list[list[str]]:
-        """Return the pairs that `to` is told now."""
-        if to not in waiting:
+        """Remove and return the locations to send to `receiver` now."""
+        if receiver not in backlogs_by_receiver:
             return []
-        taken = waiting[to].take(allowed[to])
-        if not len(waiting[to]):
-            del waiting[to]
+        taken = backlogs_by_receiver[receiver].take(allowances[receiver])
+        if not len(backlogs_by_receiver[receiver]):
+            del backlogs_by_receiver[receiver]
         return taken
 
-    def _room(self) -> int:
-        """Return how many pairs may go now to all together."""
+    def _free_locations(self) -> int:
+        """Return how many locations may be sent now, to all processes."""
         if self.pacer is None:
             return LOCATIONS_PER_MESSAGE * (
                 len(self.router_backlogs) + len(self.keeper_backlogs)
             )
         return int(self.pacer.room() / PAIR_BYTES)
 
-    def _allowed(self, room: int) -> dict[t.Any, int]:
-        """Return how many pairs each process may be told now.
+    def _allowances(self, free: int) -> dict[t.Any, int]:
+        """Return how many locations each process may be sent now.
 
-        Shared out before any is told: what goes to the first ones takes
-        room, and those who come last would be behind for good.
+        Computed before any are sent: sending uses up room, and the last
+        receivers would lag behind permanently.
         """
         waiting = {**self.router_backlogs, **self.keeper_backlogs}
-        sizes = {to: len(backlog) for to, backlog in waiting.items()}
+        sizes = {
+            receiver: len(backlog) for receiver, backlog in waiting.items()
+        }
         return {
-            to: max(MIN_LOCATIONS_PER_MESSAGE, share)
-            for to, share in backlogs.fair_shares(sizes, room).items()
+            receiver: max(MIN_LOCATIONS_PER_MESSAGE, share)
+            for receiver, share in backlogs.fair_shares(sizes, free).items()
         }
 
     def _on_report(self, link: links.Link, report: Report) -> None:
@@ -371,61 +378,66 @@
         self.routers[link] = report
         self.reported_at[link] = self.clock()
         if is_new:
-            # It takes no callers until it knows what the others do.
-            known = self._unknown_to(report)
-            self.router_backlogs[link] = backlogs.Backlog(self.priority, known)
+            # A new router accepts no callers until it knows the others'
+            # totals.
+            missing = self._missing_locations(report)
+            self.router_backlogs[link] = backlogs.Backlog(
+                self.priority, missing
+            )
             totals = self._own_totals()
-            self._add_elsewhere(totals)
-            self._tell(link, report, totals, self._allowed(self._room()))
+            self._add_peer_sums(totals)
+            self._send_others(
+                link, report, totals, self._allowances(self._free_locations())
+            )
         self.new_locations += report.places
         self.merge_tokens(report.tokens)
-        self._pass_on(report.places, but=link)
+        self._forward(report.places, sender=link)
 
     def _on_left(self, link: links.Link, _left: Left) -> None:
-        # Until its report was stale, the router was told places here that it
-        # was also told by the next keeper, and others waited for the room.
+        # Kept until its report is stale, the router would be sent locations by
+        # two keepers, which delays those for other routers.
         self._forget(link)
 
-    def _unknown_to(self, report: Report) -> list[list[str]]:
-        """Return the pairs that a router may lack that reports here anew.
+    def _missing_locations(self, report: Report) -> list[list[str]]:
+        """Return the locations that a router new to this keeper may lack.
 
-        Most come from another keeper, and were told all but what is new. All
-        pairs again, to all routers beyond a cut at once, kept news waiting
-        for seconds.
+        Most such routers come from another keeper and lack only recent
+        locations. Sent all locations again, to every router behind a partition
+        at once, they would get new ones seconds late.
         """
         if report.told_all_ago < 0:
-            return self._known()
+            return self._ranked_recent_locations()
         age = report.told_all_ago + PROPAGATION_SECONDS
-        return self._by_rank(self._kept_since(self.clock() - age))
+        return self._by_priority(self._locations_since(self.clock() - age))
 
     def _on_sums(self, link: links.Link, sums: Sums) -> None:
         self.sums[link.peer.name] = (self.clock(), sums)
         self.merge_tokens(sums.tokens)
-        self._pass_on(sums.places, but=link)
+        self._forward(sums.places, sender=link)
         lost = [
             pair for pair in sums.known if tuple(pair) not in self.stored_at
         ]
-        self._pass_on(lost, but=link)
+        self._forward(lost, sender=link)
 
-    def _pass_on(self, places: list[list[str]], but: links.Link) -> None:
-        if not places:
+    def _forward(self, locations: list[list[str]], sender: links.Link) -> None:
+        if not locations:
             return
-        self.store_locations(places)
-        ranked = collections.defaultdict(list)
-        for pair in places:
-            ranked[self.priority(pair[0])].append(pair)
+        self.store_locations(locations)
+        by_priority = collections.defaultdict(list)
+        for pair in locations:
+            by_priority[self.priority(pair[0])].append(pair)
         for link in self.routers:
-            if link is not but:
-                waiting = self.router_backlogs.setdefault(
+            if link is not sender:
+                backlog = self.router_backlogs.setdefault(
                     link, backlogs.Backlog(self.priority, [])
                 )
-                waiting.add(ranked)
+                backlog.add(by_priority)
 
-    def store_locations(self, places: list[list[str]]) -> None:
-        """Remember pairs for routers that start."""
+    def store_locations(self, locations: list[list[str]]) -> None:
+        """Store locations for routers that start."""
         now = self.clock()
         self.ranked_at = float("-inf")
-        for part_id, target_id in places:
+        for part_id, target_id in locations:
             self.stored_at[part_id, target_id] = now
             self.stored_at.move_to_end((part_id, target_id))
         while self.stored_at:
@@ -440,49 +452,53 @@
             self.tokens = self.tokens_of(self.recent_locations())
 
     def recent_locations(self) -> list[list[str]]:
-        """Return the pairs that are not too old, the newest last."""
-        return self._kept_since(self.clock() - RETENTION_SECONDS)
+        """Return the locations within the retention time, the newest last."""
+        return self._locations_since(self.clock() - RETENTION_SECONDS)
 
-    def _kept_since(self, oldest: float) -> list[list[str]]:
+    def _locations_since(self, oldest: float) -> list[list[str]]:
         newest_first = reversed(self.stored_at.items())
-        fresh = itertools.takewhile(lambda one: one[1] > oldest, newest_first)
+        fresh = itertools.takewhile(
+            lambda item: item[1] > oldest, newest_first
+        )
         return [list(pair) for pair, _ in fresh][::-1]
 
-    def _known(self) -> list[list[str]]:
-        """Return the pairs that are kept, those of the longest parts last.
+    def _ranked_recent_locations(self) -> list[list[str]]:
+        """Return the recent locations, those of the longest parts last.
 
-        All who come together share them: routers that start at once ask for
-        the same pairs.
+        Cached and shared, as routers that start together need the same ones.
         """
         now = self.clock()
         if now - self.ranked_at > REPORT_SECONDS:
-            self.ranked_locations = self._by_rank(self.recent_locations())
+            self.ranked_locations = self._by_priority(self.recent_locations())
             self.ranked_at = now
         return self.ranked_locations
 
-    def _by_rank(self, places: list[list[str]]) -> list[list[str]]:
-        return sorted(places, key=lambda pair: self.priority(pair[0]))
+    def _by_priority(self, locations: list[list[str]]) -> list[list[str]]:
+        return sorted(locations, key=lambda pair: self.priority(pair[0]))
 
     def priority(self, part_id: str) -> int:
-        """Return how urgent a part is: its tokens by powers of two."""
+        """Return how urgent a part is: the bit length of its token count."""
         return self.tokens.get(part_id, 0).bit_length()
 
     def merge_tokens(self, tokens: dict[str, int]) -> None:
-        """Take the tokens of beginnings that parts are in."""
+        """Merge token counts of prompt prefixes, by part."""
         for part_id, count in tokens.items():
             self.tokens[part_id] = max(count, self.tokens.get(part_id, 0))
 
-    def tokens_of(self, places: list[list[str]]) -> dict[str, int]:
-        """Return the tokens of the parts in `places`, where known."""
-        parts = {part_id for part_id, _ in places}
-        return {one: self.tokens[one] for one in parts & self.tokens.keys()}
+    def tokens_of(self, locations: list[list[str]]) -> dict[str, int]:
+        """Return the known token counts of the parts in `locations`."""
+        parts = {part_id for part_id, _ in locations}
+        return {
+            part_id: self.tokens[part_id]
+            for part_id in parts & self.tokens.keys()
+        }
 
 
 def send_if_open(link: links.Link, message: t.Any) -> None:
-    """Send `message` one way, if the link stands."""
+    """Send `message` without a reply, if the link is open."""
     try:
         link.send(message)
     except errors.LinkError:
-        # The link's own task finds that out and dials again. Counts are sent
-        # again soon; a place is told again while it is used.
+        # The dialler reconnects. Counts are sent again soon, and a location is
+        # reported again while it is in use.
         return
--- a/amaranthring/registry/subscriber.py
+++ b/amaranthring/registry/subscriber.py
@@ -1,10 +1,10 @@
-"""The router's side: a link to every keeper, the plan and the targets.
+"""The router's side: links to all keepers, the plan and the targets.
 
 A router may act on its plan only while it knows that no higher version was
 acknowledged long ago. It asks every keeper a few times a second; the leader,
-which has a quorum, can confirm. The age of the newest confirmed question
-bounds how old the plan can be, also if the router was cut off, frozen or
-suspended meanwhile: the clock goes on while a VM is suspended.
+which has a quorum, can confirm. The age of the newest confirmed request bounds
+the age of the plan, also after a partition, a freeze or a suspension, as the
+clock continues while a VM is suspended.
 """
 
 import asyncio
@@ -25,16 +25,16 @@
 
 log = logbook.Logger(__name__)
 
-# Twice a second keeps the plan's age far below the seconds that a withdrawn
-# key may still work, for 2 messages a second and keeper.
+# Keeps the plan's age far below the time for which a withdrawn key may still
+# work, for 2 messages per second and keeper.
 RENEW_SECONDS = 0.5
-# A keeper that does not answer by then is frozen or its link went silent.
+# A keeper that does not answer in this time is frozen or its link is dead.
 REPLY_SECONDS = 1.2
-# A router whose plan nobody has confirmed for so long, two questions' time,
-# asks a keeper that begins to lead at once.
+# If the plan has not been confirmed for this time, two renewal intervals, the
+# router asks a new leader at once.
 UNCONFIRMED_SECONDS = 1.0
-# A router that no keeper has answered for so long, one question's time and
-# its answer's, is itself cut off; keepers that lost their quorum answer.
+# If no keeper has answered for this time, the router itself is cut off;
+# keepers without a quorum still answer.
 CUT_OFF_SECONDS = RENEW_SECONDS + REPLY_SECONDS
 
 
@@ -45,17 +45,17 @@
     ----------
     identity, keys
         For the links.
-    take_plan : callable
+    apply_plan : callable
         Called with the document of each newer plan, before its version
-        counts as held. It raises an ``AmaranthringError`` if it cannot be
-        used.
+        counts as held. It raises an ``AmaranthringError`` if the plan cannot
+        be used.
 
     Attributes
     ----------
     version : int
         Version of the plan held; -1 before the first.
     confirmed_at : float
-        When the newest question was sent that a leader answered with the
+        When the newest request was sent that a leader answered with the
         version held, in seconds of :func:`clocks.boottime`.
     answered_at : float
         When any keeper last answered, on the same clock.
@@ -69,11 +69,11 @@
         self,
         identity: links.Identity,
         keys: links.Keys,
-        take_plan: t.Callable[[bytes], None],
+        apply_plan: t.Callable[[bytes], None],
     ):
         self.identity = identity
         self.keys = keys
-        self.apply_plan = take_plan
+        self.apply_plan = apply_plan
         self.handlers = links.Handlers()
         self.handlers.add(messages.Targets, self._on_targets)
         self.handlers.add(messages.AllTargets, self._on_all_targets)
@@ -89,46 +89,49 @@
         self.answered_at = float("-inf")
         self.first_confirmed = asyncio.Event()
         self.seeds: list[str] = []
-        # What deltas apply to; None before the first plan, or if one failed.
-        self._document_held: bytes | None = None
-        # Version that a leader last confirmed, and when it was asked; a plan
-        # that is fetched after the answer is confirmed by it as well.
+        # Base of deltas; None before the first plan, or after one failed to
+        # apply.
+        self._delta_document: bytes | None = None
+        # Version that a leader last confirmed, and when it was asked. It also
+        # confirms a plan that is fetched after the answer.
         self._newest_confirmed = (-1, float("-inf"))
         self.fetcher = fetching.PlanFetcher(
             identity.name,
             lambda: self.version,
-            self._base,
+            self._delta_base,
             self.open_links,
-            self._take,
+            self._apply,
         )
 
     @property
     def routers(self) -> int:
-        """Return how many routers there are, as far as is known."""
+        """Return the number of routers, as far as known."""
         return max([1, *self.router_counts.values()])
 
     def home_link(self) -> links.Link | None:
         """Return the link to the keeper that this router reports to.
 
-        One in its own data centre, if there is one: when that is cut off,
-        its routers go on hearing of each other. With a keeper beyond the cut
-        they sent what they knew nowhere for 1.7 s, and read each prompt on
-        each engine that was left. Among several, routers choose by hashing,
-        so keepers share the work evenly and only the routers of one that is
-        lost have to choose again.
+        A keeper in the router's own data centre is preferred, so that its
+        routers still hear of each other when it is partitioned. Among several,
+        rendezvous hashing spreads the routers evenly, and only those of a lost
+        keeper have to choose again.
         """
-        linked = self._linked()
-        here = self.identity.data_centre
-        near = [a for a, k in linked.items() if k.peer.data_centre == here]
-        chosen = hashing.first(self.identity.name, near or linked)
-        return linked[chosen] if chosen else None
+        by_address = self._links_by_address()
+        own_data_centre = self.identity.data_centre
+        near = [
+            address
+            for address, link in by_address.items()
+            if link.peer.data_centre == own_data_centre
+        ]
+        chosen = hashing.first(self.identity.name, near or by_address)
+        return by_address[chosen] if chosen else None
 
     def open_links(self) -> list[links.Link]:
-        """Return the links to keepers that stand."""
-        return list(self._linked().values())
+        """Return the open links to keepers."""
+        return list(self._links_by_address().values())
 
-    def _linked(self) -> dict[str, links.Link]:
-        """Return the links to keepers that stand, by address."""
+    def _links_by_address(self) -> dict[str, links.Link]:
+        """Return the open links to keepers, by address."""
         return {
             address: dialler.link
             for address, dialler in self.diallers.items()
@@ -136,7 +139,7 @@
         }
 
     def is_fresh(self, seconds: float) -> bool:
-        """Return whether the plan was the newest `seconds` ago or later."""
+        """Return whether the plan was the newest less than `seconds` ago."""
         return clocks.boottime() - self.confirmed_at < seconds
 
     def is_cut_off(self) -> bool:
@@ -144,7 +147,7 @@
         return clocks.boottime() - self.answered_at > CUT_OFF_SECONDS
 
     def add_keepers(self, addresses: list[str]) -> None:
-        """Link to the keepers at `addresses`, beside those already known."""
+        """Link to those keepers at `addresses` that are not known yet."""
         for address in addresses:
             if address in self.diallers:
                 continue
@@ -153,16 +156,16 @@
             )
             self.diallers[address] = dialler
             dialler.start()
-            task = asyncio.ensure_future(self._ask(address, dialler))
+            task = asyncio.ensure_future(self._poll(address, dialler))
             self.renewal_tasks[address] = task
 
     def use_seeds(self, addresses: list[str]) -> None:
-        """Take the keepers that the settings name now."""
+        """Use the keepers that the settings name now."""
         self.seeds = addresses
         self.add_keepers(addresses)
 
     def remove_keeper(self, address: str) -> None:
-        """Give up on a keeper that is no longer one."""
+        """Close the link to a keeper that is no longer a member."""
         self.diallers.pop(address).stop()
         self.renewal_tasks.pop(address).cancel()
         self.router_counts.pop(address, None)
@@ -175,9 +178,9 @@
         for address in list(self.diallers):
             self.remove_keeper(address)
 
-    # -- what keepers say --------------------------------------------
+    # -- messages from keepers ---------------------------------------
 
-    async def _ask(self, address: str, dialler: links.Dialler) -> None:
+    async def _poll(self, address: str, dialler: links.Dialler) -> None:
         linked = False
         while True:
             link = dialler.link
@@ -198,19 +201,19 @@
                 messages.Renew(self.version), REPLY_SECONDS
             )
         except errors.LinkTimeoutError:
-            # Frozen, cut off, or a connection that went silent for good.
+            # Frozen, partitioned, or on a connection that has gone silent.
             link.close()
             return
         except errors.AmaranthringError:
             return
         self.router_counts[address] = reply.routers
         self.answered_at = clocks.boottime()
-        self._learn(reply)
+        self._update_keepers(reply)
         self.fetcher.offer(link, reply.version)
         if reply.confirmed:
             self._confirm(reply.version, sent_at)
 
-    def _learn(self, reply: messages.Renewed) -> None:
+    def _update_keepers(self, reply: messages.Renewed) -> None:
         self.add_keepers(reply.keepers)
         if not reply.confirmed:
             return
@@ -220,9 +223,9 @@
 
     def _on_notice(self, link: links.Link, notice: messages.PlanNotice):
         self.fetcher.offer(link, notice.version)
-        # Who does not lead confirms nothing, and one question at a time is
-        # enough: the answers to all routers that ask all keepers for each
-        # notice would delay a new leader's first append.
+        # Only a leader can confirm, and one request at a time is enough:
+        # answers to every router for every notice would delay a new leader's
+        # first append.
         if not notice.leads or self.is_fresh(UNCONFIRMED_SECONDS):
             return
         address = self._address_of(link)
@@ -231,24 +234,28 @@
         self.noticed.add(link)
         if link in self.notice_tasks:
             return
-        task = asyncio.ensure_future(self._renew_noticed(address, link))
+        task = asyncio.ensure_future(self._renew_after_notice(address, link))
         self.notice_tasks[link] = task
         task.add_done_callback(lambda _: self.notice_tasks.pop(link, None))
 
-    async def _renew_noticed(self, address: str, link: links.Link) -> None:
-        # A notice that comes while a question is under way may be what that
-        # question came too early for.
+    async def _renew_after_notice(
+        self, address: str, link: links.Link
+    ) -> None:
+        # A renewal in progress may have been answered before this notice.
         while link in self.noticed:
             self.noticed.discard(link)
             await self._renew(address, link)
 
     def _address_of(self, link: links.Link) -> str | None:
-        known = {one: address for address, one in self._linked().items()}
-        return known.get(link)
+        addresses = {
+            linked: address
+            for address, linked in self._links_by_address().items()
+        }
+        return addresses.get(link)
 
-    def _take(self, plan: messages.PlanBody) -> None:
-        if plan.base >= 0 and plan.base != self._base():
-            # Another keeper's plan came first; this one is offered again.
+    def _apply(self, plan: messages.PlanBody) -> None:
+        if plan.base >= 0 and plan.base != self._delta_base():
+            # Another keeper's plan came first; this one will be offered again.
             logs.event(log, "plan.delta-late", version=plan.version)
             return
         try:
@@ -256,10 +263,10 @@
             self.apply_plan(document)
         except errors.AmaranthringError as error:
             log.error("plan.refused version={} fault={}", plan.version, error)
-            # Whatever is wrong with it, it is not asked for as a delta again.
-            self._document_held = None
+            # Whatever the error, the next request is for a whole plan.
+            self._delta_document = None
             return
-        self._document_held = document
+        self._delta_document = document
         logs.event(
             log, "plan.in-force", version=plan.version, before=self.version
         )
@@ -269,13 +276,13 @@
     def _document(self, plan: messages.PlanBody) -> bytes:
         if plan.base < 0:
             return plans.decompress(plan.body)
-        return deltas.apply(self._document_held, plan.body)
+        return deltas.apply(self._delta_document, plan.body)
 
-    def _base(self) -> int:
-        return -1 if self._document_held is None else self.version
+    def _delta_base(self) -> int:
+        return -1 if self._delta_document is None else self.version
 
     def _confirm(self, version: int, asked_at: float) -> None:
-        """Note that `version` was the newest when a leader was asked."""
+        """Record that `version` was the newest when a leader was asked."""
         if version >= self._newest_confirmed[0]:
             self._newest_confirmed = (version, asked_at)
         if self.version >= version >= 0:
@@ -287,8 +294,10 @@
     ) -> None:
         self._merge(messages.unpack_targets(message))
 
-    def _on_targets(self, _link: links.Link, news: messages.Targets) -> None:
-        self._merge(news.records)
+    def _on_targets(
+        self, _link: links.Link, message: messages.Targets
+    ) -> None:
+        self._merge(message.records)
 
     def _merge(self, records: list[messages.TargetRecord]) -> None:
         for record in records:
--- a/amaranthring/registry/targets.py
+++ b/amaranthring/registry/targets.py
@@ -1,9 +1,9 @@
 """Table of targets, merged from announcements in any order.
 
-Keepers and routers hold one each. Merging does not depend on the order or
-the number of messages: of the starts of a target the one that was born last
-wins and ends those before it; of one start the highest sequence wins, and
-its state only goes forward.
+Keepers and routers hold one each. The result does not depend on the order or
+number of messages: of the incarnations of a target the last born wins and ends
+the earlier ones; of one incarnation the highest sequence wins, and its state
+only advances.
 """
 
 import dataclasses
@@ -14,9 +14,9 @@
 from amaranthring.core import logs
 from amaranthring.registry import messages
 
-# An announcement of a start that is not known yet takes the address of a
-# start that is still heard only if it is one of its first. A later one was
-# held up by a cut and speaks of a process that is long gone.
+# An unknown incarnation may take an address whose holder is still heard only
+# with one of its first announcements. A later one was delayed by a partition
+# and comes from a process that has ended.
 FIRST_SEQUENCES = 3
 
 
@@ -24,7 +24,7 @@
 
 
 def log_change(record: messages.TargetRecord) -> None:
-    """Log that what is believed of a target has changed."""
+    """Log a change of a target's record."""
     logs.event(
         log,
         "target.changed",
@@ -40,19 +40,19 @@
 
 @dataclasses.dataclass
 class Entry:
-    """What is known of one start of a target.
+    """One incarnation of a target.
 
     Attributes
     ----------
     record : TargetRecord
-        Merged.
+        The merged record.
     heard_at : float
-        When the newest sequence came, in seconds of the table's clock.
+        When the highest sequence arrived, in seconds of the table's clock.
     gone_at : float
-        When it was found to be gone; 0 while it is not.
-    goes_on : bool
-        Whether it said that it is gone without having drained before: such a
-        target still serves for a while, one that has drained ends at once.
+        When it was found to be gone; 0 before.
+    still_serving : bool
+        Whether it went without draining first: such a target serves for a
+        while, one that has drained ends at once.
     """
 
     record: messages.TargetRecord
@@ -67,20 +67,20 @@
     Parameters
     ----------
     clock : callable
-        Seconds that go on while the VM is suspended.
+        Seconds; continues while the VM is suspended.
     fresh_seconds : float
-        How long after its last announcement a target surely holds its
-        address. 0 where records come from keepers, which judged that.
+        How long after its last announcement a target certainly holds its
+        address. 0 where records come from keepers, which have checked that.
 
     Attributes
     ----------
     entries : dict
-        Entry by id; one whose address another start has taken is kept, in
-        case the other turns out to be the older one.
+        Entry by id. An entry whose address another incarnation has taken is
+        kept, as the other may prove to be the older one.
     by_address : dict
-        Id of the start that holds each address now.
-    newest : dict
-        Id of the start that was born last, by the target's name.
+        Id of the incarnation that holds each address now.
+    newest_by_name : dict
+        Id of the incarnation that was born last, by the target's name.
     """
 
     def __init__(self, clock: t.Callable[[], float], fresh_seconds: float):
@@ -91,21 +91,21 @@
         self.newest_by_name: dict[str, str] = {}
 
     def merge(self, record: messages.TargetRecord) -> bool:
-        """Take `record` in; return whether others should hear of it."""
+        """Merge `record`; return whether to forward the result."""
         entry = self.entries.get(record.id)
         if entry is not None:
-            return self._update(entry, record)
-        before = self.entries.get(self.newest_by_name.get(record.name, ""))
-        if before is not None and before.record.born > record.born:
-            # Held up on its way, of a process that is no more; or of
-            # another writer, which does not say when the target was born.
+            return self._merge_known(entry, record)
+        previous = self.entries.get(self.newest_by_name.get(record.name, ""))
+        if previous is not None and previous.record.born > record.born:
+            # Delayed, from a process that has ended; or from another sender,
+            # which does not say when the target was born.
             return False
         now = self.clock()
         gone = record.state == messages.State.GONE
         if not gone and not self._may_take_address(record):
             return False
-        if before is not None:
-            self._end(before)
+        if previous is not None:
+            self._mark_ended(previous)
         self.newest_by_name[record.name] = record.id
         self.entries[record.id] = Entry(record, now, now if gone else 0.0)
         if not gone:
@@ -115,12 +115,12 @@
     def restore(
         self, records: t.Iterable[messages.TargetRecord], age: float
     ) -> None:
-        """Take in what was known before a start.
+        """Merge records that were known before a restart.
 
         Parameters
         ----------
         age : float
-            Seconds for which they count as not heard already.
+            Seconds for which the targets count as not heard from already.
         """
         heard_at = self.clock() - age
         for record in records:
@@ -128,24 +128,24 @@
                 self.entries[record.id].heard_at = heard_at
 
     def mark_gone(self, target_id: str) -> messages.TargetRecord | None:
-        """Note that a target is gone; return its record if it was known."""
+        """Mark a target as gone; return its record if it was known."""
         entry = self.entries.get(target_id)
         if entry is None:
             return None
         if not entry.gone_at:
             entry.still_serving = entry.record.state == messages.State.READY
-        self._end(entry)
+        self._mark_ended(entry)
         return entry.record
 
     def mark_gone_by_name(
         self, name: str, born: int
     ) -> messages.TargetRecord | None:
-        """Note that the target `name` is gone; as :meth:`leave`.
+        """Mark the target `name` as gone, as :meth:`mark_gone`.
 
         Parameters
         ----------
         born : int
-            When the start was born that says so; 0 if it does not say.
+            Birth time of the incarnation that reports it; 0 if unknown.
         """
         entry = self.entries.get(self.newest_by_name.get(name, ""))
         if entry is None or 0 < born < entry.record.born:
@@ -153,7 +153,7 @@
         return self.mark_gone(entry.record.id)
 
     def record_heartbeat(self, target_id: str, sequence: int) -> bool:
-        """Note a sign of life; return whether the target was silent."""
+        """Record that a target is alive; return whether it was silent."""
         entry = self.entries.get(target_id)
         if entry is None or sequence <= entry.record.sequence:
             return False
@@ -165,19 +165,19 @@
         return was_silent
 
     def mark_silent(self, seconds: float) -> list[messages.TargetRecord]:
-        """Mark and return targets not heard for `seconds`."""
+        """Mark and return the targets not heard from for `seconds`."""
         now = self.clock()
-        marked = []
+        silent = []
         for entry in self.entries.values():
             if entry.gone_at or entry.record.silent:
                 continue
             if now - entry.heard_at > seconds:
                 entry.record = dataclasses.replace(entry.record, silent=True)
-                marked.append(entry.record)
-        return marked
+                silent.append(entry.record)
+        return silent
 
     def remove_expired(self, seconds: float) -> None:
-        """Drop targets that went, or fell silent, `seconds` ago."""
+        """Remove targets that went or fell silent more than `seconds` ago."""
         now = self.clock()
         for target_id, entry in list(self.entries.items()):
             since = entry.gone_at or entry.heard_at
@@ -190,7 +190,7 @@
                     del self.by_address[entry.record.address]
 
     def records(self) -> list[messages.TargetRecord]:
-        """Return the records of all that hold an address or are gone."""
+        """Return the records of targets that hold an address or are gone."""
         return [
             entry.record
             for entry in self.entries.values()
@@ -198,51 +198,58 @@
         ]
 
     def active(self) -> t.Iterator[messages.TargetRecord]:
-        """Return the records of all that hold an address."""
+        """Return the records of all targets that hold an address."""
         for target_id in self.by_address.values():
             yield self.entries[target_id].record
 
     def holds_address(self, record: messages.TargetRecord) -> bool:
-        """Return whether `record` is of the start at its address now."""
+        """Return whether the incarnation of `record` holds its address now."""
         return self.by_address.get(record.address) == record.id
 
-    def _update(self, entry: Entry, record: messages.TargetRecord) -> bool:
-        held = entry.record
-        rank = messages.STATE_ORDER
-        state = max(held.state, record.state, key=rank.__getitem__)
-        if record.sequence > held.sequence:
+    def _merge_known(
+        self, entry: Entry, record: messages.TargetRecord
+    ) -> bool:
+        previous = entry.record
+        order = messages.STATE_ORDER
+        state = max(previous.state, record.state, key=order.__getitem__)
+        if record.sequence > previous.sequence:
             entry.heard_at = self.clock()
             entry.record = dataclasses.replace(record, state=state)
-        elif record.sequence == held.sequence:
-            silent = held.silent or record.silent
+        elif record.sequence == previous.sequence:
+            silent = previous.silent or record.silent
             entry.record = dataclasses.replace(
-                held, state=state, silent=silent
+                previous, state=state, silent=silent
             )
         else:
-            entry.record = dataclasses.replace(held, state=state)
+            entry.record = dataclasses.replace(previous, state=state)
         if state == messages.State.GONE and not entry.gone_at:
-            entry.still_serving = held.state == messages.State.READY
-            self._end(entry)
-        new = entry.record
-        return (new.state, new.silent, new.address, new.service) != (
-            held.state,
-            held.silent,
-            held.address,
-            held.service,
+            entry.still_serving = previous.state == messages.State.READY
+            self._mark_ended(entry)
+        merged = entry.record
+        return (
+            merged.state,
+            merged.silent,
+            merged.address,
+            merged.service,
+        ) != (
+            previous.state,
+            previous.silent,
+            previous.address,
+            previous.service,
         )
 
     def _may_take_address(self, record: messages.TargetRecord) -> bool:
-        holder = self.by_address.get(record.address, "")
-        occupant = self.entries.get(holder)
-        if occupant is None or record.sequence <= FIRST_SEQUENCES:
+        holder_id = self.by_address.get(record.address, "")
+        holder = self.entries.get(holder_id)
+        if holder is None or record.sequence <= FIRST_SEQUENCES:
             return True
-        if occupant.record.name == record.name:
-            # The same target, started again.
+        if holder.record.name == record.name:
+            # The same target has restarted.
             return True
-        age = self.clock() - occupant.heard_at
+        age = self.clock() - holder.heard_at
         return age >= self.fresh_seconds
 
-    def _end(self, entry: Entry) -> None:
+    def _mark_ended(self, entry: Entry) -> None:
         entry.gone_at = entry.gone_at or self.clock()
         entry.record = dataclasses.replace(
             entry.record, state=messages.State.GONE
--- a/amaranthring/targets/__init__.py
+++ b/amaranthring/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Targets: announcements, leases, and the requests we send them."""
+"""Targets: announcements, leases, and requests to them."""
--- a/amaranthring/targets/announce.py
+++ b/amaranthring/targets/announce.py
@@ -1,4 +1,4 @@
-"""HTTP handlers on the internal listener by which targets announce.
+"""HTTP handlers on the internal listener through which targets announce.
 
 ``POST /targets/announce``, ``renew``, ``report`` and ``leave``; see
 ``docs/targets-announcing.md``.
@@ -16,10 +16,10 @@
 
 
 class AnnounceHandler(tornado.web.RequestHandler):
-    """One message of a target; `act` tells the table."""
+    """Handles one message of a target; `act` applies it to the table."""
 
     def initialize(self, table, keys, metrics, model, act):
-        """Take what :func:`routes` hands on."""
+        """Store the arguments given by :func:`routes`."""
         self.table = table
         self.keys = keys
         self.metrics = metrics
@@ -27,7 +27,7 @@
         self.act = act
 
     def post(self):
-        """Check, decode and act; answer with the lease or a typed error."""
+        """Apply a valid message; answer with the lease or an error."""
         try:
             header = self.request.headers.get(protocol.KEY_HEADER, "")
             protocol.verify(self.keys, header, self.request.body)
@@ -43,7 +43,7 @@
         self.finish(answer)
 
     def refuse(self, error: errors.AmaranthringError) -> None:
-        """Answer with `error` in its JSON form."""
+        """Answer with `error` as JSON."""
         self.metrics.count(f"targets.refused.{error.code}")
         self.set_status(error.status)
         if error.retry_after is not None:
@@ -62,7 +62,7 @@
     Parameters
     ----------
     keys : dict
-        Shared keys by id; each is accepted.
+        Shared keys by id; all of them are accepted.
     """
 
     def announce(body):
@@ -77,7 +77,7 @@
     def leave(body):
         table.leave(body.name, body.incarnation, body.sequence)
 
-    acts = {
+    routes_by_name = {
         "announce": (protocol.Announcement, announce),
         "renew": (protocol.Renewal, renew),
         "report": (protocol.LoadReport, report),
@@ -95,5 +95,5 @@
                 "act": act,
             },
         )
-        for name, (model, act) in acts.items()
+        for name, (model, act) in routes_by_name.items()
     ]
--- a/amaranthring/targets/claims.py
+++ b/amaranthring/targets/claims.py
@@ -1,7 +1,7 @@
-"""What a target may claim: its incarnation, name, address and sequence.
+"""Checks of what a target claims: incarnation, name, address and sequence.
 
 All targets share the same keys, so a claim cannot be proved; it is refused
-when it contradicts a target that is heard now.
+when it contradicts a live target.
 """
 
 import typing as t
@@ -12,36 +12,36 @@
 
 
 def check_incarnation(
-    entry: entries.Entry, target: records.Target, holder_lives: bool
+    entry: entries.Entry, announced: records.Target, holder_alive: bool
 ) -> None:
-    """Check a target that announces a name which `entry` has.
+    """Check an announcement under a name that `entry` already has.
 
     Parameters
     ----------
-    holder_lives : bool
-        Whether the target of `entry` is heard now.
+    holder_alive : bool
+        Whether the target of `entry` is currently heard from.
 
     Raises
     ------
     errors.StaleIncarnationError
-        If the incarnation is older, or has left: a late or replayed
-        announcement of a predecessor must not bring it back.
+        If the incarnation is older or has left: a late or replayed
+        announcement must not revive it.
     errors.NameTakenError
-        If a live target elsewhere holds the name.
+        If a live target at another address holds the name.
     """
     known = entry.target
-    older = target.incarnation < known.incarnation
-    same = target.incarnation == known.incarnation
-    if older or (same and entry.version.leaving):
+    is_older = announced.incarnation < known.incarnation
+    is_same = announced.incarnation == known.incarnation
+    if is_older or (is_same and entry.version.leaving):
         raise errors.StaleIncarnationError(
-            f"target {target.name}: this incarnation is past",
-            given=target.incarnation,
-            expected=f"{known.incarnation + same} or above",
+            f"target {announced.name}: this incarnation has ended",
+            given=announced.incarnation,
+            expected=f"{known.incarnation + is_same} or above",
         )
-    if target.address != known.address and holder_lives:
+    if announced.address != known.address and holder_alive:
         raise errors.NameTakenError(
-            f"target {target.name} lives at {known.address}",
-            given=target.address,
+            f"target {announced.name} is live at {known.address}",
+            given=announced.address,
             expected="another name, or the end of the other's lease",
             retry_after=1.0,
         )
@@ -55,13 +55,14 @@
     Raises
     ------
     errors.AddressTakenError
-        If one does: two names for one process would double its bound.
+        If one does: under two names, one process would get twice its
+        concurrency bound.
     """
     for other in live:
         held = other.target
         if held.address == target.address and held.name != target.name:
             raise errors.AddressTakenError(
-                f"address of live target {held.name}",
+                f"address is held by live target {held.name}",
                 given=target.address,
                 expected="an address of its own",
                 retry_after=1.0,
@@ -71,9 +72,9 @@
 def check_sequence(entry: entries.Entry, incarnation: int, given: int) -> None:
     """Check that a message is not a replay of an earlier one.
 
-    A recorded renewal, sent again after the target died, would keep it in
-    the table. A target that numbers its messages is safe from that; once it
-    has, an unnumbered message is refused too.
+    A recorded renewal, replayed after the target died, would keep it in the
+    table. Numbered messages prevent that; once a target has numbered a
+    message, unnumbered ones are refused too.
 
     Raises
     ------
@@ -84,7 +85,7 @@
         return
     if given <= entry.last_sequence:
         raise errors.ReplayedError(
-            f"message of target {entry.target.name} came again or late",
+            f"message of target {entry.target.name} is repeated or late",
             given=given,
             expected=f"a sequence above {entry.last_sequence}",
         )
--- a/amaranthring/targets/entries.py
+++ b/amaranthring/targets/entries.py
@@ -12,19 +12,20 @@
 
 
 class Version(t.NamedTuple):
-    """Version of a record; the highest wins on every router.
+    """Version of a record; on every router the highest wins.
 
     Attributes
     ----------
     incarnation : int
-        Start of the target that the record belongs to.
+        Incarnation of the target that the record describes.
     leaving : bool
         Final within an incarnation, so it outranks every revision.
     revision : int
-        Grows when the same incarnation announces other facts, or comes
-        back after it was lost.
+        Grows when the incarnation announces other properties, or returns
+        after it was lost.
     fingerprint : int
-        Of the facts; decides between equal revisions made at two routers.
+        Hash of the target's properties; breaks ties between equal revisions
+        made at two routers.
     """
 
     incarnation: int
@@ -35,7 +36,7 @@
 
 @dataclasses.dataclass
 class Record:
-    """What routers tell each other of one target.
+    """What routers tell each other about one target.
 
     Attributes
     ----------
@@ -46,9 +47,9 @@
     leaving : bool
         Whether it has left or is leaving.
     age : float
-        Seconds since the last evidence of life when the record was sent.
+        Seconds between the last evidence of life and the sending.
     spoken : int
-        Highest sequence of the target's own messages; 0 if it numbers none.
+        Highest sequence of the target's own messages; 0 if unnumbered.
     """
 
     target: records.Target
@@ -79,18 +80,18 @@
 
     Attributes
     ----------
-    heard : float
+    heard_at : float
         Last evidence of life, on this router's monotonic clock.
-    left : float
-        Evidence known when it said that it leaves.
+    left_at : float
+        Last evidence of life when it announced its leave.
     lost : bool
-        Whether the lease ran out; the entry then is a tombstone.
+        Whether the lease has expired; the entry is then a tombstone.
     ready_at : float
-        When flap damping lets it have work again.
-    spoken : int
+        When flap damping allows it new work again.
+    last_sequence : int
         Highest sequence of its own messages.
-    here : float
-        When it last spoke to this very router.
+    heard_here_at : float
+        When it last sent a message to this router itself.
     """
 
     target: records.Target
@@ -107,7 +108,7 @@
     report: records.Report | None = None
 
     def record(self, now: float) -> Record:
-        """Return what other routers are told at time `now`."""
+        """Return the record to send to other routers at time `now`."""
         return Record(
             self.target,
             self.version.revision,
@@ -117,10 +118,10 @@
         )
 
     def lease(self, lease_seconds: float, drain_seconds: float) -> float:
-        """Return how long this target may stay unheard.
+        """Return how long this target may go unheard.
 
-        One that said it leaves and renews no more is left the time to end
-        what it runs: to give it up at once would cut off its requests.
+        One that announced its leave and no longer renews gets the time to
+        drain: given up at once, its requests would be cut off.
         """
         silent = self.heard_at <= self.left_at + RENEWED_SECONDS
         if self.version.leaving and silent:
@@ -131,8 +132,8 @@
     def digest_part(self) -> int:
         """Return this entry's part of the digest of its data centre.
 
-        Tombstones are left out: routers give a target up at slightly
-        different moments and forget tombstones at different moments.
+        Tombstones are left out: routers lose a target, and remove tombstones,
+        at slightly different times.
         """
         if self.lost:
             return 0
--- a/amaranthring/targets/http_body.py
+++ b/amaranthring/targets/http_body.py
@@ -1,8 +1,7 @@
-"""The body of an HTTP answer, from raw bytes of its connection.
+"""Decoders for the body of an HTTP response, from the bytes of its connection.
 
-tornado's own reading of a chunked body makes three futures for each chunk;
-this takes all chunks of one read at once. ``docs/design/way.md`` has the
-figures.
+tornado's own chunked reader creates three futures for each chunk; this one
+decodes all chunks of one read at once. ``docs/design/way.md`` has the figures.
 
 Source: RFC 9112, section 7.1.
 """
@@ -12,8 +11,8 @@
 
 from amaranthring import errors
 
-SIZE_LINE_BYTES_MOST = 64
-CHUNK_BYTES_MOST = 16 * 1024 * 1024
+MAX_SIZE_LINE_BYTES = 64
+MAX_CHUNK_BYTES = 16 * 1024 * 1024
 SIZE_LINE = re.compile(rb"([0-9a-fA-F]{1,8})[ \t]*(?:;.*)?")
 
 
@@ -23,12 +22,12 @@
     Attributes
     ----------
     ended : bool
-        Whether the body is whole.
+        Whether the body is complete.
     ends_by_close : bool
-        Whether a close is its proper end.
+        Whether closing the connection ends it properly.
     clean : bool
-        Whether nothing followed the body: only then may the connection
-        carry another request.
+        Whether nothing followed the body: only then may the connection carry
+        another request.
     """
 
     ended: bool
@@ -59,7 +58,7 @@
 
 
 class UntilClose:
-    """A body that ends when the target closes."""
+    """A body that ends when the target closes the connection."""
 
     ends_by_close = True
     ended = False
@@ -71,7 +70,7 @@
 
 
 class Chunked:
-    """A body in chunks; a close before the last one is no proper end."""
+    """A chunked body; a close before the last chunk truncates it."""
 
     ends_by_close = False
 
@@ -90,80 +89,80 @@
             If the framing is malformed.
         """
         if self.ended:
-            # What follows the last chunk are trailers; nobody reads them.
+            # Trailers are ignored.
             return b""
         if self.buffer:
             data = self.buffer + data
             self.buffer = b""
         parts = []
-        at = 0
-        while at < len(data):
+        position = 0
+        while position < len(data):
             if self.remaining > 2:
-                part = data[at : at + self.remaining - 2]
+                part = data[position : position + self.remaining - 2]
                 parts.append(part)
-                at += len(part)
+                position += len(part)
                 self.remaining -= len(part)
             elif self.remaining:
-                at = self._line_end(data, at)
+                position = self._line_end(data, position)
             else:
-                found = data.find(b"\r\n", at)
+                found = data.find(b"\r\n", position)
                 if found < 0:
-                    self._keep(data[at:])
+                    self._keep(data[position:])
                     break
-                size = _size(data[at:found])
+                size = _parse_size(data[position:found])
                 if size == 0:
                     self.ended = True
-                    # Trailers, or bytes that are no part of it, are not
-                    # told apart: such a connection is not used again.
+                    # Trailers are not told apart from foreign bytes; with
+                    # either, the connection is not reused.
                     self.clean = data[found + 2 :] == b"\r\n"
                     break
-                at = found + 2
-                end = at + size
+                position = found + 2
+                end = position + size
                 if data[end : end + 2] == b"\r\n":
-                    # The whole chunk is here, as it nearly always is.
-                    parts.append(data[at:end])
-                    at = end + 2
+                    # Fast path: the whole chunk has arrived.
+                    parts.append(data[position:end])
+                    position = end + 2
                 else:
                     self.remaining = size + 2
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    def _line_end(self, data: bytes, at: int) -> int:
-        """Pass over what is left of the CRLF after a chunk."""
-        part = data[at : at + self.remaining]
+    def _line_end(self, data: bytes, position: int) -> int:
+        """Skip the rest of the CRLF after a chunk."""
+        part = data[position : position + self.remaining]
         if part != b"\r\n"[2 - self.remaining :][: len(part)]:
             raise _malformed(part)
         self.remaining -= len(part)
-        return at + len(part)
+        return position + len(part)
 
     def _keep(self, rest: bytes) -> None:
-        if len(rest) > SIZE_LINE_BYTES_MOST:
+        if len(rest) > MAX_SIZE_LINE_BYTES:
             raise _malformed(rest)
         self.buffer = rest
 
 
-def _size(line: bytes) -> int:
-    found = SIZE_LINE.fullmatch(line)
-    size = int(found[1], 16) if found else CHUNK_BYTES_MOST + 1
-    if size > CHUNK_BYTES_MOST:
+def _parse_size(line: bytes) -> int:
+    match = SIZE_LINE.fullmatch(line)
+    size = int(match[1], 16) if match else MAX_CHUNK_BYTES + 1
+    if size > MAX_CHUNK_BYTES:
         raise _malformed(line)
     return size
 
 
-def _malformed(found: bytes) -> errors.UpstreamError:
+def _malformed(data: bytes) -> errors.UpstreamError:
     return errors.UpstreamError(
         "malformed chunked body",
-        given=repr(found[:SIZE_LINE_BYTES_MOST]),
+        given=repr(data[:MAX_SIZE_LINE_BYTES]),
         expected="RFC 9112 chunks",
     )
 
 
 def decoder_for(headers, status: int, method: str) -> Decoder:
-    """Return the decoder that the head of an answer asks for.
+    """Return the decoder for the head of a response.
 
     Raises
     ------
     errors.UpstreamError
-        If the length is given wrongly or twice.
+        If the length is invalid or ambiguous.
     """
     if method == "HEAD" or status in (204, 304):
         return FixedLength(0)
--- a/amaranthring/targets/orders.py
+++ b/amaranthring/targets/orders.py
@@ -2,8 +2,9 @@
 
 ``POST /v1/orders`` with a JSON body: ``order`` (its number as text),
 ``kind`` (``load``, ``unload`` or ``role``), ``model``, ``version``,
-``adapter``, ``role`` and ``fencing``. A target answers 200 when it has done
-it, and 409 with its highest ``fencing`` when it refuses an old number.
+``adapter``, ``role`` and ``fencing``. A target answers 200 once it has carried
+out the order, and 409 with its highest ``fencing`` when it refuses a lower
+number.
 """
 
 import dataclasses
@@ -16,24 +17,24 @@
 from amaranthring.core import records
 
 CONNECT_SECONDS = 2.0
-ANSWER_BYTES_MOST = 64 * 1024
-DETAIL_MOST = 200
+MAX_ANSWER_BYTES = 64 * 1024
+MAX_DETAIL_LENGTH = 200
 
 
 @dataclasses.dataclass
 class Result:
-    """What came of an order.
+    """Outcome of an order.
 
     Attributes
     ----------
     done : bool
-        Whether the target says that it did it.
+        Whether the target confirmed that it carried out the order.
     detail : str
-        What the target or the connection said.
+        Text from the target or the connection.
     unknown : bool
-        Whether the target may have taken it and be at it still.
-    seen : int
-        Higher fencing number that the target named, or 0.
+        Whether the target may have accepted it and may still be at work.
+    newer_fencing : int
+        Higher fencing number that the target reported, or 0.
     """
 
     done: bool
@@ -65,18 +66,18 @@
     check: t.Callable[[], None],
     seconds: float,
 ) -> Result:
-    """Send an order and wait for its end.
+    """Send an order and wait until it is carried out.
 
     Parameters
     ----------
     target : records.Target
-        Whom to order.
+        Receiver of the order.
     body : bytes
-        As :func:`order_body` makes it.
+        As returned by :func:`order_body`.
     check : callable
-        Raises if this process may order no more.
+        Raises if this process may no longer send orders.
     seconds : float
-        Time for the whole order.
+        Deadline for the whole order.
 
     Raises
     ------
@@ -86,11 +87,10 @@
     refused: list[errors.AmaranthringError] = []
     written = False
 
-    async def produce(write) -> None:
-        # A leader that was frozen while it connected may have been replaced
-        # meanwhile. The target acts on a whole body only, so the check
-        # stands here, after the connection and right before the body, with
-        # nothing awaited in between.
+    async def write_body(write) -> None:
+        # A leader that was frozen while it connected may have been replaced.
+        # The target acts only on a whole body, so the check runs after the
+        # connection is made, with nothing awaited between it and the body.
         nonlocal written
         try:
             check()
@@ -101,7 +101,7 @@
         await write(body)
 
     client = tornado.httpclient.AsyncHTTPClient(
-        force_instance=True, max_body_size=ANSWER_BYTES_MOST
+        force_instance=True, max_body_size=MAX_ANSWER_BYTES
     )
     try:
         answer = await client.fetch(
@@ -111,7 +111,7 @@
                 "Content-Type": "application/json",
                 "Content-Length": str(len(body)),
             },
-            body_producer=produce,
+            body_producer=write_body,
             connect_timeout=min(CONNECT_SECONDS, seconds),
             request_timeout=seconds,
             follow_redirects=False,
@@ -120,28 +120,30 @@
     except Exception as error:
         if refused:
             raise refused[0] from error
-        return Result(False, f"no answer: {error}"[:DETAIL_MOST], written)
+        return Result(
+            False, f"no answer: {error}"[:MAX_DETAIL_LENGTH], written
+        )
     finally:
         client.close()
     if refused:
         raise refused[0]
     if answer.code == 599:
-        detail = f"no answer: {answer.error}"[:DETAIL_MOST]
+        detail = f"no answer: {answer.error}"[:MAX_DETAIL_LENGTH]
         return Result(False, detail, written)
-    return _read(answer)
+    return _parse_answer(answer)
 
 
-def _read(answer) -> Result:
+def _parse_answer(answer) -> Result:
     if answer.code == 200:
         return Result(True)
-    text = (answer.body or b"")[:DETAIL_MOST].decode(errors="replace")
+    text = (answer.body or b"")[:MAX_DETAIL_LENGTH].decode(errors="replace")
     detail = f"{answer.code} {text}".strip()
-    # A gateway error says nothing about the target itself.
+    # A gateway error tells nothing about the target itself.
     unknown = answer.code >= 502
-    return Result(False, detail, unknown, _seen(answer))
+    return Result(False, detail, unknown, _newer_fencing(answer))
 
 
-def _seen(answer) -> int:
+def _newer_fencing(answer) -> int:
     if answer.code != 409:
         return 0
     try:
--- a/amaranthring/targets/pool.py
+++ b/amaranthring/targets/pool.py
@@ -1,11 +1,10 @@
-"""Kept connections to targets, each of proven good order.
-
-A new connection costs a target a millisecond and a slot for that time. A
-kept one saves that, but may be stale: closed by the target at the very
-moment, silent since a cut, or with bytes on it that belong to no request.
-Every kept connection is watched while it idles, and one that ends or says
-anything meanwhile is closed. The caller decides how long an idle time it
-trusts.
+"""Pool of idle connections to targets, for reuse.
+
+A new connection takes a target a millisecond, and one of its slots meanwhile.
+A kept one may be stale: just closed by the target, silent since a partition,
+or with bytes on it that belong to no request. Each idle connection is
+therefore watched, and closed if it ends or receives anything. The user of the
+pool decides how long an idle time it accepts.
 """
 
 import asyncio
@@ -15,15 +14,14 @@
 import time
 import typing as t
 
-# A target states for how long it keeps an idle connection; a request that
-# leaves in the last part of that time may cross the close.
-USED_SHARE = 0.6
-# What a target keeps that states nothing, in seconds.
-UNSTATED_SECONDS = 2.0
-EXPIRE_SECONDS = 1.0
-# Bytes that stay without acknowledgement for so long lead nowhere: the
-# connection went silent, or the target's VM lost its power. Two lost packets
-# in a row are sent again within that time (0.2 and 0.4 s).
+# Share of the keep-alive time that a target states for which a connection is
+# used: a request sent near its end may cross the close.
+USABLE_SHARE = 0.6
+# Assumed if a target states no keep-alive time.
+DEFAULT_KEEP_ALIVE_SECONDS = 2.0
+EXPIRY_INTERVAL_SECONDS = 1.0
+# Bytes unacknowledged for this time mean a dead connection or VM. Two lost
+# packets in a row are resent within it (after 0.2 and 0.4 s).
 UNACKED_MILLISECONDS = 700
 
 
@@ -33,19 +31,19 @@
 
     Attributes
     ----------
-    since : float
+    idle_since : float
         Monotonic seconds at which it became idle.
-    until : float
+    expires_at : float
         Monotonic seconds after which it must not be used.
-    watch : asyncio.Task
-        Ends when the target closes or says anything.
+    watcher : asyncio.Task
+        Ends when the target closes the connection or sends anything.
     """
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    since: float
-    until: float
-    watch: asyncio.Task
+    idle_since: float
+    expires_at: float
+    watcher: asyncio.Task
 
 
 class Pool:
@@ -53,45 +51,50 @@
 
     Parameters
     ----------
-    most : callable
-        Returns how many connections to one target may idle.
+    max_idle : callable
+        Returns how many connections to one target may be idle.
     clock : callable
         Monotonic seconds.
     """
 
     def __init__(
         self,
-        most: t.Callable[[], int] = lambda: 8,
+        max_idle: t.Callable[[], int] = lambda: 8,
         clock: t.Callable[[], float] = time.monotonic,
     ):
-        self.max_idle = most
+        self.max_idle = max_idle
         self.clock = clock
         self.idle: dict[str, list[IdleConnection]] = collections.defaultdict(
             list
         )
 
-    async def acquire(self, name: str, idle_most: float):
-        """Return a kept connection to target `name`, or None.
+    async def acquire(self, name: str, max_idle_seconds: float):
+        """Return an idle connection to target `name`, or None.
 
         Parameters
         ----------
-        idle_most : float
-            Longest time in seconds for which it may have idled.
+        max_idle_seconds : float
+            Longest acceptable idle time in seconds.
         """
         now = self.clock()
-        held = self.idle.get(name, [])
-        while held:
-            # The one used last is the freshest.
-            kept = held.pop()
-            sound = not kept.watch.done() and now < kept.until
-            if not sound or now - kept.since > idle_most:
-                _close(kept)
+        idle = self.idle.get(name, [])
+        while idle:
+            # The one used last is the least likely to be stale.
+            connection = idle.pop()
+            usable = (
+                not connection.watcher.done() and now < connection.expires_at
+            )
+            if not usable or now - connection.idle_since > max_idle_seconds:
+                _close(connection)
                 continue
-            kept.watch.cancel()
-            await asyncio.wait({kept.watch})
-            if kept.watch.cancelled() and not kept.reader.at_eof():
-                return kept.reader, kept.writer
-            _close(kept)
+            connection.watcher.cancel()
+            await asyncio.wait({connection.watcher})
+            if (
+                connection.watcher.cancelled()
+                and not connection.reader.at_eof()
+            ):
+                return connection.reader, connection.writer
+            _close(connection)
         return None
 
     def release(
@@ -99,69 +102,73 @@
         name: str,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        stated: float | None,
+        keep_alive_seconds: float | None,
     ) -> None:
-        """Keep a connection whose last answer ended in good order.
+        """Keep a connection whose last response ended properly.
 
         Parameters
         ----------
-        stated : float, optional
-            Seconds for which the target said that it keeps it.
+        keep_alive_seconds : float, optional
+            Time for which the target said that it keeps the connection.
         """
-        held = self.idle[name]
-        seconds = UNSTATED_SECONDS if stated is None else stated
-        if len(held) >= self.max_idle() or seconds <= 0:
+        idle = self.idle[name]
+        seconds = (
+            DEFAULT_KEEP_ALIVE_SECONDS
+            if keep_alive_seconds is None
+            else keep_alive_seconds
+        )
+        if len(idle) >= self.max_idle() or seconds <= 0:
             writer.transport.abort()
             return
         now = self.clock()
-        watch = asyncio.ensure_future(_until_spoiled(reader))
-        until = now + USED_SHARE * seconds
-        held.append(IdleConnection(reader, writer, now, until, watch))
+        watcher = asyncio.ensure_future(_watch_idle(reader))
+        expires_at = now + USABLE_SHARE * seconds
+        idle.append(IdleConnection(reader, writer, now, expires_at, watcher))
 
     def drop(self, name: str) -> None:
         """Close all idle connections to target `name`."""
-        for kept in self.idle.pop(name, []):
-            _close(kept)
+        for connection in self.idle.pop(name, []):
+            _close(connection)
 
     def expire(self) -> None:
-        """Close what is spoiled or has idled for too long."""
+        """Close connections that are unusable or were idle for too long."""
         now = self.clock()
-        for name, held in list(self.idle.items()):
-            sound = []
-            for kept in held:
-                if kept.watch.done() or now >= kept.until:
-                    _close(kept)
+        for name, idle in list(self.idle.items()):
+            usable = []
+            for connection in idle:
+                if connection.watcher.done() or now >= connection.expires_at:
+                    _close(connection)
                 else:
-                    sound.append(kept)
-            if sound:
-                self.idle[name] = sound
+                    usable.append(connection)
+            if usable:
+                self.idle[name] = usable
             else:
                 del self.idle[name]
 
     async def run(self) -> None:
         """Expire connections until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRE_SECONDS)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
             self.expire()
 
 
-async def _until_spoiled(reader: asyncio.StreamReader) -> None:
+async def _watch_idle(reader: asyncio.StreamReader) -> None:
     try:
         await reader.read(1)
     except OSError:
-        # Reset: spoiled like any other end.
+        # A reset ends the connection like a close.
         return
 
 
-def _close(kept: IdleConnection) -> None:
-    kept.watch.cancel()
-    kept.writer.transport.abort()
+def _close(connection: IdleConnection) -> None:
+    connection.watcher.cancel()
+    connection.writer.transport.abort()
 
 
 def set_ack_timeout(writer: asyncio.StreamWriter) -> None:
-    """Let a connection fail when what is sent on it is not acknowledged."""
-    held = writer.get_extra_info("socket")
-    if held is not None and hasattr(socket, "TCP_USER_TIMEOUT"):
-        held.setsockopt(
+    """Make a connection fail when sent bytes are not acknowledged in time."""
+    sock = writer.get_extra_info("socket")
+    if sock is not None and hasattr(socket, "TCP_USER_TIMEOUT"):
+        sock.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MILLISECONDS
         )
--- a/amaranthring/targets/protocol.py
+++ b/amaranthring/targets/protocol.py
@@ -1,8 +1,8 @@
-"""Border towards targets: what they announce, decoded and checked once.
+"""Announcement protocol of targets: decoding, validation and signatures.
 
 Each message is a JSON object with the header ``Amaranthring-Key: ID MAC``,
 where MAC is the hex HMAC-SHA256 of the raw body under the shared key ID.
-Keys rotate by accepting two at once.
+Keys are rotated by accepting two at once.
 """
 
 import hashlib
@@ -16,15 +16,15 @@
 
 KEY_HEADER = "Amaranthring-Key"
 MAX_BODY_BYTES = 16 * 1024
-SERVES_MOST = 64
-NAME_MOST = 64
-CAPACITY_MOST = 100_000
-NUMBER_MOST = 2**63 - 1
+MAX_SERVES = 64
+MAX_NAME_LENGTH = 64
+MAX_CAPACITY = 100_000
+MAX_NUMBER = 2**63 - 1
 
 Name = t.Annotated[
     str,
     pydantic.Field(
-        pattern=r"^[0-9A-Za-z][0-9A-Za-z_.\-]*$", max_length=NAME_MOST
+        pattern=r"^[0-9A-Za-z][0-9A-Za-z_.\-]*$", max_length=MAX_NAME_LENGTH
     ),
 ]
 Served = t.Annotated[str, pydantic.Field(min_length=1, max_length=128)]
@@ -32,21 +32,21 @@
     str,
     pydantic.Field(pattern=r"^[0-9A-Za-z_.\-\[\]:]+:\d{1,5}$", max_length=128),
 ]
-Number = t.Annotated[int, pydantic.Field(ge=0, le=NUMBER_MOST)]
+Number = t.Annotated[int, pydantic.Field(ge=0, le=MAX_NUMBER)]
 
 
 class Body(pydantic.BaseModel):
-    """Base of all bodies: unknown keys are faults, types are strict.
+    """Base of all bodies: unknown keys are errors, types are strict.
 
     Attributes
     ----------
     name : str
-        The target that speaks.
+        Name of the sending target.
     incarnation : int
         Its incarnation.
     sequence : int
-        Grows with every announcement, renewal and leave of the
-        incarnation; 0 for a target that numbers none of them.
+        Grows with every announcement, renewal and leave of the incarnation;
+        0 if the target does not number its messages.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid")
@@ -67,14 +67,14 @@
     address: Address
     data_centre: Name
     region: Name = "default"
-    serves: list[Served] = pydantic.Field(min_length=1, max_length=SERVES_MOST)
-    capacity: int = pydantic.Field(64, ge=1, le=CAPACITY_MOST)
+    serves: list[Served] = pydantic.Field(min_length=1, max_length=MAX_SERVES)
+    capacity: int = pydantic.Field(64, ge=1, le=MAX_CAPACITY)
     fencing: bool = False
     honours_keys: bool = False
     role: t.Literal["mixed", "prefill", "decode"] = "mixed"
 
     def target(self) -> records.Target:
-        """Return the target that announces itself."""
+        """Return the target described by the announcement."""
         fields = dict(self)
         del fields["sequence"]
         fields["serves"] = tuple(self.serves)
@@ -89,8 +89,8 @@
     target: Name
     incarnation: Number
     sequence: Number
-    running: int = pydantic.Field(ge=0, le=CAPACITY_MOST)
-    waiting: int = pydantic.Field(0, ge=0, le=CAPACITY_MOST)
+    running: int = pydantic.Field(ge=0, le=MAX_CAPACITY)
+    waiting: int = pydantic.Field(0, ge=0, le=MAX_CAPACITY)
     kv_used: float = pydantic.Field(0.0, ge=0.0, le=1.0)
 
     def report(self) -> records.Report:
@@ -112,20 +112,20 @@
     Raises
     ------
     errors.UnauthenticatedError
-        If the header is missing, names no known key, or does not match.
+        If the header is missing, names an unknown key, or does not match.
     """
     key_id, _, given = header.partition(" ")
     key = keys.get(key_id)
     if key is None:
         raise errors.UnauthenticatedError(
-            "announcement under no known key",
-            given=key_id[:NAME_MOST] or "no key header",
+            "announcement has no known key",
+            given=key_id[:MAX_NAME_LENGTH] or "no key header",
             expected=f"{KEY_HEADER}: ID MAC, ID one of {sorted(keys)}",
         )
     expected = sign(key_id, key, body).partition(" ")[2]
     if not hmac.compare_digest(expected.encode(), given.strip().encode()):
         raise errors.UnauthenticatedError(
-            "announcement whose MAC does not match its body",
+            "the announcement's MAC does not match its body",
             given=f"key {key_id}",
             expected="hex HMAC-SHA256 of the raw body",
         )
--- a/amaranthring/targets/sse.py
+++ b/amaranthring/targets/sse.py
@@ -1,9 +1,9 @@
-r"""Events of an engine's stream: told apart, checked, renumbered.
+r"""Checks and renumbers the events of an engine's stream.
 
 An engine sends each event as ``id: STREAM:NUMBER``, then ``data: ...``,
 then an empty line, all with ``\n``; numbers grow by one, and the last event
-carries ``[DONE]``. Nothing inside ``data`` is parsed here: an event passes
-as bytes, so its cost does not grow with what it says.
+carries ``[DONE]``. ``data`` is passed on as bytes, unparsed, so the cost of an
+event does not depend on its content.
 
 Source: the event stream format of the HTML Living Standard, section 9.2.
 """
@@ -13,56 +13,56 @@
 from amaranthring import errors
 
 MAX_EVENT_BYTES = 256 * 1024
-END = b"data: [DONE]"
-SHOWN_BYTES = 60
-KEPT_BYTES_MOST = 64 * 1024
+DONE_LINE = b"data: [DONE]"
+MAX_SHOWN_BYTES = 60
+MAX_KEPT_BYTES = 64 * 1024
 TEXT_FIELDS = {"role", "content"}
 
 
 class EventRewriter:
-    """Checks one stream and writes its events under another id.
+    """Checks one stream and rewrites the ids of its events.
 
     Parameters
     ----------
     stream : str
         Name of the stream at its engine.
-    shown : str
-        What callers see before the number, as ``id: SHOWN.NUMBER``.
+    shown_stream : str
+        Name for callers, who get ``id: SHOWN_STREAM.NUMBER``.
     expected : int
         Number of the next event.
 
     Attributes
     ----------
     ended : bool
-        Whether the end mark came.
-    fault : AmaranthringError or None
+        Whether the last event has arrived.
+    error : AmaranthringError or None
         Why nothing after the events taken so far can be trusted.
-    dropped : int
-        Events that came twice.
+    duplicates : int
+        Repeated events that were dropped.
     kept : list of bytes or None
-        What was taken, until it is above ``KEPT_BYTES_MOST``; then None.
+        Rewritten events; None once they exceed ``MAX_KEPT_BYTES``.
     """
 
-    def __init__(self, stream: str, shown: str, expected: int = 0):
+    def __init__(self, stream: str, shown_stream: str, expected: int = 0):
         self.expected = expected
         self.ended = False
         self.error: errors.AmaranthringError | None = None
         self.duplicates = 0
         self.kept: list[bytes] | None = [] if expected == 0 else None
         self._kept_bytes = 0
-        self.switch_to(stream, shown)
+        self.switch_to(stream, shown_stream)
 
-    def switch_to(self, stream: str, shown: str) -> None:
-        """Go on with `stream` at the number expected next."""
+    def switch_to(self, stream: str, shown_stream: str) -> None:
+        """Continue with `stream` at the number expected next."""
         self.prefix = f"id: {stream}:".encode()
-        self.shown = f"id: {shown}.".encode()
+        self.shown = f"id: {shown_stream}.".encode()
         self.rest = b""
         self.error = None
 
     def take(self, data: bytes) -> bytes:
         """Return the events that `data` completes, ready for the caller.
 
-        After a fault the events before it are returned and the rest of the
+        After an error the events before it are returned and the rest of the
         stream is ignored.
         """
         if self.error or self.ended:
@@ -75,62 +75,61 @@
         for block in blocks:
             head, _, tail = block.partition(b"\n")
             if head != b"%b%d" % (self.prefix, self.expected):
-                self._odd(head, block)
+                self._check_unexpected(head, block)
                 if self.error:
                     break
                 continue
             taken.append(b"%b%d\n%b" % (self.shown, self.expected, tail))
             self.expected += 1
-            if tail == END:
+            if tail == DONE_LINE:
                 self.ended = True
                 break
         if len(self.rest) > MAX_EVENT_BYTES:
             self.error = errors.UpstreamError(
-                "an event above the bound",
+                "an event is too large",
                 given=len(self.rest),
                 expected=f"{MAX_EVENT_BYTES} bytes at most",
             )
         if not taken:
             return b""
         taken.append(b"")
-        made = b"\n\n".join(taken)
+        rewritten = b"\n\n".join(taken)
         if self.kept is not None:
-            self._keep(made)
-        return made
+            self._keep_events(rewritten)
+        return rewritten
 
     def text(self) -> str | None:
-        """Return the text of the events so far, or None if it is not known.
+        """Return the text of the events so far, or None if it is unknown.
 
-        It is known when all of them were kept and carry nothing but the
-        text of one choice. Parsed only when a stream has to go on at
-        another engine.
+        It is known if all events were kept and carry only the text of one
+        choice. Called only when a stream has to continue at another engine.
         """
         if self.kept is None:
             return None
         parts = []
         for block in b"".join(self.kept).split(b"\n\n")[:-1]:
-            part = _content(block.partition(b"\ndata: ")[2])
+            part = _text_of(block.partition(b"\ndata: ")[2])
             if part is None:
                 return None
             parts.append(part)
         return "".join(parts)
 
-    def _keep(self, made: bytes) -> None:
-        self._kept_bytes += len(made)
-        if self._kept_bytes > KEPT_BYTES_MOST:
+    def _keep_events(self, rewritten: bytes) -> None:
+        self._kept_bytes += len(rewritten)
+        if self._kept_bytes > MAX_KEPT_BYTES:
             self.kept = None
             return
-        self.kept.append(made)
+        self.kept.append(rewritten)
 
-    def _odd(self, head: bytes, block: bytes) -> None:
-        """Drop a comment or a repeated event; note anything else a fault."""
+    def _check_unexpected(self, head: bytes, block: bytes) -> None:
+        """Skip a comment or duplicate; record anything else as an error."""
         if block.startswith(b":"):
             return
         number = head[len(self.prefix) :]
         if not head.startswith(self.prefix) or not number.isdigit():
             self.error = errors.UpstreamError(
-                "an event of another request or without an id",
-                given=repr(head[:SHOWN_BYTES]),
+                "an event belongs to another request or has no id",
+                given=repr(head[:MAX_SHOWN_BYTES]),
                 expected=self.prefix.decode() + "NUMBER",
             )
         elif int(number) < self.expected:
@@ -143,8 +142,8 @@
             )
 
 
-def _content(data: bytes) -> str | None:
-    """Return the text of one event, or None if it carries more than that."""
+def _text_of(data: bytes) -> str | None:
+    """Return the text of one event, or None if it carries anything else."""
     try:
         (choice,) = json.loads(data)["choices"]
         delta = choice["delta"]
--- a/amaranthring/targets/table.py
+++ b/amaranthring/targets/table.py
@@ -1,14 +1,14 @@
-"""Table of targets with leases: who may be given work, as this router knows.
+"""Table of targets with leases: which targets this router may give work.
 
-Every router holds one table. It learns of targets from their own
-announcements (:mod:`amaranthring.targets.announce`) and from other routers
-(:mod:`amaranthring.routers.spread`). Two kinds of knowledge are merged, both
-by rules that do not depend on order, number or lateness of messages:
+Every router holds one table. It learns of targets from their own announcements
+(:mod:`amaranthring.targets.announce`) and from other routers
+(:mod:`amaranthring.routers.target_sync`). Two kinds of data are merged, both
+by rules that do not depend on the order, number or delay of messages:
 
 * the *record* of a target has a version (incarnation, leaving, revision,
   fingerprint) and the highest version wins;
 * the *evidence of life* is a point on this router's monotonic clock and the
-  latest point wins. No wall clock is compared with another.
+  latest point wins. Wall clocks are never compared.
 
 A target without evidence for :data:`STALE_SECONDS` gets no new work; one
 without evidence for the lease is lost.
@@ -37,8 +37,8 @@
 TOMBSTONE_SECONDS = 600.0
 STALE_SECONDS = 2.5
 STALE_SHARE_OF_LEASE = 5 / 6
-EXPIRE_EVERY_SECONDS = 0.5
-PAUSE_SECONDS = 1.0
+EXPIRY_INTERVAL_SECONDS = 0.5
+MIN_PAUSE_SECONDS = 1.0
 MOVED_SECONDS = 2.5
 RENEW_SHARE_OF_LEASE = 1 / 6
 
@@ -64,17 +64,19 @@
         Entry by target name, tombstones included.
     by_key : dict
         Entry by its key.
-    places : dict
-        Entries by name of each data centre.
+    by_data_centre : dict
+        Entries by name, for each data centre.
     digests : dict
-        Data centre to the digest of its records.
-    beats : set of str
-        Targets heard directly since the last batch took them.
-    changes : list of callable
-        What :meth:`on_change` added.
+        Digest of the records of each data centre.
+    heard_directly : set of str
+        Targets that sent this router a message since its last batch.
+    vouched : dict
+        When each other data centre last vouched for its targets.
+    change_callbacks : list of callable
+        Added by :meth:`on_change`.
     renew_in : callable
-        Returns after how many seconds a target should renew again; the
-        spread sets it so that a renewal comes just before its batch.
+        Returns after how many seconds a target should renew again; the target
+        sync sets it so that a renewal arrives just before its batch.
     """
 
     def __init__(
@@ -94,22 +96,22 @@
         self.digests: dict[str, int] = {}
         self.heard_directly: set[str] = set()
         self.vouched: dict[str, float] = {}
-        self.pauses = pauses.Pauses(clock, PAUSE_SECONDS)
+        self.pauses = pauses.Pauses(clock, MIN_PAUSE_SECONDS)
         self.no_expiry_until = 0.0
         self.task: asyncio.Task | None = None
-        self._callbacks: list[t.Callable[[str], None]] = []
+        self._state_callbacks: list[t.Callable[[str], None]] = []
         self.change_callbacks: list[t.Callable[[entries.Entry], None]] = []
-        self._wakes: list[t.Callable[[], None]] = []
-        self._moves: list[t.Callable[[str], None]] = []
+        self._resume_callbacks: list[t.Callable[[], None]] = []
+        self._move_callbacks: list[t.Callable[[str], None]] = []
         self.renew_in: t.Callable[[], float] = self._renew_in
-        self._lost: dict[str, asyncio.Future] = {}
+        self._loss_futures: dict[str, asyncio.Future] = {}
 
-    # -- what the request's way and the admission owners ask ----------------
+    # -- queries of request handling and admission owners --------------------
 
     def eligible(
         self, kind: records.TargetKind, serves: str
     ) -> list[records.Target]:
-        """Return targets that may be given new work, in order of name.
+        """Return targets that may be given new work, ordered by name.
 
         Targets held back by flap damping are returned only if there is no
         other: a slow start is better than no answer.
@@ -117,16 +119,16 @@
         now = self.clock()
         drained = self.config().drained
         ready = []
-        damped = []
+        held_back = []
         for name in sorted(self.entries):
             entry = self.entries[name]
             target = entry.target
             if target.kind != kind or serves not in target.serves:
                 continue
-            if name in drained or not self._may_work(entry, now):
+            if name in drained or not self._accepts_work(entry, now):
                 continue
-            (ready if entry.ready_at <= now else damped).append(target)
-        return ready or damped
+            (ready if entry.ready_at <= now else held_back).append(target)
+        return ready or held_back
 
     def get(self, name: str) -> records.Target | None:
         """Return target `name` unless it is unknown or lost."""
@@ -134,65 +136,65 @@
         return None if entry is None or entry.lost else entry.target
 
     def report(self, name: str) -> records.Report | None:
-        """Return the last report of target `name`, if any."""
+        """Return the last load report of target `name`, if any."""
         entry = self.entries.get(name)
         return None if entry is None or entry.lost else entry.report
 
     def state(self, name: str) -> records.TargetState:
-        """Return what may be done with target `name`."""
+        """Return the state of target `name`."""
         entry = self.entries.get(name)
         now = self.clock()
         if entry is None or entry.lost:
             return records.TargetState.LOST
         if entry.version.leaving:
             return records.TargetState.LEAVING
-        if self._may_work(entry, now) and entry.ready_at <= now:
+        if self._accepts_work(entry, now) and entry.ready_at <= now:
             return records.TargetState.READY
         return records.TargetState.SUSPENDED
 
     def targets(self) -> list[records.Target]:
-        """Return every target that is not lost, in order of name."""
+        """Return every target that is not lost, ordered by name."""
         names = sorted(self.entries)
         found = [self.entries[name] for name in names]
         return [entry.target for entry in found if not entry.lost]
 
     def when_lost(self, name: str) -> asyncio.Future:
-        """Return a future that resolves when `name` is given up.
+        """Return a future that resolves when `name` is lost.
 
-        It belongs to the incarnation known now and resolves also when a
-        newer one takes its place. Shared by its waiters: await it through
-        ``asyncio.wait`` or ``asyncio.shield``.
+        It belongs to the incarnation known now and also resolves when a newer
+        one replaces it. Waiters share it: await it through ``asyncio.wait`` or
+        ``asyncio.shield``.
         """
         entry = self.entries.get(name)
-        future = self._lost.get(name)
+        future = self._loss_futures.get(name)
         if future is None or future.done():
             future = asyncio.get_running_loop().create_future()
             if entry is None or entry.lost:
                 future.set_result(name)
                 return future
-            self._lost[name] = future
+            self._loss_futures[name] = future
         return future
 
     def subscribe(self, callback: t.Callable[[str], None]) -> None:
         """Call `callback(name)` when the state of a target changes."""
-        self._callbacks.append(callback)
+        self._state_callbacks.append(callback)
 
     def on_change(self, callback: t.Callable[[entries.Entry], None]) -> None:
         """Call `callback(entry)` when a record gets a higher version."""
         self.change_callbacks.append(callback)
 
     def on_move(self, callback: t.Callable[[str], None]) -> None:
-        """Call `callback(name)` when a target begins to renew here."""
-        self._moves.append(callback)
+        """Call `callback(name)` when a target starts to renew here."""
+        self._move_callbacks.append(callback)
 
     def on_resume(self, callback: t.Callable[[], None]) -> None:
-        """Call `callback()` after this process itself stood still."""
-        self._wakes.append(callback)
+        """Call `callback()` after this process was paused."""
+        self._resume_callbacks.append(callback)
 
-    # -- what targets say ----------------------------------------------------
+    # -- messages from targets -----------------------------------------------
 
     def announce(self, target: records.Target, sequence: int = 0) -> None:
-        """Take a target's announcement of itself.
+        """Process a target's announcement of itself.
 
         Raises
         ------
@@ -208,12 +210,12 @@
         if entry and entry.target.incarnation == target.incarnation:
             same = entry.target == target and not entry.lost
             revision = entry.version.revision + (0 if same else 1)
-        made = entries.Record(target, revision, False, spoken=sequence)
-        self.merge_record(made, heard)
-        self._spoke(self.entries[target.name], heard)
+        record = entries.Record(target, revision, False, spoken=sequence)
+        self.merge_record(record, heard)
+        self._record_message(self.entries[target.name], heard)
 
     def renew(self, name: str, incarnation: int, sequence: int = 0) -> None:
-        """Take a target's word that it lives.
+        """Renew a target's lease.
 
         Raises
         ------
@@ -222,51 +224,52 @@
         errors.StaleIncarnationError, errors.ReplayedError
             If a newer incarnation, or a later message, is known.
         """
-        entry = self._known(name, incarnation)
+        entry = self._known_entry(name, incarnation)
         claims.check_sequence(entry, incarnation, sequence)
         entry.last_sequence = sequence
-        self._spoke(entry, self.pauses.arrived())
+        self._record_message(entry, self.pauses.arrived())
 
     def update_report(self, report: records.Report) -> None:
-        """Take a target's report of its load, which also renews its lease.
+        """Store a target's load report, which also renews its lease.
 
-        A report that came late or again, by its sequence, changes nothing.
+        A report that is late or repeated, by its sequence, changes nothing.
 
         Raises
         ------
         errors.NotFoundError, errors.StaleIncarnationError
             As :meth:`renew`.
         """
-        entry = self._known(report.target, report.incarnation)
+        entry = self._known_entry(report.target, report.incarnation)
         last = entry.report
         if last is not None and report.sequence <= last.sequence:
             self.metrics.count("targets.reports_late")
             return
         entry.report = report
-        self._spoke(entry, self.pauses.arrived())
+        self._record_message(entry, self.pauses.arrived())
 
     def leave(self, name: str, incarnation: int, sequence: int = 0) -> None:
-        """Take a target's word that it goes: no new work from now on.
+        """Process a target's leave: it gets no new work from now on.
 
-        Leaving is final for the incarnation, so a leave that comes again
-        or late harms nothing: it cannot touch a later incarnation. For
-        that reason its sequence is not checked; a lost answer may be
-        followed by the same leave again.
+        Leaving is final for the incarnation and cannot affect a later one, so
+        a late or repeated leave is harmless. Its sequence is not checked, as a
+        target repeats its leave when the answer was lost.
 
         Raises
         ------
         errors.NotFoundError, errors.StaleIncarnationError
             As :meth:`renew`.
         """
-        entry = self._known(name, incarnation)
-        spoken = max(sequence, entry.last_sequence)
+        entry = self._known_entry(name, incarnation)
+        last_sequence = max(sequence, entry.last_sequence)
         revision = entry.version.revision
-        made = entries.Record(entry.target, revision, True, spoken=spoken)
+        record = entries.Record(
+            entry.target, revision, True, spoken=last_sequence
+        )
         heard = self.pauses.arrived()
-        self.merge_record(made, heard)
-        self._spoke(entry, heard)
+        self.merge_record(record, heard)
+        self._record_message(entry, heard)
 
-    # -- what other routers say ----------------------------------------------
+    # -- messages from other routers -----------------------------------------
 
     def merge_record(self, record: entries.Record, heard: float) -> bool:
         """Merge `record` with evidence of life at `heard`; True if newer."""
@@ -276,26 +279,26 @@
         if entry is not None and version <= entry.version:
             if version.incarnation == entry.version.incarnation:
                 entry.last_sequence = max(entry.last_sequence, record.spoken)
-                self._evidence(entry, heard)
+                self._record_evidence(entry, heard)
             return False
         now = self.clock()
-        if now - heard > TOMBSTONE_SECONDS or not self._room(name):
+        if now - heard > TOMBSTONE_SECONDS or not self._has_room(name):
             return False
         if entry is None or entry.version.incarnation < version.incarnation:
             entry = self._replace(entry, record, heard)
         else:
-            self._toggle(entry)
+            self._toggle_digest(entry)
             entry.target = record.target
             entry.version = version
-            self._toggle(entry)
+            self._toggle_digest(entry)
         if version.leaving:
             entry.left_at = heard
             logs.event(log, "target.leaving", name=name)
         entry.last_sequence = max(entry.last_sequence, record.spoken)
-        self._evidence(entry, heard)
+        self._record_evidence(entry, heard)
         for callback in self.change_callbacks:
             callback(entry)
-        self._tell(name)
+        self._notify(name)
         return True
 
     def merge_heartbeat(
@@ -316,95 +319,93 @@
         last = entry.report
         if report and (last is None or report.sequence > last.sequence):
             entry.report = report
-        self._evidence(entry, heard)
+        self._record_evidence(entry, heard)
         return True
 
     def vouch(
         self, data_centre: str, heard: float, stale: t.Collection[str]
     ) -> None:
-        """Take another data centre's word for all of its targets.
+        """Merge another data centre's evidence for all of its targets.
 
         Parameters
         ----------
         heard : float
-            When its relay said so, on this router's clock.
+            When its relay sent the evidence, on this router's clock.
         stale : collection of str
-            Targets that the relay itself has not heard for a while.
+            Targets that the relay itself has not heard from for a while.
         """
-        at = max(heard, self.vouched.get(data_centre, 0.0))
-        self.vouched[data_centre] = at
+        vouched_at = max(heard, self.vouched.get(data_centre, 0.0))
+        self.vouched[data_centre] = vouched_at
         for entry in self.entries_in(data_centre):
-            # Written out: it is done for every target, several times a
-            # second.
+            # Inlined, as it runs for every target several times a second.
             if entry.lost or entry.target.name in stale:
                 continue
             entry.heard_at = max(entry.heard_at, heard)
 
     def entries_in(self, data_centre: str) -> list[entries.Entry]:
-        """Return entries of `data_centre`, tombstones included."""
+        """Return the entries of `data_centre`, tombstones included."""
         return list(self.by_data_centre.get(data_centre, {}).values())
 
-    # -- passing of time ---------------------------------------------------
+    # -- expiry --------------------------------------------------------------
 
     def expire(self) -> None:
-        """Give up targets whose lease ran out, and old tombstones."""
+        """Mark targets with expired leases as lost; remove old tombstones."""
         now = self.clock()
         lease = self.config().preset.lease_seconds
-        self._notice_pause(lease)
-        silent = now - lease
+        self._handle_pause(lease)
+        oldest = now - lease
         for entry in list(self.entries.values()):
-            if entry.heard_at >= silent:
+            if entry.heard_at >= oldest:
                 continue
             if entry.lost:
                 if now - entry.heard_at > TOMBSTONE_SECONDS:
-                    self._drop(entry)
-            elif now >= self.no_expiry_until and self._ran_out(entry, now):
-                self._lose(entry, now)
+                    self._remove(entry)
+            elif now >= self.no_expiry_until and self._is_expired(entry, now):
+                self._mark_lost(entry, now)
 
     def start(self) -> None:
-        """Start the task that watches the leases."""
+        """Start the task that expires leases."""
         self.task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """End the task."""
+        """Cancel the task."""
         if self.task:
             self.task.cancel()
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(EXPIRE_EVERY_SECONDS)
+            await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
             repeating.guarded(self.expire, "targets.ticks", self.metrics)
 
-    # -- inside -------------------------------------------------------------
+    # -- internals ----------------------------------------------------------
 
     def stale_seconds(self) -> float:
-        """Return the age of evidence from which on no new work is given."""
+        """Return the age of evidence after which a target gets no new work."""
         lease = self.config().preset.lease_seconds
         return min(STALE_SECONDS, lease * STALE_SHARE_OF_LEASE)
 
-    def _may_work(self, entry: entries.Entry, now: float) -> bool:
+    def _accepts_work(self, entry: entries.Entry, now: float) -> bool:
         if entry.lost or entry.version.leaving:
             return False
         return now - entry.heard_at <= self.stale_seconds()
 
-    def _ran_out(self, entry: entries.Entry, now: float) -> bool:
+    def _is_expired(self, entry: entries.Entry, now: float) -> bool:
         preset = self.config().preset
         lease = entry.lease(preset.lease_seconds, preset.drain_seconds)
-        place = entry.target.data_centre
-        if place != self.data_centre:
-            # A data centre that is cut off from here cannot vouch for its
-            # targets; they are stale, but they are not given up.
-            now = min(now, self.vouched.get(place, 0.0))
+        data_centre = entry.target.data_centre
+        if data_centre != self.data_centre:
+            # A partitioned data centre cannot vouch for its targets; they
+            # become stale but are not lost.
+            now = min(now, self.vouched.get(data_centre, 0.0))
         return now - entry.heard_at > lease
 
-    def _notice_pause(self, lease: float) -> None:
-        """Keep the table if this very process stood still.
+    def _handle_pause(self, lease: float) -> None:
+        """Suspend expiry if this process itself was paused.
 
-        After a freeze every lease seems to have run out, though the
-        targets went on renewing at other routers: without this guard the
-        router would give up all of them on waking. No target is lost before
-        it had one more lease to be heard. Meanwhile stale ones get no new
-        work, for they may have left during the freeze.
+        After a pause every lease seems to have expired, though the targets
+        kept renewing at other routers. No target is lost before it has had
+        another lease to be heard from. Until then stale targets get no new
+        work, as they may have left during the pause.
         """
         if not self.pauses.notice():
             return
@@ -412,14 +413,14 @@
         self.metrics.count("targets.own_pauses")
         seconds = round(self.pauses.woke_at - self.pauses.began_at, 1)
         logs.event(log, "router.paused", seconds=seconds)
-        for callback in self._wakes:
+        for callback in self._resume_callbacks:
             callback()
 
-    def _known(self, name: str, incarnation: int) -> entries.Entry:
+    def _known_entry(self, name: str, incarnation: int) -> entries.Entry:
         entry = self.entries.get(name)
         if entry is not None and incarnation < entry.target.incarnation:
             raise errors.StaleIncarnationError(
-                f"target {name} has started again since",
+                f"target {name} has restarted since",
                 given=incarnation,
                 expected=entry.target.incarnation,
             )
@@ -435,55 +436,55 @@
     def _check_claims(self, target: records.Target, sequence: int) -> None:
         if target.data_centre != self.data_centre:
             raise errors.BadRequestError(
-                "target announced to another data centre's router",
+                "target announced itself to a router of another data centre",
                 given=target.data_centre,
                 expected=self.data_centre,
             )
         now = self.clock()
         entry = self.entries.get(target.name)
         if entry is not None:
-            lives = self._may_work(entry, now)
-            claims.check_incarnation(entry, target, lives)
+            alive = self._accepts_work(entry, now)
+            claims.check_incarnation(entry, target, alive)
             claims.check_sequence(entry, target.incarnation, sequence)
-        live = [e for e in self.entries.values() if self._may_work(e, now)]
+        live = [e for e in self.entries.values() if self._accepts_work(e, now)]
         claims.check_address(target, live)
-        if not self._room(target.name):
+        if not self._has_room(target.name):
             raise errors.TableFullError(
                 "table of targets is full",
                 given=len(self.entries),
                 expected=f"fewer than {TARGETS_MOST}",
             )
 
-    def _room(self, name: str) -> bool:
+    def _has_room(self, name: str) -> bool:
         if name in self.entries or len(self.entries) < TARGETS_MOST:
             return True
         self.metrics.count("targets.table_full")
         return False
 
-    def _replace(self, old, record, heard) -> entries.Entry:
+    def _replace(self, previous, record, heard) -> entries.Entry:
         now = self.clock()
         name = record.target.name
         entry = entries.Entry(record.target, record.version, heard)
-        if old is not None:
-            self._drop(old)
-            self._toggle(old)
-            if not old.lost:
-                self._departed(old, now)
-            entry.history = old.history
+        if previous is not None:
+            self._remove(previous)
+            self._toggle_digest(previous)
+            if not previous.lost:
+                self._record_departure(previous, now)
+            entry.history = previous.history
             entry.ready_at = now + flap_damping.readmission_delay(
                 entry.history, now
             )
         if record.leaving:
             entry.left_at = heard
-        # A record whose evidence is already old comes from another router's
-        # memory of a lost target: it is kept as a tombstone only.
-        entry.lost = self._ran_out(entry, now)
+        # A record with expired evidence describes a lost target that another
+        # router remembers: it is kept only as a tombstone.
+        entry.lost = self._is_expired(entry, now)
         self.entries[name] = entry
         self.by_data_centre.setdefault(record.target.data_centre, {})[name] = (
             entry
         )
         self.by_key[entries.target_key(record.target)] = entry
-        self._toggle(entry)
+        self._toggle_digest(entry)
         incarnation = record.target.incarnation
         logs.event(log, "target.known", name=name, incarnation=incarnation)
         return entry
@@ -491,59 +492,61 @@
     def _renew_in(self) -> float:
         return self.config().preset.lease_seconds * RENEW_SHARE_OF_LEASE
 
-    def _spoke(self, entry: entries.Entry, heard: float) -> None:
-        """Note that a target itself spoke to this router."""
+    def _record_message(self, entry: entries.Entry, heard: float) -> None:
+        """Record a message from the target itself to this router."""
         name = entry.target.name
-        self._evidence(entry, heard)
+        self._record_evidence(entry, heard)
         self.heard_directly.add(name)
         moved = heard - entry.heard_here_at > MOVED_SECONDS
         entry.heard_here_at = max(entry.heard_here_at, heard)
         if moved:
-            for callback in self._moves:
+            for callback in self._move_callbacks:
                 callback(name)
 
-    def _drop(self, entry: entries.Entry) -> None:
+    def _remove(self, entry: entries.Entry) -> None:
         target = entry.target
         del self.entries[target.name]
         del self.by_data_centre[target.data_centre][target.name]
         del self.by_key[entries.target_key(target)]
 
-    def _evidence(self, entry: entries.Entry, heard: float) -> None:
+    def _record_evidence(self, entry: entries.Entry, heard: float) -> None:
         now = self.clock()
         heard = min(heard, now)
         entry.heard_at = max(entry.heard_at, heard)
-        if entry.lost and not self._ran_out(entry, now):
+        if entry.lost and not self._is_expired(entry, now):
             entry.lost = False
-            self._toggle(entry)
+            self._toggle_digest(entry)
             entry.ready_at = now + flap_damping.readmission_delay(
                 entry.history, now
             )
             self.metrics.count("targets.returned")
             logs.event(log, "target.returned", name=entry.target.name)
-            self._tell(entry.target.name)
+            self._notify(entry.target.name)
 
-    def _lose(self, entry: entries.Entry, now: float) -> None:
-        self._toggle(entry)
+    def _mark_lost(self, entry: entries.Entry, now: float) -> None:
+        self._toggle_digest(entry)
         entry.lost = True
         self.metrics.count("targets.lost")
         logs.event(log, "target.lost", name=entry.target.name)
-        self._departed(entry, now)
-        self._tell(entry.target.name)
+        self._record_departure(entry, now)
+        self._notify(entry.target.name)
 
-    def _departed(self, entry: entries.Entry, now: float) -> None:
+    def _record_departure(self, entry: entries.Entry, now: float) -> None:
         orderly = entry.version.leaving
         entry.history = flap_damping.record_departure(
             entry.history, now, orderly
         )
-        future = self._lost.pop(entry.target.name, None)
+        future = self._loss_futures.pop(entry.target.name, None)
         if future is not None and not future.done():
             future.set_result(entry.target.name)
 
-    def _toggle(self, entry: entries.Entry) -> None:
-        """Take the entry's mark into its digest, or out of it."""
-        place = entry.target.data_centre
-        self.digests[place] = self.digests.get(place, 0) ^ entry.digest_part
+    def _toggle_digest(self, entry: entries.Entry) -> None:
+        """Add the entry's part to its digest, or remove it."""
+        data_centre = entry.target.data_centre
+        self.digests[data_centre] = (
+            self.digests.get(data_centre, 0) ^ entry.digest_part
+        )
 
-    def _tell(self, name: str) -> None:
-        for callback in self._callbacks:
+    def _notify(self, name: str) -> None:
+        for callback in self._state_callbacks:
             callback(name)
