--- a/amaranthring/targets/upstream.py
+++ b/amaranthring/targets/upstream.py
@@ -1,13 +1,13 @@
-"""One request to one target, on a connection of its own.
+"""One request to one target, over a connection of its own.
 
-A connection carries one request and is closed after it. An answer that comes
-late, twice or for another request can therefore never be taken for the
-answer of a later request, and a connection that could not be made is proof
-that no byte left. Bytes come by asyncio's streams, on which tornado runs,
-and tornado parses the head; ``docs/design/way.md`` has the ways weighed.
+Unless a call allows keep-alive, a connection carries one request and is closed
+after it: a late or repeated response is then never taken for that of a later
+request, and a connection that could not be made proves that no byte was sent.
+Bytes arrive through asyncio's streams, on which tornado runs, and tornado
+parses the head; ``docs/design/way.md`` compares the alternatives.
 
-Watching costs one timer for each request, not one for each read: the timer
-looks when the last token came and sets itself again.
+The timeout costs one timer for each request, not one for each read: when it
+fires, it checks when the last token came and restarts itself.
 """
 
 import asyncio
@@ -24,14 +24,13 @@
 
 READ_BYTES = 64 * 1024
 CONNECT_SECONDS = 1.0
-# A process that is ended beside others on a busy machine has closed its
-# sockets within some tens of milliseconds; a caller whose attempt failed
-# waits as long.
-KEPT_SECONDS = 0.15
+# Time in which a killed process has closed all of its sockets, also on a busy
+# machine. A caller whose attempt failed waits as long.
+RESET_WAIT_SECONDS = 0.15
 OUTCOME_HEADER = "Amaranthring-Outcome"
 REQUEST_ID_HEADER = "Amaranthring-Request-Id"
 
-INFORMATIONAL_MOST = 5
+MAX_INFORMATIONAL = 5
 CONNECTION_ERRORS = (
     OSError,
     ValueError,
@@ -43,18 +42,18 @@
 
 @dataclasses.dataclass
 class Call:
-    """What is sent to a target.
+    """Request to a target.
 
     Attributes
     ----------
     method, path : str
         Of the HTTP request.
     headers : mapping
-        Beside those of the connection itself; ``Host`` is the target's
-        address if it is not among them.
+        In addition to those of the connection; ``Host`` defaults to the
+        target's address.
     body : bytes
-        Sent whole.
-    keep : bool
+        The whole body.
+    keep_alive : bool
         Whether the connection may carry other calls after it.
     """
 
@@ -66,19 +65,19 @@
 
 
 class Exchange:
-    """One call to one target and its answer.
+    """One call to one target and its response.
 
     Attributes
     ----------
     sent : bool
-        Whether a byte may have left; false is certain.
+        Whether a byte may have been sent; false is certain.
     target : object
         Has an address and a name.
     status : int
-        HTTP status, once the head came.
+        HTTP status, once the head has arrived.
     headers : HTTPHeaders
-        Of the answer.
-    kept : bool
+        Of the response.
+    reused : bool
         Whether its connection carried other calls before.
     """
 
@@ -99,49 +98,48 @@
         self.abort_error: errors.AmaranthringError | None = None
         self.body: http_body.Decoder | None = None
         self.paused = False
-        self._allowed = connect_seconds
+        self._timeout = connect_seconds
         self.progress_at = time.monotonic()
         self._timer: asyncio.TimerHandle | None = None
-        self._due = 0.0
-        self._may_look_again = False
+        self._check_at = 0.0
+        self._may_extend = False
 
     def set_timeout(self, seconds: float) -> None:
-        """Give the target `seconds` from now, until the next :meth:`came`."""
-        self._allowed = seconds
+        """Restart the timeout; :meth:`note_progress` extends it."""
+        self._timeout = seconds
         self.progress_at = time.monotonic()
         if self._timer:
             self._timer.cancel()
-        self._may_look_again = True
-        self._arm(seconds)
+        self._may_extend = True
+        self._start_timer(seconds)
 
     def note_progress(self, now: float) -> None:
-        """Note that what was waited for came at monotonic time `now`.
+        """Record that a token or response came at monotonic time `now`.
 
-        Bytes alone are not it: a target that sends comments, or a byte now
-        and then, would hold its caller for ever.
+        Bytes alone do not count: a target that sends comments, or a byte now
+        and then, would hold its caller forever.
         """
         self.progress_at = now
 
     def abort(self, cause: errors.AmaranthringError) -> None:
-        """Close the connection; whoever reads gets `cause`."""
+        """Close the connection; pending reads raise `cause`."""
         self.abort_error = self.abort_error or cause
         self.close()
 
     def reuse(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Use a connection that is there already."""
+        """Use a connection that is already open."""
         self.reader, self.writer = reader, writer
         self.reused = True
 
     def release(self):
-        """Return reader and writer if they may carry another call.
+        """Detach and return reader and writer if they may carry another call.
 
-        The connection is then no longer this exchange's; None if it may
-        not be used again.
+        Returns None if the connection must not be reused.
         """
         body = self.body
-        closing = self.headers.get("Connection", "").lower()
+        connection_header = self.headers.get("Connection", "").lower()
         if (
             body is None
             or not body.ended
@@ -149,17 +147,17 @@
             or self.abort_error
         ):
             return None
-        # An answer can come before the target has read the whole request;
-        # what is still to be written belongs to that one.
+        # The response can precede the target's reading of the whole request;
+        # unsent bytes belong to that request.
         unsent = self.writer.transport.get_write_buffer_size()
-        if "close" in closing or unsent or self.writer.is_closing():
+        if "close" in connection_header or unsent or self.writer.is_closing():
             return None
-        held = self.reader, self.writer
+        connection = self.reader, self.writer
         if self._timer:
             self._timer.cancel()
             self._timer = None
         self.reader = self.writer = None
-        return held
+        return connection
 
     def close(self) -> None:
         """Close the connection."""
@@ -167,12 +165,12 @@
             self._timer.cancel()
             self._timer = None
         if self.writer:
-            # Not closed in good order: what was not sent need not be, and
-            # an answer that still comes is of no use.
+            # Aborted, not closed: unsent bytes are not needed, and a late
+            # response is of no use.
             self.writer.transport.abort()
 
     async def open(self, call: Call, seconds: float) -> None:
-        """Send `call` and read the head of its answer; see both."""
+        """Send `call` and read the head of its response."""
         await self.send(call, seconds)
         await self.read_head()
 
@@ -182,18 +180,18 @@
         Parameters
         ----------
         seconds : float
-            Time from sending to the head.
+            Timeout from sending to the head.
 
         Raises
         ------
         errors.UpstreamError
-            With outcome ``not-run`` if no byte left.
+            With outcome ``not-run`` if no byte was sent.
         """
         await self.connect()
         self.write_call(call, seconds)
 
     async def connect(self) -> None:
-        """Connect, or say that nothing was sent.
+        """Connect, or raise an error stating that nothing was sent.
 
         Raises
         ------
@@ -217,7 +215,7 @@
         Parameters
         ----------
         seconds : float
-            Time from sending to the head.
+            Timeout from sending to the head.
 
         Raises
         ------
@@ -236,29 +234,28 @@
         Raises
         ------
         OSError, ValueError, TimeoutError
-            If it cannot be reached in time; no byte left.
+            If it cannot be reached in time; no byte was sent.
         """
         host, _, port = self.target.address.rpartition(":")
-        # A stall of this process must not make a target count as unreached:
-        # its callers got 503 for a target that was there.
+        # A stall of this process must not count as an unreachable target.
         async with timeouts.running(self.connect_seconds):
             self.reader, self.writer = await asyncio.open_connection(
                 host.strip("[]"), int(port), limit=READ_BYTES
             )
         if self.abort_error:
-            # Broken off while it was being made.
+            # Aborted while connecting.
             self.close()
             raise ConnectionAbortedError
 
     async def read_head(self) -> None:
-        """Read the head of the answer; informational ones are passed over.
+        """Read the head of the response, skipping informational ones.
 
         Raises
         ------
         errors.UpstreamError
             If the connection broke or the head is malformed.
         """
-        for _ in range(INFORMATIONAL_MOST):
+        for _ in range(MAX_INFORMATIONAL):
             try:
                 data = await self.reader.readuntil(b"\r\n\r\n")
                 text = data.decode("latin1")
@@ -269,74 +266,74 @@
                 *CONNECTION_ERRORS,
                 tornado.httputil.HTTPInputError,
             ) as error:
-                raise self._broken(error) from error
+                raise self._connection_error(error) from error
             if start.code >= 200:
                 break
         else:
-            raise self._broken()
+            raise self._connection_error()
         self.status, self.headers = start.code, headers
         self.body = http_body.decoder_for(
             headers, start.code, self.call.method
         )
 
-    async def skip_body(self, most: int) -> None:
-        """Pass over an answer to an earlier call, and nothing behind it.
+    async def skip_body(self, max_bytes: int) -> None:
+        """Skip exactly the body of a response to an earlier call.
 
         Raises
         ------
         errors.UpstreamError
-            If its length is not given or above `most` bytes.
+            If its length is not given or above `max_bytes`.
         """
         length = self.headers.get("Content-Length", "")
-        if not length.isdigit() or int(length) > most:
-            raise self._broken()
+        if not length.isdigit() or int(length) > max_bytes:
+            raise self._connection_error()
         try:
             await self.reader.readexactly(int(length))
         except CONNECTION_ERRORS as error:
-            raise self._broken(error) from error
+            raise self._connection_error(error) from error
 
     async def read(self) -> bytes:
-        """Return what came, or nothing at the proper end of the body.
+        """Return the next bytes of the body, or nothing at its proper end.
 
         Raises
         ------
         errors.UpstreamError
-            If the connection broke, or was broken off, before the end.
+            If the connection broke, or was aborted, before the end.
         """
         while not self.body.ended:
             try:
                 data = await self.reader.read(READ_BYTES)
             except CONNECTION_ERRORS as error:
-                raise self._broken(error) from error
+                raise self._connection_error(error) from error
             if not data:
                 if self.body.ends_by_close and not self.abort_error:
                     return b""
-                raise self._broken()
+                raise self._connection_error()
             data = self.body.take(data)
             if data:
                 return data
         return b""
 
-    async def read_all(self, most: int, unframed: bool = False) -> bytes:
+    async def read_all(self, max_bytes: int, unframed: bool = False) -> bytes:
         """Return the whole body.
 
         Parameters
         ----------
         unframed : bool
-            Whether the target proves its answers otherwise, so that a
-            close in good order may end one.
+            Whether a close may end the body, because the target proves its
+            responses in another way.
 
         Raises
         ------
         errors.UpstreamError
-            As :meth:`read`, if the body is above `most` bytes, or if its
-            end cannot be told from a connection that broke.
+            As :meth:`read`, if the body is above `max_bytes`, or if its end
+            cannot be told from a broken connection.
         """
         if self.body.ends_by_close and not unframed:
-            # A process that dies closes its connections in good order, so
-            # the first half of an answer would pass for the whole.
+            # The kernel closes a dead process's connections in order, so half
+            # a response would pass for the whole.
             raise errors.UpstreamError(
-                "an answer of unknown length",
+                "the length of the answer is unknown",
                 given="neither Content-Length nor chunks",
                 expected="one of them",
             )
@@ -345,23 +342,23 @@
         while data := await self.read():
             parts.append(data)
             size += len(data)
-            if size > most:
+            if size > max_bytes:
                 raise errors.UpstreamError(
-                    "an answer above the bound",
+                    "the answer is too large",
                     given=f"{size} bytes",
-                    expected=f"{most} bytes at most",
+                    expected=f"{max_bytes} bytes at most",
                 )
         return b"".join(parts)
 
-    def _broken(
+    def _connection_error(
         self, error: BaseException | None = None
     ) -> errors.AmaranthringError:
         self.close()
-        # The system's own timeout on what is sent: the connection has gone
-        # silent, or the target's VM has no power.
-        silent = isinstance(error, TimeoutError)
+        # The kernel's timeout for unacknowledged bytes: the connection went
+        # silent, or the target's VM lost power.
+        timed_out = isinstance(error, TimeoutError)
         kind = errors.TruncatedAnswerError
-        if silent:
+        if timed_out:
             kind = errors.TargetSilentError
         return self.abort_error or kind(
             "the connection broke before the answer was whole",
@@ -369,31 +366,35 @@
             expected="a whole answer",
         )
 
-    def _arm(self, seconds: float) -> None:
+    def _start_timer(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
-        self._due = loop.time() + seconds
-        self._timer = loop.call_at(self._due, self._look)
+        self._check_at = loop.time() + seconds
+        self._timer = loop.call_at(self._check_at, self._check_progress)
 
-    def _look(self) -> None:
+    def _check_progress(self) -> None:
         now = time.monotonic()
         if self.paused:
             # The caller reads slowly; the target is not at fault.
             self.progress_at = now
-        left = self.progress_at + self._allowed - now
-        if left <= 0 and self._may_look_again and timeouts.is_late(self._due):
-            # This process stood still. What the target sent meanwhile is
-            # read after this step of the loop; broken off now, the target
-            # would count as silent with its answer in the socket.
-            self._may_look_again = False
-            left = timeouts.READ_SECONDS
-        if left > 0:
-            self._arm(left)
+        remaining = self.progress_at + self._timeout - now
+        if (
+            remaining <= 0
+            and self._may_extend
+            and timeouts.is_late(self._check_at)
+        ):
+            # This process was paused. The socket may hold the target's
+            # response, which is read after this loop iteration; aborted now,
+            # the target would count as silent.
+            self._may_extend = False
+            remaining = timeouts.READ_SECONDS
+        if remaining > 0:
+            self._start_timer(remaining)
             return
         self._timer = None
         self.abort(
             errors.UpstreamTimeoutError(
                 "the target took too long",
-                given=f"{self._allowed:g} s",
+                given=f"{self._timeout:g} s",
                 expected="a token, or the whole answer, earlier",
                 retry_after=1.0,
             )
@@ -418,7 +419,7 @@
     for line in lines:
         if not line.isprintable():
             raise errors.BadRequestError(
-                "a header cannot be sent on",
+                "a header cannot be forwarded",
                 given=repr(line[:64]),
                 expected="printable characters",
             )
@@ -426,10 +427,10 @@
 
 
 async def is_reachable(target: records.Target) -> bool:
-    """Return whether `target` takes a connection and keeps it.
+    """Return whether `target` accepts a connection and keeps it.
 
-    While the kernel ends a process, its listener still takes connections
-    for a moment, which are reset with it: such a target is dead.
+    While the kernel ends a process, its listener briefly still accepts
+    connections, which are then reset: such a target is dead.
     """
     exchange = Exchange(target)
     try:
@@ -438,7 +439,7 @@
         exchange.close()
         return False
     try:
-        async with timeouts.running(KEPT_SECONDS):
+        async with timeouts.running(RESET_WAIT_SECONDS):
             return bool(await exchange.reader.read(1))
     except TimeoutError:
         return True
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections to targets, and what may be on them."""
+"""Reuse of kept connections to targets."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 from tests import test_forwarding
 
 
-class KeepingCase(test_forwarding.RouterCase):
-    """Base: a router before targets that keep their connections."""
+class KeepAliveTestCase(test_forwarding.RouterCase):
+    """Base: a router before targets that keep their connections open."""
 
     async def begin(self, *scripts, allowance=10.0):
         await super().begin(*scripts, allowance=allowance)
@@ -19,8 +19,8 @@
         return self.targets[0]
 
 
-class TestReuse(KeepingCase):
-    """Connections in good order carry many calls."""
+class TestReuse(KeepAliveTestCase):
+    """Intact connections carry several calls."""
 
     async def test_calls_share_a_connection(self):
         await self.begin(scripted.whole(b"good"))
@@ -36,7 +36,7 @@
             self.assertTrue(got.whole)
         self.assertEqual(1, self.target.connections)
 
-    async def test_number_of_idle_ones_is_bounded(self):
+    async def test_idle_connections_are_bounded(self):
         async def slow(seen, writer):
             await asyncio.sleep(0.1)
             await scripted.whole()(seen, writer)
@@ -44,10 +44,10 @@
         await self.begin(slow)
         self.router.relay.connections.max_idle = lambda: 2
         await asyncio.gather(*(self.ask("/b/x", "POST") for _ in range(6)))
-        held = self.router.relay.connections.idle["t0"]
-        self.assertEqual(2, len(held))
+        idle = self.router.relay.connections.idle["t0"]
+        self.assertEqual(2, len(idle))
 
-    async def test_idle_ones_are_not_used_for_ever(self):
+    async def test_idle_connections_expire(self):
         await self.begin(scripted.whole())
         await self.ask("/b/x", "POST")
         pool = self.router.relay.connections
@@ -57,7 +57,7 @@
         self.assertEqual(2, self.target.connections)
 
 
-class TestDoubtfulOnes(KeepingCase):
+class TestUnusableConnections(KeepAliveTestCase):
     """Connections that must not carry another call."""
 
     async def check_not_reused(self, script, path="/b/x"):
@@ -68,34 +68,30 @@
             await asyncio.sleep(0.03)
         self.assertEqual(2, self.target.connections)
 
-    async def test_target_says_that_it_closes(self):
+    async def test_connection_close_header(self):
         async def script(seen, writer):
-            more = {"Content_Length": "2", "Connection": "close"}
-            writer.write(scripted.head(seen, **more) + b"ok")
+            headers = {"Content_Length": "2", "Connection": "close"}
+            writer.write(scripted.head(seen, **headers) + b"ok")
 
         await self.check_not_reused(script)
 
-    async def test_target_states_that_it_keeps_none(self):
+    async def test_keep_alive_timeout_of_zero(self):
         async def script(seen, writer):
-            more = {"Content_Length": "2", "Keep_Alive": "timeout=0"}
-            writer.write(scripted.head(seen, **more) + b"ok")
+            headers = {"Content_Length": "2", "Keep_Alive": "timeout=0"}
+            writer.write(scripted.head(seen, **headers) + b"ok")
 
         await self.check_not_reused(script)
 
     async def test_bytes_after_the_answer(self):
-        """A target writes more than its answer is long.
-
-        On a kept connection the rest would be read as the beginning of the
-        next caller's answer.
-        """
+        """Surplus bytes must not become part of the next caller's answer."""
 
         async def script(seen, writer):
-            more = {"Content_Length": "2"}
-            writer.write(scripted.head(seen, **more) + b"ok and more")
+            headers = {"Content_Length": "2"}
+            writer.write(scripted.head(seen, **headers) + b"ok and more")
 
         await self.check_not_reused(script)
 
-    async def test_bytes_while_it_idles(self):
+    async def test_bytes_on_an_idle_connection(self):
         async def script(seen, writer):
             await scripted.whole()(seen, writer)
             await asyncio.sleep(0.01)
@@ -103,36 +99,32 @@
 
         await self.check_not_reused(script)
 
-    async def test_answer_that_ended_with_the_connection(self):
+    async def test_answer_ended_by_close(self):
         async def script(seen, writer):
             writer.write(scripted.head(seen) + b"all")
             writer.close()
 
         await self.check_not_reused(script)
 
-    async def test_target_closed_it_while_it_idled(self):
+    async def test_idle_connection_closed_by_target(self):
         async def script(seen, writer):
             await scripted.whole()(seen, writer)
             writer.close()
 
         await self.check_not_reused(script)
 
-    async def test_second_answer_that_comes_with_the_next_call(self):
-        """A target answers a call twice, the second time much later.
-
-        The second answer stands where the next call's is expected. Passed
-        on, a caller would get another one's booking.
-        """
-        late = []
+    async def test_second_answer_to_an_earlier_call(self):
+        """A repeated answer must not be passed on as that of the next call."""
+        repeated = []
 
         async def script(seen, writer):
-            for data in late:
+            for data in repeated:
                 writer.write(data)
-            late.clear()
+            repeated.clear()
             body = seen.headers[scripted.ID].encode()
             size = str(len(body))
             data = scripted.head(seen, Content_Length=size) + body
-            late.append(data)
+            repeated.append(data)
             writer.write(data)
 
         await self.begin(script)
@@ -141,7 +133,7 @@
             self.assertEqual((200, name.encode()), (got.status, got.body))
         self.assertEqual(3, self.ran())
 
-    async def test_broken_answer_closes_it(self):
+    async def test_broken_answer_closes_the_connection(self):
         calls = []
 
         async def script(seen, writer):
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Counts and prompt places that routers share through keepers."""
+"""Counts and prompt locations that routers share through keepers."""
 
 import asyncio
 import collections
@@ -21,8 +21,8 @@
 SEED = 20261203
 
 
-class FakeLink:
-    """Keeps what is sent to a router."""
+class RecordingLink:
+    """Records what is sent to a router."""
 
     def __init__(self, name):
         self.peer = links.Identity(name, "router", "here")
@@ -33,11 +33,11 @@
         self.sent.append(message)
 
 
-class FakeDialler:
-    """Hands messages to another keeper's exchange."""
+class LoopbackDialler:
+    """Passes messages directly to another keeper's exchange."""
 
     def __init__(self, name, exchange):
-        self.link = FakeLink(name)
+        self.link = RecordingLink(name)
         self.exchange = exchange
 
     def send(self, message):
@@ -51,28 +51,30 @@
         self.now = 100.0
         self.one = self.exchange("one", lambda: self.two)
         self.two = self.exchange("two", lambda: self.one)
-        self.routers = [FakeLink(f"r{n}") for n in range(3)]
+        self.routers = [RecordingLink(f"r{n}") for n in range(3)]
 
     def exchange(self, name, other):
         handlers = links.Handlers()
-        dialler = FakeDialler(name, other)
-        made = sharing.Exchange(handlers, lambda: [dialler], lambda: self.now)
-        made.handlers = handlers
-        return made
+        dialler = LoopbackDialler(name, other)
+        exchange = sharing.Exchange(
+            handlers, lambda: [dialler], lambda: self.now
+        )
+        exchange.handlers = handlers
+        return exchange
 
-    def report(self, router, counts, places=(), unreached=()):
+    def report(self, router, counts, locations=(), unreached=()):
         home = self.two if router == 2 else self.one
         message = sharing.Report(
-            counts, [list(p) for p in places], list(unreached)
+            counts, [list(p) for p in locations], list(unreached)
         )
         home.handlers.by_class[sharing.Report](self.routers[router], message)
 
     def step(self):
-        # Sums go over once before they are handed on.
+        # A keeper receives sums in one step and forwards them in the next.
         for exchange in (self.one, self.two, self.one, self.two):
             exchange.step()
 
-    def test_each_router_hears_the_counts_of_all_others(self):
+    def test_router_receives_the_counts_of_all_others(self):
         self.report(0, {"a": 1})
         self.report(1, {"a": 2, "b": 1})
         self.report(2, {"b": 4})
@@ -82,7 +84,7 @@
         self.assertEqual({"a": 1, "b": 4}, last[1])
         self.assertEqual({"a": 3, "b": 1}, last[2])
 
-    def test_counts_of_a_lost_keeper_and_a_lost_router_end(self):
+    def test_counts_of_lost_keepers_and_routers_are_dropped(self):
         self.report(0, {"a": 1})
         self.report(1, {"a": 2})
         self.report(2, {"b": 4})
@@ -93,11 +95,7 @@
         self.assertEqual({}, self.routers[0].sent[-1].counts)
 
     def test_router_that_reports_to_another_keeper_counts_once(self):
-        """A router finds the keeper of its own data centre a moment later.
-
-        The first one went on counting what it had said, and targets seemed
-        to hold requests that were long answered.
-        """
+        """The keeper that a router has left must drop its last report."""
         self.report(0, {"a": 3})
         self.report(1, {})
         self.step()
@@ -108,7 +106,7 @@
         self.assertEqual({}, self.routers[1].sent[-1].counts)
         self.assertNotIn(self.routers[0], self.one.routers)
 
-    def test_each_router_hears_who_else_could_not_reach_a_target(self):
+    def test_router_receives_how_many_others_could_not_reach_a_target(self):
         self.report(0, {}, unreached=["a"])
         self.report(1, {}, unreached=["a", "b"])
         self.report(2, {})
@@ -118,31 +116,25 @@
         self.assertEqual({"a": 1}, last[1])
         self.assertEqual({"a": 2, "b": 1}, last[2])
 
-    def test_places_come_a_part_at_a_time_the_newest_first(self):
-        """A data centre's cut heals, and its routers come back together.
-
-        Each got all places at once, 80 KB, over links that carry the
-        keepers' heartbeats as well; the leader was lost again.
-        """
-        most = sharing.LOCATIONS_PER_MESSAGE
-        pairs = [(f"p{n}", "a") for n in range(3 * most)]
+    def test_locations_are_sent_in_batches_the_newest_first(self):
+        """Sent all at once to many routers, locations delay heartbeats."""
+        limit = sharing.LOCATIONS_PER_MESSAGE
+        pairs = [(f"p{n}", "a") for n in range(3 * limit)]
         self.report(0, {}, pairs)
         self.report(1, {})
         sizes = []
         for _ in range(4):
             sizes.append(len(self.routers[1].sent[-1].places))
             self.one.step()
-        self.assertEqual([most, most, most, 0], sizes)
+        self.assertEqual([limit, limit, limit, 0], sizes)
         first = self.routers[1].sent[0].places
-        self.assertEqual([f"p{3 * most - 1}", "a"], first[-1])
+        self.assertEqual([f"p{3 * limit - 1}", "a"], first[-1])
 
-    def test_small_fleet_hears_all_places_at_once(self):
-        """All VMs lose power; 7 routers return to 3 keepers on 6 Mbit/s.
+    def test_small_fleet_gets_all_locations_at_once(self):
+        """A link with room must not be limited to a fixed batch.
 
-        About 1,000 pairs are known: 34 beginnings of 10,000 tokens and 230
-        shorter ones, each kept by three or four engines. At 100 a message
-        they took 2.5 s, and the callers that had waited for the plan had
-        170,000 tokens read again meanwhile.
+        7 routers reconnect to 3 keepers on 6 Mbit/s, with about 1,000
+        locations.
         """
         self.one.pacer = pacing.Pacer({}, lambda: self.now, 0.75e6)
         for router in (1, 2):
@@ -150,18 +142,14 @@
         self.report(0, {}, [(f"p{n}", "a") for n in range(1000)])
         for _ in range(2):
             self.one.step()
-        heard = sum(len(m.places) for m in self.routers[1].sent)
-        self.assertEqual(1000, heard)
-        pairs_a_second = heard / sharing.REPORT_SECONDS
+        received = sum(len(m.places) for m in self.routers[1].sent)
+        self.assertEqual(1000, received)
+        pairs_a_second = received / sharing.REPORT_SECONDS
         bytes_a_second = 2 * pairs_a_second * sharing.PAIR_BYTES
         self.assertLess(bytes_a_second, 2 * 0.25 * 0.75e6)
 
-    def test_keeper_that_lost_its_disk_is_told_what_it_knew(self):
-        """A keeper's disk is wiped, and all VMs lose their power.
-
-        The routers that report to it read each prompt again where they
-        found no place for it, for ten seconds and more.
-        """
+    def test_keeper_that_lost_its_disk_gets_the_locations_again(self):
+        """Routers that report to it must get the known locations too."""
         self.report(0, {}, [("part", "a"), ("part", "b")])
         self.step()
         self.two = self.exchange("two", lambda: self.one)
@@ -169,35 +157,35 @@
         self.assertEqual([], self.routers[2].sent[-1].places)
         self.one.sync_keeper(next(iter(self.one.peers())))
         self.step()
-        heard = [p for m in self.routers[2].sent for p in m.places]
-        self.assertEqual([["part", "a"], ["part", "b"]], sorted(heard))
+        received = [p for m in self.routers[2].sent for p in m.places]
+        self.assertEqual([["part", "a"], ["part", "b"]], sorted(received))
         self.step()
         again = [p for m in self.routers[2].sent for p in m.places]
-        self.assertEqual(len(heard), len(again))
+        self.assertEqual(len(received), len(again))
 
-    def test_places_reach_every_other_router_once(self):
+    def test_locations_reach_every_other_router_once(self):
         for router in range(3):
             self.report(router, {})
         self.report(0, {}, [("part", "a")])
         self.step()
         self.step()
-        heard = [
-            [place for message in router.sent for place in message.places]
+        received = [
+            [
+                location
+                for message in router.sent
+                for location in message.places
+            ]
             for router in self.routers
         ]
-        self.assertEqual([[], [["part", "a"]], [["part", "a"]]], heard)
+        self.assertEqual([[], [["part", "a"]], [["part", "a"]]], received)
 
     def test_router_that_starts_is_answered_at_once(self):
         self.report(1, {"a": 2})
         self.report(0, {})
         self.assertEqual({"a": 2}, self.routers[0].sent[-1].counts)
 
-    def test_router_that_starts_hears_what_is_known(self):
-        """All routers are restarted in turn during a busy day.
-
-        One that knows no place sends each long prompt to a target that has
-        to read it again.
-        """
+    def test_router_that_starts_gets_the_recent_locations(self):
+        """A restarted router must not have known prompts computed again."""
         self.report(2, {}, [("part", "a")])
         self.step()
         self.report(0, {})
@@ -209,26 +197,21 @@
         self.assertEqual([], self.routers[1].sent[-1].places)
 
 
-class TestTurningAway(unittest.TestCase):
-    """A router that reports to one keeper after the other.
+class TestHomeChange(unittest.TestCase):
+    """A router that moves from one home keeper to another.
 
-    All routers come back after a loss of power, or a cut begins: they report
-    to the first keeper that they reach, and a moment later to that of their
-    data centre, or to one that is left. The first keeper went on telling
-    them places for 1.5 s, the next one began with all places anew.
-    ``places.behind`` of keepers showed up to 3,000 pairs waiting for each
-    router, half of them at keepers that it had turned away from; meanwhile
-    routers sent prompts where they were read again.
+    The previous keeper must stop sending to it at once, and the next one must
+    not start again with all locations: both delay locations for other routers.
     """
 
     def setUp(self):
         self.now = 100.0
         self.keepers = [self.keeper(name) for name in ("one", "two")]
-        self.links = [FakeLink(name) for name in ("one", "two")]
+        self.links = [RecordingLink(name) for name in ("one", "two")]
         self.home = 0
         self.others = []
         handlers = links.Handlers()
-        self.member = reporting.Reporter(
+        self.reporter = reporting.Reporter(
             handlers,
             lambda: self.links[self.home],
             lambda: sharing.Report({"a": 1}, []),
@@ -239,104 +222,104 @@
 
     def keeper(self, name):
         handlers = links.Handlers()
-        made = sharing.Exchange(
+        exchange = sharing.Exchange(
             handlers, lambda: self.diallers(name), lambda: self.now
         )
-        made.handlers = handlers
-        return made
+        exchange.handlers = handlers
+        return exchange
 
     def diallers(self, name):
         if name == "one":
-            return [FakeDialler("one", lambda: self.keepers[1])]
-        return [FakeDialler("two", lambda: self.keepers[0])]
+            return [LoopbackDialler("one", lambda: self.keepers[1])]
+        return [LoopbackDialler("two", lambda: self.keepers[0])]
 
     def turn(self, home=None):
-        """Let the router report, and the keepers hear it and answer."""
+        """Let the router report, and the keepers receive it and answer."""
         if home is not None:
             self.home = home
-        self.member.report()
+        self.reporter.report()
         for number, link in enumerate(self.links):
-            # What the router sent comes on the keeper's end of the link.
-            said, link.sent = link.sent, []
-            for message in said:
+            # What the router sent arrives at the keeper's end of the link.
+            sent, link.sent = link.sent, []
+            for message in sent:
                 handlers = self.keepers[number].handlers
                 handlers.by_class[type(message)](link, message)
         for keeper in self.keepers:
             keeper.step()
         self.now += sharing.REPORT_SECONDS
-        return self.hear()
+        return self.receive()
 
-    def hear(self):
-        """Return the pairs that the router was told, by keeper."""
-        heard = []
+    def receive(self):
+        """Return the locations sent to the router, by keeper."""
+        received = []
         for link in self.links:
-            said, link.sent = link.sent, []
-            for message in said:
+            sent, link.sent = link.sent, []
+            for message in sent:
                 self.on_others(link, message)
-            heard.append([pair for one in said for pair in one.places])
-        return heard
+            received.append(
+                [pair for message in sent for pair in message.places]
+            )
+        return received
 
-    def keep(self, names):
+    def store(self, names):
         for keeper in self.keepers:
             keeper.store_locations([[name, "a"] for name in names])
 
-    def test_keeper_that_it_left_tells_it_nothing_more(self):
-        self.keep([f"p{n}" for n in range(10 * sharing.LOCATIONS_PER_MESSAGE)])
+    def test_previous_keeper_sends_nothing_more(self):
+        self.store(
+            [f"p{n}" for n in range(10 * sharing.LOCATIONS_PER_MESSAGE)]
+        )
         self.turn()
-        [left, right] = self.turn(home=1)
-        self.assertEqual([], left)
-        self.assertNotEqual([], right)
+        [from_previous, from_new] = self.turn(home=1)
+        self.assertEqual([], from_previous)
+        self.assertNotEqual([], from_new)
         self.assertNotIn(self.links[0], self.keepers[0].routers)
 
-    def test_router_that_knows_all_is_told_only_what_is_new(self):
-        self.keep(["old"])
+    def test_synced_router_gets_only_new_locations(self):
+        self.store(["old"])
         for _ in range(3):
             self.turn()
         self.now += 5.0
         for _ in range(3):
             self.turn()
-        self.keep(["new"])
-        [_, right] = self.turn(home=1)
-        self.assertEqual([["new", "a"]], right)
+        self.store(["new"])
+        [_, from_new] = self.turn(home=1)
+        self.assertEqual([["new", "a"]], from_new)
 
-    def test_router_that_was_behind_is_told_all(self):
-        self.keep([f"p{n}" for n in range(10 * sharing.LOCATIONS_PER_MESSAGE)])
+    def test_unsynced_router_gets_all_locations(self):
+        self.store(
+            [f"p{n}" for n in range(10 * sharing.LOCATIONS_PER_MESSAGE)]
+        )
         self.turn()
-        heard = []
+        received = []
         for _ in range(12):
-            heard += self.turn(home=1)[1]
-        self.assertEqual(10 * sharing.LOCATIONS_PER_MESSAGE, len(heard))
-
-    def test_keeper_that_hears_no_other_says_not_that_it_told_all(self):
-        """A router reports to a keeper that is cut off from the others.
+            received += self.turn(home=1)[1]
+        self.assertEqual(10 * sharing.LOCATIONS_PER_MESSAGE, len(received))
 
-        What they learned meanwhile must come whole when it turns to them.
-        """
-        self.diallers = lambda name: [FakeDialler(name, self.lost)]
-        self.keep(["old"])
+    def test_partitioned_keeper_does_not_report_all_told(self):
+        """What other keepers learned in a partition must be sent after it."""
+        self.diallers = lambda name: [LoopbackDialler(name, self.lost)]
+        self.store(["old"])
         for _ in range(8):
             self.turn()
         self.keepers[1].store_locations([["unheard", "a"]])
         self.now += 5.0
         for _ in range(8):
             self.turn()
-        [_, right] = self.turn(home=1)
-        self.assertEqual([["old", "a"], ["unheard", "a"]], sorted(right))
+        [_, from_new] = self.turn(home=1)
+        self.assertEqual([["old", "a"], ["unheard", "a"]], sorted(from_new))
 
     def lost(self):
-        """Return a keeper to which all that is sent is lost."""
+        """Return a keeper that loses everything sent to it."""
         return self.keeper("lost")
 
 
-class TestLongPartsFirst(unittest.TestCase):
-    """A link that has no room for all that routers have yet to be told.
+class TestPriority(unittest.TestCase):
+    """A link without room for all locations that routers have yet to be sent.
 
-    All routers come back after a loss of power, and some are cut off: 1,000
-    to 3,000 pairs wait for each (``places.behind``). The newest went first,
-    and engines read long beginnings again whose places came seconds later:
-    a tenth of the parts holds half of all tokens asked for. With the longest
-    parts first as much was read again: a part is found only behind those
-    before it, which are short and came last.
+    The locations of long parts go first: a tenth of the parts holds half of
+    all requested tokens, and engines recompute parts whose locations come
+    late.
     """
 
     def setUp(self):
@@ -344,49 +327,51 @@
         self.now = 100.0
         self.keeper = sharing.Exchange(handlers, list, lambda: self.now)
         self.on_report = handlers.by_class[sharing.Report]
-        self.router = FakeLink("r0")
+        self.router = RecordingLink("r0")
 
     def report(self, link, lengths):
         pairs = [[name, "a"] for name in lengths]
         self.on_report(link, sharing.Report({}, pairs, tokens=lengths))
 
-    def heard(self):
+    def received(self):
         return [p for m in self.router.sent for p, _ in m.places]
 
     def lengths(self, kind, tokens):
         count = sharing.LOCATIONS_PER_MESSAGE
         return {f"{kind}{n}": tokens for n in range(count)}
 
-    def test_router_that_starts(self):
+    def test_long_parts_are_sent_first_to_a_new_router(self):
         long = self.lengths("long", 20_000)
-        self.report(FakeLink("r1"), long)
-        self.report(FakeLink("r1"), self.lengths("short", 300))
+        self.report(RecordingLink("r1"), long)
+        self.report(RecordingLink("r1"), self.lengths("short", 300))
         self.report(self.router, {})
-        self.assertCountEqual(long, self.heard())
+        self.assertCountEqual(long, self.received())
 
-    def test_news(self):
-        self.report(FakeLink("r1"), self.lengths("old", 300))
+    def test_long_parts_are_sent_first_among_updates(self):
+        self.report(RecordingLink("r1"), self.lengths("old", 300))
         self.report(self.router, {})
         long = self.lengths("long", 20_000)
-        self.report(FakeLink("r1"), long)
-        self.report(FakeLink("r1"), self.lengths("short", 300))
+        self.report(RecordingLink("r1"), long)
+        self.report(RecordingLink("r1"), self.lengths("short", 300))
         self.router.sent.clear()
         self.keeper.step()
-        self.assertCountEqual(long, self.heard())
+        self.assertCountEqual(long, self.received())
 
-    def test_nothing_is_left_out(self):
+    def test_every_location_is_sent_once(self):
         for kind, tokens in (("a", 9), ("b", 20_000), ("c", 300)):
-            self.report(FakeLink("r1"), self.lengths(kind, tokens))
+            self.report(RecordingLink("r1"), self.lengths(kind, tokens))
         self.report(self.router, {})
-        self.report(FakeLink("r1"), self.lengths("d", 1000))
+        self.report(RecordingLink("r1"), self.lengths("d", 1000))
         for _ in range(6):
             self.keeper.step()
-        self.assertEqual(4 * sharing.LOCATIONS_PER_MESSAGE, len(self.heard()))
-        self.assertEqual(len(set(self.heard())), len(self.heard()))
+        self.assertEqual(
+            4 * sharing.LOCATIONS_PER_MESSAGE, len(self.received())
+        )
+        self.assertEqual(len(set(self.received())), len(self.received()))
 
 
-class CountedLink(FakeLink):
-    """Counts the bytes that a router or keeper is sent."""
+class CountingLink(RecordingLink):
+    """Counts the bytes sent to a router or keeper."""
 
     def __init__(self, name, sent):
         super().__init__(name)
@@ -399,121 +384,118 @@
 
 
 class TestBusyLink(unittest.TestCase):
-    """A keeper on 6 Mbit/s with a fifth of 87 routers, before 93 targets."""
+    """A keeper on 6 Mbit/s with a fifth of 87 routers and 93 targets."""
 
     routers = 17
     targets = 93
     link_rate = 0.75e6
-    # A quarter of a second's news: 430 requests a second, most of them with
-    # a part that is new at its target or with none.
-    news = 60
+    # New locations per interval: 430 requests a second, most of them with one
+    # part that is new at its target or with none.
+    report_count = 60
 
     def setUp(self):
         self.now = 100.0
-        self.chance = random.Random(SEED)
+        self.random = random.Random(SEED)
         self.sent = collections.Counter()
         self.pacer = pacing.Pacer(self.sent, lambda: self.now, self.link_rate)
         handlers = links.Handlers()
-        self.peers = [CountedLink(f"k{n}", self.sent) for n in range(5)]
+        self.peers = [CountingLink(f"k{n}", self.sent) for n in range(5)]
         self.keeper = sharing.Exchange(
             handlers, lambda: self.peers, lambda: self.now, self.pacer
         )
         self.on_report = handlers.by_class[sharing.Report]
         self.ids = [f"i-{self.hexadecimal(40)}" for _ in range(self.targets)]
         self.links = []
-        self.told = [0] * self.routers
-        self.heard = [{} for _ in range(self.routers)]
+        self.read_counts = [0] * self.routers
+        self.received = [{} for _ in range(self.routers)]
 
     def hexadecimal(self, bits):
-        return f"{self.chance.getrandbits(bits):0{bits // 4}x}"
+        return f"{self.random.getrandbits(bits):0{bits // 4}x}"
 
     def add_routers(self):
         for number in range(self.routers):
-            self.links.append(CountedLink(f"r{number}", self.sent))
+            self.links.append(CountingLink(f"r{number}", self.sent))
             self.report(number, [])
 
     def report(self, number, pairs):
-        counts = {name: self.chance.randint(1, 3) for name in self.ids}
-        reading = {name: self.chance.randint(1, 9999) for name in self.ids}
+        counts = {name: self.random.randint(1, 3) for name in self.ids}
+        reading = {name: self.random.randint(1, 9999) for name in self.ids}
         message = sharing.Report(counts, pairs, reading=reading)
         self.on_report(self.links[number], message)
 
-    def step(self, news):
-        """Let a quarter of a second pass in which `news` pairs come."""
+    def step(self, report_count):
+        """Advance one interval; `report_count` locations are reported."""
         pairs = [
-            [self.hexadecimal(32), self.chance.choice(self.ids)]
-            for _ in range(news)
+            [self.hexadecimal(32), self.random.choice(self.ids)]
+            for _ in range(report_count)
         ]
         for number in range(self.routers):
             self.report(number, pairs[number :: self.routers])
         self.now += sharing.REPORT_SECONDS
         self.keeper.step()
         for number, link in enumerate(self.links):
-            for message in link.sent[self.told[number] :]:
+            for message in link.sent[self.read_counts[number] :]:
                 for part, _ in message.places:
-                    self.heard[number].setdefault(part, self.now)
-            self.told[number] = len(link.sent)
+                    self.received[number].setdefault(part, self.now)
+            self.read_counts[number] = len(link.sent)
         return [part for part, _ in pairs]
 
-    def test_news_reach_every_router_at_once(self):
-        """Routers send prompts where they are read again, on a calm day.
+    def test_new_locations_reach_every_router_in_time(self):
+        """Counts must not take up the bandwidth that new locations need.
 
-        Keepers told each router what it does, counts of 93 targets, four
-        times a second; that took the half of the link that places share,
-        and what was left went to those routers that came first. Others
-        were 500 pairs behind (``places.behind``) and read 12 million tokens
-        again in a day where the code without the bound read 5 million.
+        A router that learns of a location late has the prompt computed again.
         """
         self.add_routers()
-        came = {}
+        reported_at = {}
         for _ in range(40):
             began = self.now
-            came |= dict.fromkeys(self.step(self.news), began)
+            reported_at |= dict.fromkeys(self.step(self.report_count), began)
         for _ in range(2):
             self.step(0)
-        for number, heard in enumerate(self.heard):
-            reported = set(came) - self.reported_by(number, came)
-            self.assertEqual(reported - set(heard), set(), number)
-            late = max(heard[part] - came[part] for part in reported)
-            self.assertLessEqual(late, 2 * sharing.REPORT_SECONDS, number)
-
-    def reported_by(self, number, came):
+        for number, received in enumerate(self.received):
+            reported = set(reported_at) - self.reported_by(number, reported_at)
+            self.assertEqual(reported - set(received), set(), number)
+            delay = max(
+                received[part] - reported_at[part] for part in reported
+            )
+            self.assertLessEqual(delay, 2 * sharing.REPORT_SECONDS, number)
+
+    def reported_by(self, number, reported_at):
         """Return the parts that router `number` reported itself."""
-        parts = list(came)
+        parts = list(reported_at)
         steps = [
-            parts[first : first + self.news]
-            for first in range(0, len(parts), self.news)
+            parts[first : first + self.report_count]
+            for first in range(0, len(parts), self.report_count)
         ]
         return {
             part for step in steps for part in step[number :: self.routers]
         }
 
-    def test_routers_that_come_back_are_told_in_turn(self):
-        """All routers lose power while 1,400 pairs are known.
+    def test_reconnecting_routers_share_the_bandwidth(self):
+        """Routers that reconnect together get 1,400 locations equally fast.
 
-        What the link has left is shared alike: none waits for the others.
-        Half of the link stays for heartbeats.
+        Half of the link stays free for heartbeats.
         """
-        known = [
-            [self.hexadecimal(32), self.chance.choice(self.ids)]
+        locations = [
+            [self.hexadecimal(32), self.random.choice(self.ids)]
             for _ in range(1400)
         ]
-        self.keeper.store_locations(known)
+        self.keeper.store_locations(locations)
         self.add_routers()
         before = sum(self.sent.values())
         began = self.now
         while self.now < began + 1.5:
             self.step(0)
-        for number, heard in enumerate(self.heard):
-            self.assertEqual(len(heard), 1400, number)
+        for number, received in enumerate(self.received):
+            self.assertEqual(len(received), 1400, number)
         used = sum(self.sent.values()) - before
         burst = pacing.BURST_SECONDS
-        most = pacing.SHARE * self.link_rate * (1.5 + 2 * burst)
-        self.assertLess(used, most)
+        limit = pacing.SHARE * self.link_rate * (1.5 + 2 * burst)
+        self.assertLess(used, limit)
 
 
 class TestHintFile(unittest.IsolatedAsyncioTestCase):
-    """Places and targets on a keeper's disk."""
+    """Locations and targets on a keeper's disk."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -522,8 +504,8 @@
         self.now = 100.0
         self.time_of_day = 1e9
 
-    def opened(self, files=None):
-        made = hint_file.HintFile(
+    def open_file(self, files=None):
+        hints = hint_file.HintFile(
             self.path,
             sharing.Exchange(links.Handlers(), list, lambda: self.now),
             targets.TargetTable(lambda: self.now, 1.8),
@@ -531,81 +513,74 @@
             files,
             lambda: self.time_of_day,
         )
-        self.addCleanup(made.close)
-        return made
-
-    async def write(self, made):
-        made._note(made._write(made._hints()))
+        self.addCleanup(hints.close)
+        return hints
 
-    async def test_whole_fleet_loses_power(self):
-        """All VMs lose power; the engines run on with their prompts.
+    async def write(self, hints):
+        hints._record_result(hints._write(hints._hints()))
 
-        Routers and keepers that start know nothing, and the first request
-        for each long beginning reads it at another engine.
-        """
-        before = self.opened()
+    async def test_locations_survive_a_power_loss(self):
+        """Restarted keepers must know which engines hold which prompts."""
+        before = self.open_file()
         before.exchange.store_locations([["part", "b"], ["part", "a"]])
         before.exchange.tokens = {"part": 20_000, "gone": 300}
         await self.write(before)
-        after = self.opened()
+        after = self.open_file()
         after.load()
         self.assertEqual({"part": 20_000}, after.exchange.tokens)
-        # The newest last, as they are sent from there.
+        # The newest last, in the order in which they are sent.
         self.assertEqual(
             [["part", "b"], ["part", "a"]], after.exchange.recent_locations()
         )
 
-    async def test_targets_are_known_before_they_announce_themselves(self):
-        """All VMs lose power; targets announce themselves within a beat.
-
-        Until then the first one that did so got every request.
-        """
-        before = self.opened()
+    async def test_targets_survive_a_power_loss(self):
+        """The first target to announce itself must not get all requests."""
+        before = self.open_file()
         before.table.merge(record("a", 5))
         quiet = record("quiet", 5, silent=True)
         before.table.merge(dataclasses.replace(quiet, address="v:2"))
         await self.write(before)
-        after = self.opened()
+        after = self.open_file()
         after.load()
         self.assertEqual(["a"], [one.id for one in after.table.active()])
-        # One that has ended meanwhile does not count for long.
+        # A restored target that is not heard from soon counts as silent.
         self.now += 2.3
         self.assertEqual(["a"], [r.id for r in after.table.mark_silent(4.2)])
         self.assertTrue(after.table.merge(record("a", 6)))
 
-    async def test_target_that_took_an_address_meanwhile_gets_it(self):
-        before = self.opened()
+    async def test_new_target_takes_a_restored_address(self):
+        before = self.open_file()
         before.table.merge(record("a", 5))
         await self.write(before)
-        after = self.opened()
+        after = self.open_file()
         after.load()
         self.assertTrue(after.table.merge(record("b", 9)))
         self.assertEqual(["b"], [one.id for one in after.table.active()])
 
-    async def test_targets_of_an_old_file_are_not_believed(self):
-        before = self.opened()
+    async def test_targets_of_an_old_file_are_ignored(self):
+        before = self.open_file()
         before.table.merge(record("a", 5))
         await self.write(before)
         self.time_of_day += hint_file.MAX_TARGETS_AGE_SECONDS + 1
-        after = self.opened()
+        after = self.open_file()
         after.load()
         self.assertEqual([], list(after.table.active()))
 
-    async def test_damaged_file_is_no_file(self):
-        made = self.opened()
+    async def test_damaged_file_is_ignored(self):
+        hints = self.open_file()
         for data in (b"", b"torn", disk.with_checksum(b"\xc1")):
             self.path.write_bytes(data)
-            made.load()
-        self.assertEqual([], made.exchange.recent_locations())
+            hints.load()
+        self.assertEqual([], hints.exchange.recent_locations())
 
-    async def test_full_disk_stops_nothing(self):
+    async def test_full_disk_is_tolerated(self):
         def write(_fd, _data):
             raise OSError(28, "No space left on device")
 
-        made = self.opened(disk.FileOps(write=write))
-        made.exchange.store_locations([["part", "a"]])
-        await self.write(made)
-        self.assertTrue(made.faulty)
+        hints = self.open_file(disk.FileOps(write=write))
+        hints.exchange.store_locations([["part", "a"]])
+        await self.write(hints)
+        self.assertTrue(hints.faulty)
         await asyncio.sleep(0)
 
 
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -1,4 +1,4 @@
-"""Events and chunks, however the bytes are cut."""
+"""Events and chunked bodies, at any read sizes."""
 
 import unittest
 
@@ -12,21 +12,21 @@
 
 
 STREAM = event(0) + b": a comment\n\n" + event(1) + event(2, "[DONE]")
-SHOWN = STREAM.replace(b"s:", b"T.").replace(b": a comment\n\n", b"")
+REWRITTEN = STREAM.replace(b"s:", b"T.").replace(b": a comment\n\n", b"")
 
 
 class TestEvents(unittest.TestCase):
-    """Numbers, marks, and what is kept."""
+    """Numbers, the end of the stream, and what is kept."""
 
-    def test_any_cut_of_the_stream_gives_the_same_events(self):
+    def test_events_do_not_depend_on_read_sizes(self):
         for size in range(1, len(STREAM) + 1):
             events = sse.EventRewriter("s", "T")
             parts = range(0, len(STREAM), size)
             taken = [events.take(STREAM[at : at + size]) for at in parts]
-            self.assertEqual(b"".join(taken), SHOWN)
+            self.assertEqual(b"".join(taken), REWRITTEN)
             self.assertTrue(events.ended)
 
-    def test_nothing_is_taken_after_the_end_mark_or_a_fault(self):
+    def test_nothing_is_taken_after_the_end_or_an_error(self):
         events = sse.EventRewriter("s", "T")
         events.take(STREAM)
         self.assertEqual(events.take(event(3)), b"")
@@ -37,12 +37,12 @@
         self.assertIsInstance(events.error, errors.TruncatedAnswerError)
         self.assertEqual(events.take(event(1)), b"")
 
-    def test_endless_event_is_a_fault(self):
+    def test_oversize_event_is_an_error(self):
         events = sse.EventRewriter("s", "T")
         events.take(b"id: s:0\ndata: " + b"x" * sse.MAX_EVENT_BYTES)
         self.assertIsInstance(events.error, errors.UpstreamError)
 
-    def test_text_is_known_only_of_plain_text(self):
+    def test_text_is_known_only_for_plain_text(self):
         plain = '{"choices": [{"delta": {"content": "a b"}}]}'
         tool = '{"choices": [{"delta": {"tool_calls": []}}]}'
         events = sse.EventRewriter("s", "T")
@@ -59,9 +59,9 @@
 
 
 class TestChunks(unittest.TestCase):
-    """Bodies in chunks."""
+    """Chunked bodies."""
 
-    def test_any_cut_gives_the_same_body(self):
+    def test_body_does_not_depend_on_read_sizes(self):
         whole = b"5\r\nhello\r\n1;ext=1\r\n \r\nA\r\nworld12345\r\n0\r\n\r\n"
         for size in range(1, len(whole) + 1):
             body = http_body.Chunked()
@@ -86,7 +86,7 @@
             with self.subTest(data), self.assertRaises(errors.UpstreamError):
                 http_body.Chunked().take(data)
 
-    def test_length_given_twice_or_beside_chunks(self):
+    def test_ambiguous_length(self):
         bad = (
             {"Content-Length": "5,5"},
             {"Content-Length": "-5"},
--- a/tests/test_targets_table.py
+++ b/tests/test_targets_table.py
@@ -14,7 +14,7 @@
 
 
 class Clock:
-    """A monotonic clock that tests move."""
+    """A simulated monotonic clock."""
 
     def __init__(self):
         self.now = 1000.0
@@ -36,47 +36,47 @@
     )
 
 
-class TableCase(unittest.TestCase):
-    """A table under a clock of the test."""
+class TableTestCase(unittest.TestCase):
+    """Base: a table on a simulated clock."""
 
     def setUp(self):
         self.clock = Clock()
         self.table = table.TargetTable("dc1", clock=self.clock)
 
-    def names(self):
+    def eligible_names(self):
         return [target.name for target in self.table.eligible(ENGINE, "m")]
 
     def pass_time(self, seconds):
-        """Let time pass in the steps of the watching task."""
+        """Advance the clock in the steps of the expiry task."""
         until = self.clock.now + seconds
         while self.clock.now < until:
             self.clock.now = min(until, self.clock.now + 0.25)
             self.table.expire()
 
 
-class TestLease(TableCase):
-    """Leases run out on the router's own clock."""
+class TestLease(TableTestCase):
+    """Leases expire on the router's own clock."""
 
-    def test_unrenewed_target_gets_no_work_and_is_then_lost(self):
+    def test_unrenewed_target_is_suspended_then_lost(self):
         self.table.announce(engine())
         self.pass_time(2.4)
-        self.assertEqual(self.names(), ["e1"])
+        self.assertEqual(self.eligible_names(), ["e1"])
         self.pass_time(0.2)
-        self.assertEqual(self.names(), [])
+        self.assertEqual(self.eligible_names(), [])
         self.assertEqual(self.table.state("e1"), "suspended")
         self.pass_time(0.75)
         self.assertEqual(self.table.state("e1"), "lost")
 
-    def test_renewal_keeps_it(self):
+    def test_renewal_extends_the_lease(self):
         self.table.announce(engine())
         for _ in range(10):
             self.pass_time(1.0)
             self.table.renew("e1", 1)
-        self.assertEqual(self.names(), ["e1"])
+        self.assertEqual(self.eligible_names(), ["e1"])
 
 
-class TestClaims(TableCase):
-    """A target cannot take what a live one holds."""
+class TestClaims(TableTestCase):
+    """A target cannot claim the name or address of a live one."""
 
     def test_old_incarnation_is_refused(self):
         self.table.announce(engine(incarnation=5))
@@ -84,7 +84,7 @@
             self.table.announce(engine(incarnation=4))
         with self.assertRaises(errors.StaleIncarnationError):
             self.table.leave("e1", 4)
-        self.assertEqual(self.names(), ["e1"])
+        self.assertEqual(self.eligible_names(), ["e1"])
 
     def test_address_of_a_live_target_is_refused(self):
         self.table.announce(engine())
@@ -92,7 +92,7 @@
             self.table.announce(engine("e2"))
         self.pass_time(4)
         self.table.announce(engine("e2"))
-        self.assertEqual(self.names(), ["e2"])
+        self.assertEqual(self.eligible_names(), ["e2"])
 
     def test_name_of_a_live_target_elsewhere_is_refused(self):
         self.table.announce(engine())
@@ -101,14 +101,14 @@
         self.table.announce(engine(incarnation=2))
         self.assertEqual(self.table.get("e1").incarnation, 2)
 
-    def test_left_incarnation_does_not_come_back(self):
+    def test_left_incarnation_is_not_revived(self):
         self.table.announce(engine())
         self.table.leave("e1", 1)
         with self.assertRaises(errors.StaleIncarnationError):
             self.table.announce(engine())
         late = entries.Record(engine(), 1, False)
         self.table.merge_record(late, self.clock.now)
-        self.assertEqual(self.names(), [])
+        self.assertEqual(self.eligible_names(), [])
         self.assertEqual(self.table.state("e1"), "leaving")
 
     def test_same_incarnation_may_change_what_it_serves(self):
@@ -118,14 +118,13 @@
         self.assertEqual(self.table.get("e1"), more)
 
 
-class TestFrozenRouter(TableCase):
-    """The router itself stood still."""
+class TestPausedRouter(TableTestCase):
+    """The router process itself was paused."""
 
-    def test_waking_router_gives_up_no_target(self):
-        """All running requests of a router fail at once.
+    def test_pause_does_not_expire_leases(self):
+        """A paused router must not fail all running requests when it resumes.
 
-        It was frozen for ten seconds; on waking every lease seems to have
-        run out, though the targets renew at other routers.
+        Every lease seems to have expired, but the targets renewed elsewhere.
         """
         self.table.announce(engine())
         lost = []
@@ -133,37 +132,34 @@
         self.clock.now += 10.0
         self.table.expire()
         self.assertEqual(lost, [])
-        self.assertEqual(self.names(), [])
+        self.assertEqual(self.eligible_names(), [])
         self.table.merge_heartbeat("e1", 1, self.clock.now)
-        self.assertEqual(self.names(), ["e1"])
+        self.assertEqual(self.eligible_names(), ["e1"])
         self.pass_time(4.0)
         self.assertEqual(self.table.state("e1"), "lost")
 
-    def test_renewal_read_on_waking_is_as_old_as_the_freeze(self):
-        """A waking router gives work to an engine that left meanwhile.
+    def test_renewal_read_after_a_pause_is_not_fresh_evidence(self):
+        """A renewal that waited in the socket during a pause may be outdated.
 
-        The engine's last renewal waited in the socket during the freeze.
+        The engine may have left since and must get no work.
         """
         self.table.announce(engine())
         self.clock.now += 10.0
         self.table.renew("e1", 1)
-        self.assertEqual(self.names(), [])
+        self.assertEqual(self.eligible_names(), [])
         self.table.expire()
         self.table.renew("e1", 1)
-        self.assertEqual(self.names(), [])
+        self.assertEqual(self.eligible_names(), [])
         self.pass_time(0.5)
         self.table.renew("e1", 1)
-        self.assertEqual(self.names(), ["e1"])
+        self.assertEqual(self.eligible_names(), ["e1"])
 
 
-class TestLeaving(TableCase):
-    """A target that leaves ends what it runs."""
+class TestLeaving(TableTestCase):
+    """A target that announces its leave finishes its requests."""
 
-    def test_silent_leaver_is_not_given_up_while_it_drains(self):
-        """Requests are cut off though their engine was ending them.
-
-        The engine said that it leaves and stopped renewing.
-        """
+    def test_silent_leaving_target_has_time_to_drain(self):
+        """An engine that stops renewing when it leaves keeps its requests."""
         self.table.announce(engine())
         self.table.leave("e1", 1)
         self.pass_time(10.0)
@@ -171,7 +167,7 @@
         self.pass_time(25.0)
         self.assertEqual(self.table.state("e1"), "lost")
 
-    def test_leaver_that_renews_has_the_ordinary_lease(self):
+    def test_renewing_leaving_target_has_the_normal_lease(self):
         self.table.announce(engine())
         self.table.leave("e1", 1)
         for _ in range(4):
@@ -182,35 +178,35 @@
         self.assertEqual(self.table.state("e1"), "lost")
 
 
-class TestFlap(TableCase):
-    """A target that comes and goes."""
+class TestFlap(TableTestCase):
+    """A target that leaves and returns repeatedly."""
 
-    def restart(self, incarnation):
+    def announce_incarnation(self, incarnation):
         self.table.announce(engine(incarnation=incarnation))
 
-    def test_flapping_target_waits_while_another_serves(self):
+    def test_flapping_target_is_held_back(self):
         self.table.announce(engine("e2", port=9002))
         for incarnation in range(1, 6):
-            self.restart(incarnation)
+            self.announce_incarnation(incarnation)
             self.table.renew("e2", 1)
-        self.assertEqual(self.names(), ["e2"])
+        self.assertEqual(self.eligible_names(), ["e2"])
         self.assertEqual(self.table.state("e1"), "suspended")
 
-    def test_damping_never_takes_the_last_one(self):
+    def test_last_target_is_not_held_back(self):
         for incarnation in range(1, 6):
-            self.restart(incarnation)
-        self.assertEqual(self.names(), ["e1"])
+            self.announce_incarnation(incarnation)
+        self.assertEqual(self.eligible_names(), ["e1"])
 
 
 class TestMerge(unittest.TestCase):
     """Records and evidence from other routers, in any order."""
 
     def messages(self):
-        """Return what happened to two targets, each with its moment."""
-        made = []
+        """Return what happened to two targets, with times."""
+        messages = []
 
         def record(at, target, revision, leaving):
-            made.append((at, entries.Record(target, revision, leaving)))
+            messages.append((at, entries.Record(target, revision, leaving)))
 
         record(0, engine(incarnation=1), 1, False)
         record(1, engine(incarnation=1, capacity=8), 2, False)
@@ -220,13 +216,10 @@
         record(3.1, engine(incarnation=2, capacity=7), 2, False)
         record(0, engine("e2", port=9002), 1, False)
         record(3.5, engine("e2", port=9002), 1, True)
-        return made
+        return messages
 
-    def test_any_order_and_any_number_give_the_same_table(self):
-        """Routers disagree for ever, or an engine that left comes back.
-
-        Batches come late, twice and out of order through two relays.
-        """
+    def test_merge_is_order_independent_and_idempotent(self):
+        """Late, repeated and reordered batches must lead to one table."""
         seen = set()
         for seed in range(200):
             rng = random.Random(seed)
@@ -241,7 +234,7 @@
             self.assertEqual(merged.state("e2"), "leaving")
         self.assertEqual(len(seen), 1)
 
-    def test_late_evidence_does_not_bring_a_lost_target_back(self):
+    def test_late_evidence_does_not_revive_a_lost_target(self):
         clock = Clock()
         merged = table.TargetTable("dc1", clock=clock)
         merged.announce(engine())
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Whether a target that broke a request off still lives."""
+"""Whether a target that broke off a request is still alive."""
 
 import asyncio
 import unittest
@@ -8,10 +8,10 @@
 
 
 class TestReachable(unittest.IsolatedAsyncioTestCase):
-    """A listener that is asked after it dropped a connection."""
+    """A listener that is probed after it dropped a connection."""
 
-    async def target(self, taken):
-        server = await asyncio.start_server(taken, "127.0.0.1", 0)
+    async def start_target(self, on_connection):
+        server = await asyncio.start_server(on_connection, "127.0.0.1", 0)
         self.addAsyncCleanup(server.wait_closed)
         self.addCleanup(server.close)
         self.server = server
@@ -27,15 +27,11 @@
             incarnation=1,
         )
 
-    async def test_process_that_is_ending_is_dead(self):
-        """A request crashes an engine on a machine that is busy.
+    async def test_ending_process_is_unreachable(self):
+        """A crashed engine's listener still accepts connections for a moment.
 
-        The kernel closes the engine's sockets one after the other, the
-        listener last. A router whose connection broke found the listener
-        there, took the engine to be alive and blamed nobody. The caller sent
-        the request again through other routers, and each engine died. Logs
-        of a fleet beside load showed no report for deaths that others, whose
-        connections broke a moment later, did report.
+        The kernel closes it last; the engine must not count as alive, or its
+        request is sent to the next engine and crashes that as well.
         """
 
         async def ending(_, writer):
@@ -44,20 +40,22 @@
             self.server.close()
 
         self.assertFalse(
-            await upstream.is_reachable(await self.target(ending))
+            await upstream.is_reachable(await self.start_target(ending))
         )
 
-    async def test_one_that_keeps_the_connection_lives(self):
+    async def test_kept_connection_is_reachable(self):
         kept = []
 
         async def living(_, writer):
             kept.append(writer)
 
-        self.assertTrue(await upstream.is_reachable(await self.target(living)))
+        self.assertTrue(
+            await upstream.is_reachable(await self.start_target(living))
+        )
         kept[0].close()
 
-    async def test_nobody_listens(self):
-        target = await self.target(lambda _reader, _writer: None)
+    async def test_closed_port_is_unreachable(self):
+        target = await self.start_target(lambda _reader, _writer: None)
         self.server.close()
         await self.server.wait_closed()
         self.assertFalse(await upstream.is_reachable(target))
