--- a/amaranthring/policy/__init__.py
+++ b/amaranthring/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: plain functions over data classes, clock passed in."""
+"""Decision logic without I/O; the current time is passed in."""
--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -1,4 +1,4 @@
-"""One cell's bound and queue, as its owner keeps them."""
+"""Admission control of one cell: its load bound, leases and queue."""
 
 import collections
 import collections.abc
@@ -13,35 +13,35 @@
 from amaranthring.policy import leases
 from amaranthring.policy import queues
 
-SIBLING_SECONDS = 3.0
-RATE_SECONDS = 10.0
-RETRY_AFTER_SECONDS = 1.0
-RETRY_AFTER_MOST_SECONDS = 60.0
+SIBLING_MAX_AGE_SECONDS = 3.0
+RATE_WINDOW_SECONDS = 10.0
+MIN_RETRY_AFTER_SECONDS = 1.0
+MAX_RETRY_AFTER_SECONDS = 60.0
 
 
 @dataclasses.dataclass
 class SiblingLoad:
-    """Last digest of another cell that serves the same."""
+    """Last reported load of another cell that serves the same models."""
 
     in_flight: int
     targets: int
     room: int
     waiting: int
-    heard: float
+    reported_at: float
 
 
 @dataclasses.dataclass
 class Policy:
-    """What the preset in force says about one request.
+    """Settings of the active preset that apply to one request.
 
     Attributes
     ----------
     bound : float
-        Multiple of the mean.
+        Maximum load of a target, as a multiple of the mean.
     weight : float
-        Share of the account.
+        Weight of the client account in the fair queue.
     queue_most : int
-        Requests of its class that may wait.
+        Maximum number of queued requests of this priority.
     """
 
     bound: float = 1.25
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass
 class Request:
-    """A request as the owner sees it; see the message ``Admit``."""
+    """A request for admission; the fields are those of message ``Admit``."""
 
     key: leases.Key
     account: str
@@ -67,19 +67,19 @@
 
 @dataclasses.dataclass
 class Grant:
-    """A grant that the cell has made.
+    """Permission to run one request at a target.
 
     Attributes
     ----------
     key : tuple
-        Entry router and serial.
+        Entry router and serial number.
     target : str
-        Where it may run.
+        Name of the target.
     queued_seconds : float
-        How long it waited.
+        Time spent in the queue.
     load, in_flight, targets : int
-        What it was decided on: requests at the target and in the cell, this
-        one included, and targets of the cell.
+        Requests at the target and in the cell, this one included, and number
+        of targets in the cell.
     """
 
     key: leases.Key
@@ -91,19 +91,19 @@
 
 
 def clamp_retry_after(seconds: float) -> float:
-    """Return `seconds` within the range that callers are told."""
-    return min(max(seconds, RETRY_AFTER_SECONDS), RETRY_AFTER_MOST_SECONDS)
+    """Return `seconds` limited to the range allowed for ``Retry-After``."""
+    return min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
 
 
 class Cell:
-    """Counts, bound and queue of one cell.
+    """Leases, load bound and queue of one cell.
 
     Parameters
     ----------
     name : str
         Name of the cell.
     now : float
-        When this router became its owner.
+        Time at which this router became the owner.
     """
 
     def __init__(self, name: str, now: float):
@@ -115,17 +115,17 @@
         self.queue = queues.FairQueue()
         self.breakers = breakers.CircuitBreakers()
         self.bound = 1.25
-        self.released = 0.0
+        self.recent_releases = 0.0
         self.released_at = now
         self.granted: list[Grant] = []
         self.evicted: list[queues.Waiter] = []
 
-    # -- what is known --
+    # -- state --
 
     def set_targets(
         self, targets: collections.abc.Iterable[records.Target]
     ) -> None:
-        """Take `targets` as those that may be granted from now on."""
+        """Replace the targets that requests may be granted to."""
         before = self.targets
         self.targets = {target.name: target for target in targets}
         for name, old in before.items():
@@ -134,96 +134,101 @@
                 self.breakers.forget(name)
 
     def loads(self) -> dict[str, int]:
-        """Return the load of each target that may be granted."""
+        """Return the number of requests in flight at each target."""
         return {name: self.counts.load[name] for name in self.targets}
 
     def digest(self, now: float) -> SiblingLoad:
-        """Return what siblings should know about this cell."""
+        """Return the load of this cell as reported to its siblings."""
         loads = self.loads()
-        rooms = self._rooms(loads, now, alone=False)
-        room = sum(max(0, rooms[name] - loads[name]) for name in loads)
+        limits = self._limits(loads, now, own_mean=False)
+        room = sum(max(0, limits[name] - loads[name]) for name in loads)
         return SiblingLoad(
             sum(loads.values()), len(loads), room, len(self.queue), now
         )
 
     def update_sibling(self, name: str, sibling: SiblingLoad) -> None:
-        """Note the digest of sibling cell `name`."""
+        """Store the reported load of sibling cell `name`."""
         self.siblings[name] = sibling
 
-    def cells_with_room(self, ask: Request, now: float) -> list[str]:
-        """Return cells that `ask` should try, the roomiest first.
+    def cells_with_room(self, request: Request, now: float) -> list[str]:
+        """Return sibling cells to try for `request`, most room first.
 
-        A suspect waits for a target without a suspect, which says nothing
-        about load: any cell may have one.
+        A suspect request waits for a target that runs no other suspect. Load
+        does not show which cells have one, so all siblings are returned.
         """
-        roomy = [
+        found = [
             (-sibling.room / max(sibling.targets, 1), name)
-            for name, sibling in self._fresh(now).items()
-            if sibling.room > 0 or ask.suspect
+            for name, sibling in self._fresh_siblings(now).items()
+            if sibling.room > 0 or request.suspect
         ]
-        return [name for _, name in sorted(roomy)]
+        return [name for _, name in sorted(found)]
 
     # -- decisions --
 
-    def admit(self, ask: Request, policy: Policy, now: float) -> Grant | None:
-        """Grant at once, or return None.
+    def admit(
+        self, request: Request, policy: Policy, now: float
+    ) -> Grant | None:
+        """Grant `request` now, queue it, or refuse it.
 
-        It is queued then, unless `elsewhere` names cells to be asked first.
-        Whom else this served or pushed out is in `placed` and `evicted`.
+        Returns None if the request was queued, or if `cells_with_room` names
+        cells to ask first. Grants to other requests and evictions that
+        result from the call are added to `granted` and `evicted`.
 
         Raises
         ------
         errors.NoTargetError
-            If the cell has no target left for it.
+            If every target of the cell is excluded.
         errors.QueueFullError, errors.DeadlineError
-            If it may not or cannot wait long enough.
+            If the queue is full, or the wait would exceed the deadline.
         """
         self.bound = policy.bound
-        if not any(name not in ask.excluded for name in self.targets):
+        if not any(name not in request.excluded for name in self.targets):
             raise errors.NoTargetError(
                 f"no target in cell {self.name}",
-                retry_after=RETRY_AFTER_SECONDS,
+                retry_after=MIN_RETRY_AFTER_SECONDS,
             )
-        others = self._others_first(ask)
-        target = None if others else self.choose_target(ask, now)
+        others_waiting = self._has_waiters(request)
+        target = None if others_waiting else self.choose_target(request, now)
         if target is not None:
-            self._grant(ask, target, now)
-            return self._placed(ask.key, target)
-        if ask.at_once:
+            self._add_lease(request, target, now)
+            return self._make_grant(request.key, target)
+        if request.at_once:
             raise self.queue_full_error()
-        if not ask.alone and self.cells_with_room(ask, now):
+        if not request.alone and self.cells_with_room(request, now):
             return None
-        self._queue(ask, policy, now)
-        if others:
-            # Those in front may wait for a certain target only.
+        self._enqueue(request, policy, now)
+        if others_waiting:
+            # Requests ahead may be waiting for one particular target only.
             self.serve(now)
-            return self._taken(ask.key)
+            return self._take_granted(request.key)
         return None
 
-    def choose_target(self, ask: Request, now: float) -> str | None:
-        """Return the best target with room for `ask`, or None."""
+    def choose_target(self, request: Request, now: float) -> str | None:
+        """Return the preferred target with room for `request`, or None."""
         loads = self.loads()
-        # A cell that stands alone has no room elsewhere to point at, and
-        # then nobody may wait here beside free targets.
-        alone = ask.alone or not self.cells_with_room(ask, now)
-        barred = set(ask.excluded)
-        if ask.suspect:
+        # Without a sibling that has room, only this cell's own mean counts:
+        # requests must not queue here while a target is free.
+        own_mean = request.alone or not self.cells_with_room(request, now)
+        barred = set(request.excluded)
+        if request.suspect:
             barred.update(self.counts.suspects)
-        rooms = self._rooms(loads, now, alone and not ask.at_once, barred)
+        limits = self._limits(
+            loads, now, own_mean and not request.at_once, barred
+        )
 
-        def room(name: str) -> int:
-            return 0 if name in barred else rooms[name]
+        def limit(name: str) -> int:
+            return 0 if name in barred else limits[name]
 
-        order = hashing.order(ask.chat or str(ask.key), self.targets)
-        known = [name for name in ask.remembered if name in self.targets]
+        order = hashing.order(request.chat or str(request.key), self.targets)
+        known = [name for name in request.remembered if name in self.targets]
         order = known + order
-        return bounds.first_with_room(order, loads.__getitem__, room)
+        return bounds.first_with_room(order, loads.__getitem__, limit)
 
     def has_room(self, now: float) -> bool:
-        """Return whether any target may run one request more."""
+        """Return whether any target may run one more request."""
         loads = self.loads()
-        rooms = self._rooms(loads, now, alone=True)
-        return any(loads[name] < room for name, room in rooms.items())
+        limits = self._limits(loads, now, own_mean=True)
+        return any(loads[name] < limit for name, limit in limits.items())
 
     def release(
         self,
@@ -231,30 +236,30 @@
         now: float,
         end: records.End = records.End.DONE,
     ) -> None:
-        """End the grant or the waiting of `key` and serve who waits."""
+        """Release the lease of `key`, or remove it from the queue."""
         if self.queue.remove(key) is not None:
             return
-        held = self.counts.held.get(key)
-        if held is not None:
-            self._judge(held.target, key[0], now, end)
+        lease = self.counts.held.get(key)
+        if lease is not None:
+            self._record_end(lease.target, key[0], now, end)
         if self.counts.drop(key):
             self._count_release(now)
             self.serve(now)
 
     def serve(self, now: float) -> None:
-        """Grant waiting requests for which there is room, into `placed`."""
+        """Grant queued requests while there is room; see `granted`."""
         while len(self.queue) and self.has_room(now):
             found = self.queue.pop(
-                lambda w: self.choose_target(w.ask, now), now
+                lambda w: self.choose_target(w.request, now), now
             )
             if found is None:
                 break
             waiter, target = found
-            self._grant(waiter.ask, target, now)
+            self._add_lease(waiter.request, target, now)
             waited = now - waiter.since
-            self.granted.append(self._placed(waiter.key, target, waited))
+            self.granted.append(self._make_grant(waiter.key, target, waited))
 
-    def _placed(
+    def _make_grant(
         self, key: leases.Key, target: str, queued_seconds: float = 0.0
     ) -> Grant:
         load = self.counts.load
@@ -263,26 +268,34 @@
             key, target, queued_seconds, load[target], total, len(self.targets)
         )
 
-    # -- waiting --
+    # -- queueing --
 
     def queue_full_error(self) -> errors.QueueFullError:
-        """Return the error for a request that may not wait here."""
-        wait = len(self.queue) * RATE_SECONDS / max(self.released, 1.0)
+        """Return the error for a request that cannot be queued."""
+        wait = (
+            len(self.queue)
+            * RATE_WINDOW_SECONDS
+            / max(self.recent_releases, 1.0)
+        )
         return errors.QueueFullError(
-            "no room, and too many wait", retry_after=clamp_retry_after(wait)
+            "no target has room and the queue is full",
+            retry_after=clamp_retry_after(wait),
         )
 
-    def expected_wait(self, ask: Request, now: float) -> float:
-        """Return seconds until a new request would be served.
+    def expected_wait(self, request: Request, now: float) -> float:
+        """Return the expected queueing time of a new request in seconds.
 
-        Without a known rate this is 0: nobody is refused on a guess.
+        Returns 0 while the release rate is unknown, so that no request is
+        refused without evidence.
         """
-        released = self.released * self._fade(now)
+        released = self.recent_releases * self._decay(now)
         if released < 1:
             return 0.0
-        ahead = self.queue.requests_ahead(ask.account, ask.priority)
-        by_rate = (ahead + 1) * RATE_SECONDS / released
-        by_turn = self.queue.virtual_wait(ask.account, ask.priority, now)
+        ahead = self.queue.requests_ahead(request.account, request.priority)
+        by_rate = (ahead + 1) * RATE_WINDOW_SECONDS / released
+        by_turn = self.queue.virtual_wait(
+            request.account, request.priority, now
+        )
         return max(by_rate, by_turn)
 
     # -- leases --
@@ -290,26 +303,26 @@
     def release_unknown(
         self, router: str, next_serial: int, known: collections.abc.Container
     ) -> None:
-        """End and withdraw what `router` does not know of any more."""
+        """Drop leases and queued requests that `router` no longer lists."""
         self.counts.keep_only(router, next_serial, known)
         for key in [k for k in self.queue.waiters if k[0] == router]:
             if key[1] < next_serial and key[1] not in known:
                 self.queue.remove(key)
 
     def router_lost(self, router: str, now: float) -> None:
-        """Let go soon of what a router holds that the mesh gave up."""
+        """Shorten the leases of a lost router and drop its queued requests."""
         self.counts.shorten(router, now)
         for key in [k for k in self.queue.waiters if k[0] == router]:
             self.queue.remove(key)
 
     def expire(self, now: float) -> list[queues.Waiter]:
-        """End leases that ran out; return waiters past their deadline."""
+        """Drop expired leases; return requests past their deadline."""
         self.counts.expire(now)
         return self.queue.expired(now)
 
-    # -- inside --
+    # -- internals --
 
-    def _judge(self, target, router, now, end: records.End) -> None:
+    def _record_end(self, target, router, now, end: records.End) -> None:
         if end is records.End.DONE:
             self.breakers.record_success(target, router)
         if end is records.End.FAILED:
@@ -317,85 +330,84 @@
         if end in (records.End.UNREACHABLE, records.End.TARGET_LOST):
             self.breakers.record_unreachable(target, router, self.targets, now)
 
-    def _rooms(
+    def _limits(
         self,
         loads: dict[str, int],
         now: float,
-        alone: bool,
+        own_mean: bool,
         barred: collections.abc.Set[str] = frozenset(),
     ) -> dict[str, int]:
-        most = self._most(loads, now, alone, barred)
+        limit = self._max_load(loads, now, own_mean, barred)
         return {
-            name: self.breakers.limit(name, now, min(most, target.capacity))
+            name: self.breakers.limit(name, now, min(limit, target.capacity))
             for name, target in self.targets.items()
         }
 
-    def _most(self, loads, now: float, alone: bool, barred) -> int:
-        # A target that cannot be reached, or is barred for this request,
-        # carries no share of the load; were it part of the mean, the others
-        # would stand at the bound, and requests would wait beside free
-        # targets.
+    def _max_load(self, loads, now: float, own_mean: bool, barred) -> int:
+        # Targets that are unreachable, or barred for this request, are left
+        # out of the mean. Otherwise it would be too low, and requests would
+        # queue while the other targets have room.
         out = barred | self.breakers.by_target.keys()
-        well = [name for name in loads if name not in out]
-        well = well or list(loads)
-        total = sum(loads[name] for name in well)
-        count = len(well)
-        for sibling in self._fresh(now).values():
-            if not alone:
+        usable = [name for name in loads if name not in out]
+        usable = usable or list(loads)
+        total = sum(loads[name] for name in usable)
+        count = len(usable)
+        for sibling in self._fresh_siblings(now).values():
+            if not own_mean:
                 total += sibling.in_flight
                 count += sibling.targets
         return bounds.max_load(self.bound, total + 1, count)
 
-    def _fresh(self, now: float) -> dict[str, SiblingLoad]:
+    def _fresh_siblings(self, now: float) -> dict[str, SiblingLoad]:
         return {
             name: sibling
             for name, sibling in self.siblings.items()
-            if now - sibling.heard < SIBLING_SECONDS
+            if now - sibling.reported_at < SIBLING_MAX_AGE_SECONDS
         }
 
-    def _taken(self, key: leases.Key) -> Grant | None:
-        for placed in self.granted:
-            if placed.key == key:
-                self.granted.remove(placed)
-                return placed
+    def _take_granted(self, key: leases.Key) -> Grant | None:
+        for grant in self.granted:
+            if grant.key == key:
+                self.granted.remove(grant)
+                return grant
         return None
 
-    def _others_first(self, ask: Request) -> bool:
-        level = self.queue.levels.get(ask.priority)
+    def _has_waiters(self, request: Request) -> bool:
+        level = self.queue.levels.get(request.priority)
         return level is not None and level.length > 0
 
-    def _queue(self, ask: Request, policy: Policy, now: float) -> None:
-        wait = self.expected_wait(ask, now)
-        if wait > ask.wait_seconds:
+    def _enqueue(self, request: Request, policy: Policy, now: float) -> None:
+        wait = self.expected_wait(request, now)
+        if wait > request.wait_seconds:
             raise errors.DeadlineError(
                 "the deadline would pass while waiting",
-                given=f"{ask.wait_seconds:.2f} s",
+                given=f"{request.wait_seconds:.2f} s",
                 expected=f"{wait:.2f} s or more",
-                retry_after=clamp_retry_after(wait - ask.wait_seconds),
+                retry_after=clamp_retry_after(wait - request.wait_seconds),
             )
         waiter = queues.Waiter(
-            ask.key,
-            ask,
-            ask.account,
+            request.key,
+            request,
+            request.account,
             policy.weight,
-            ask.priority,
+            request.priority,
             now,
-            now + ask.wait_seconds,
+            now + request.wait_seconds,
         )
-        gone = self.queue.push(waiter, policy.queue_most)
-        if gone is waiter:
+        evicted = self.queue.push(waiter, policy.queue_most)
+        if evicted is waiter:
             raise self.queue_full_error()
-        if gone is not None:
-            self.evicted.append(gone)
+        if evicted is not None:
+            self.evicted.append(evicted)
 
     def _count_release(self, now: float) -> None:
-        self.released = self.released * self._fade(now) + 1
+        self.recent_releases = self.recent_releases * self._decay(now) + 1
         self.released_at = now
 
-    def _fade(self, now: float) -> float:
-        return math.exp(-(now - self.released_at) / RATE_SECONDS)
+    def _decay(self, now: float) -> float:
+        return math.exp(-(now - self.released_at) / RATE_WINDOW_SECONDS)
 
-    def _grant(self, ask: Request, target: str, now: float) -> None:
+    def _add_lease(self, request: Request, target: str, now: float) -> None:
         expires = now + leases.LEASE_SECONDS
-        held = leases.Lease(target, expires, ask.suspect)
-        self.counts.add(ask.key, held)
+        lease = leases.Lease(target, expires, request.suspect)
+        self.counts.add(request.key, lease)
--- a/amaranthring/policy/bounds.py
+++ b/amaranthring/policy/bounds.py
@@ -1,8 +1,8 @@
-"""The bound on load: no target above a multiple of the mean.
+"""Load bound: no target runs more than a multiple of the mean load.
 
-Source of the bound: V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent
-hashing with bounded loads", SODA 2018. The count of requests in flight
-includes the one that asks.
+Source: V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent hashing with
+bounded loads", SODA 2018. The number of requests in flight includes the new
+one.
 """
 
 import collections.abc
@@ -12,14 +12,14 @@
 
 
 def max_load(bound: float, in_flight: int, targets: int) -> int:
-    """Return how many requests one target may run.
+    """Return the maximum number of requests that one target may run.
 
     Parameters
     ----------
     bound : float
         Multiple of the mean, at least 1.
     in_flight : int
-        Requests running at all of the targets, the new one included.
+        Requests in flight at all targets, including the new one.
     targets : int
         Number of targets.
     """
@@ -29,10 +29,10 @@
 
 
 def tighter(bound: float) -> float:
-    """Return the bound for decisions from local estimates.
+    """Return the bound for decisions based on local estimates.
 
-    Estimates of several routers err the same way at the same time, and half
-    of the margin is what they may err by.
+    Estimates of several routers are off in the same direction at the same
+    time; half of the margin is reserved for that error.
     """
     return 1 + (bound - 1) / 2
 
@@ -40,10 +40,10 @@
 def first_with_room(
     order: collections.abc.Iterable[str],
     load: collections.abc.Callable[[str], int],
-    room: collections.abc.Callable[[str], int],
+    limit: collections.abc.Callable[[str], int],
 ) -> str | None:
-    """Return the first of `order` whose load is below its room."""
+    """Return the first name in `order` whose load is below its limit."""
     for name in order:
-        if load(name) < room(name):
+        if load(name) < limit(name):
             return name
     return None
--- a/amaranthring/policy/breakers.py
+++ b/amaranthring/policy/breakers.py
@@ -1,32 +1,32 @@
-"""Targets that entry routers cannot reach, as an admission owner sees them.
+"""Circuit breakers for the targets of one cell.
 
-A target that died stays in every list until its lease ends, seconds later.
-Until then each grant to it costs its request a retry, and with them the
-retry budget of innocent accounts. Entry routers tell how each grant ended;
-the owner closes an unreachable target for a short time, lets a single
-request try it afterwards, and opens it on the first success.
+A crashed target stays listed until its lease ends, seconds later. Until then
+every grant to it would cost a retry and use up the retry budget of accounts
+that did nothing wrong. Entry routers report how each grant ended. The owner
+opens the breaker of a failing target for a short time, then lets a single
+request through, and closes it on the first success.
 """
 
 import collections.abc
 import dataclasses
 
-FIRST_SECONDS = 0.3
-MOST_SECONDS = 3.0
-WITNESS_SECONDS = 5.0
-WITNESSES_MOST = 1024
-FAULTS_IN_A_ROW = 3
+INITIAL_OPEN_SECONDS = 0.3
+MAX_OPEN_SECONDS = 3.0
+REPORT_SECONDS = 5.0
+MAX_REPORTERS = 1024
+CONSECUTIVE_ERRORS = 3
 
 
 @dataclasses.dataclass
 class OpenBreaker:
-    """One target that could not be reached.
+    """State of an open circuit breaker.
 
     Attributes
     ----------
     failures : int
         Failures since the last success.
-    closed_until : float
-        No grant before that time, in seconds on the owner's clock.
+    open_until : float
+        Time before which no request is granted, on the owner's clock.
     """
 
     failures: int
@@ -34,40 +34,39 @@
 
 
 class CircuitBreakers:
-    """Outages of the targets of one cell."""
+    """Circuit breakers of the targets of one cell."""
 
     def __init__(self):
         self.by_target: dict[str, OpenBreaker] = {}
-        self.witnesses: dict[str, dict[str, float]] = {}
+        self.unreachable_at: dict[str, dict[str, float]] = {}
         self.faults: dict[str, int] = {}
 
     def record_error(
         self, target: str, targets: collections.abc.Collection[str], now: float
     ) -> bool:
-        """Note that `target` took a request and failed it.
+        """Record that `target` accepted a request and failed it.
 
         Returns
         -------
         bool
-            Whether the target is closed by it.
+            Whether this opened the breaker.
 
         Notes
         -----
-        A target that fails fast always has room and draws all requests to
-        it. Several failures in a row, of as many requests, with no answer
-        between them speak of the target and not of one bad request; that
-        many bad requests at every target must not close the whole cell, so
-        half of it stays open.
+        A target that fails fast always has room and attracts all requests,
+        so several consecutive errors open its breaker. Malformed requests
+        fail at every target, though, and must not take down the whole cell:
+        at most half of the breakers are opened this way.
         """
         in_a_row = self.faults.get(target, 0) + 1
         self.faults[target] = in_a_row
         known = self.by_target.get(target)
         if known is not None and now < known.open_until:
             return False
-        closed = len(self.by_target.keys() - {target})
-        if in_a_row < FAULTS_IN_A_ROW or closed + 1 > len(targets) // 2:
+        opened = len(self.by_target.keys() - {target})
+        if in_a_row < CONSECUTIVE_ERRORS or opened + 1 > len(targets) // 2:
             return False
-        self._close(target, known, now)
+        self._open(target, known, now)
         return True
 
     def record_unreachable(
@@ -77,71 +76,73 @@
         targets: collections.abc.Collection[str],
         now: float,
     ) -> bool:
-        """Note that `router` could not reach `target`.
+        """Record that `router` could not reach `target`.
 
         Returns
         -------
         bool
-            Whether the target is closed by it.
+            Whether this opened the breaker.
 
         Notes
         -----
-        A router whose own network broke fails everywhere. Its word alone,
-        about more than half of the cell, must not close the cell for all
-        others: then another router has to have failed there too.
+        A router whose own network failed reports every target. Once it has
+        reported more than half of the cell, its reports count only if
+        another router could not reach the target either.
         """
-        seen = self._witnessed(router, now)
+        seen = self._reported_by(router, now)
         seen[target] = now
-        alone = not self._others_failed(target, router, now)
+        alone = not self._others_reported(target, router, now)
         if alone and len(seen) > max(1, len(targets) // 2):
             return False
         known = self.by_target.get(target)
         if known is not None and now < known.open_until:
-            # Grants made before the first failure fail one after another;
-            # they say nothing new.
+            # Requests granted before the breaker opened fail one by one;
+            # they must not extend the time.
             return False
-        self._close(target, known, now)
+        self._open(target, known, now)
         return True
 
     def record_success(self, target: str, router: str) -> None:
-        """Note that `router` had an answer from `target`."""
+        """Record that `router` got a response from `target`."""
         self.by_target.pop(target, None)
         self.faults.pop(target, None)
-        self.witnesses.get(router, {}).pop(target, None)
+        self.unreachable_at.get(router, {}).pop(target, None)
 
     def forget(self, target: str) -> None:
-        """Forget a target that started anew or went."""
+        """Reset the state of a target that restarted or left."""
         self.by_target.pop(target, None)
         self.faults.pop(target, None)
-        for seen in self.witnesses.values():
+        for seen in self.unreachable_at.values():
             seen.pop(target, None)
 
     def limit(self, target: str, now: float, most: int) -> int:
-        """Return how many requests `target` may run, `most` if it is well."""
-        outage = self.by_target.get(target)
-        if outage is None:
+        """Return how many requests `target` may run, up to `most`."""
+        breaker = self.by_target.get(target)
+        if breaker is None:
             return most
-        return 0 if now < outage.open_until else min(1, most)
+        return 0 if now < breaker.open_until else min(1, most)
 
-    def _close(
+    def _open(
         self, target: str, known: OpenBreaker | None, now: float
     ) -> None:
         failures = known.failures + 1 if known else 1
-        wait = min(FIRST_SECONDS * 2 ** (failures - 1), MOST_SECONDS)
+        wait = min(
+            INITIAL_OPEN_SECONDS * 2 ** (failures - 1), MAX_OPEN_SECONDS
+        )
         self.by_target[target] = OpenBreaker(failures, now + wait)
 
-    def _witnessed(self, router: str, now: float) -> dict[str, float]:
-        if len(self.witnesses) >= WITNESSES_MOST:
-            self.witnesses.clear()
-        seen = self.witnesses.setdefault(router, {})
+    def _reported_by(self, router: str, now: float) -> dict[str, float]:
+        if len(self.unreachable_at) >= MAX_REPORTERS:
+            self.unreachable_at.clear()
+        seen = self.unreachable_at.setdefault(router, {})
         for name, at in list(seen.items()):
-            if now - at > WITNESS_SECONDS:
+            if now - at > REPORT_SECONDS:
                 del seen[name]
         return seen
 
-    def _others_failed(self, target: str, router: str, now: float) -> bool:
+    def _others_reported(self, target: str, router: str, now: float) -> bool:
         return any(
-            now - seen.get(target, -WITNESS_SECONDS) < WITNESS_SECONDS
-            for other, seen in self.witnesses.items()
+            now - seen.get(target, -REPORT_SECONDS) < REPORT_SECONDS
+            for other, seen in self.unreachable_at.items()
             if other != router
         )
--- a/amaranthring/policy/budgets.py
+++ b/amaranthring/policy/budgets.py
@@ -1,32 +1,31 @@
-"""The retry budget of a service, shared by all routers without talking.
+"""Retry budget of a service, divided among routers without coordination.
 
-Every router keeps its own part: the ratio of its own requests, and an equal
-share of the allowance. The parts add up to no more than the whole, however
-requests are spread over the routers.
+Each router may spend a ratio of its own requests and an equal share of the
+fixed allowance. However requests are distributed over routers, the shares
+add up to no more than the budget of the service.
 """
 
 import collections
 import typing as t
 
-# Retries are counted where they leave and judged where they arrive; this
-# much of the budget is left for those that cross the edge of a window, and
-# for a router that the others do not count yet.
+# Share of the budget that is used. The rest covers retries that arrive in
+# another window than they were sent in, and routers not yet counted by all.
 USED_SHARE = 0.85
 
 
 class WindowBudget:
-    """Repeats of one router to one service in a sliding window.
+    """Retry budget of one router for one service over a sliding window.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request.
+        Retries allowed per request.
     allowance : float
-        Repeats of all routers in a window beside those.
+        Retries that all routers together may add to that in a window.
     window : float
-        Seconds.
+        Length of the window in seconds.
     clock : callable
-        Seconds.
+        Returns the time in seconds.
     """
 
     def __init__(
@@ -41,7 +40,7 @@
         self.window = window
         self.clock = clock
         self.requests: collections.deque[float] = collections.deque()
-        self.repeats: collections.deque[float] = collections.deque()
+        self.retries: collections.deque[float] = collections.deque()
 
     def count_request(self) -> None:
         """Count a caller's request for the service."""
@@ -49,22 +48,22 @@
         self._expire()
 
     def take(self, routers: int) -> bool:
-        """Return whether one more repeat fits, and count it if so.
+        """Take one retry from the budget; return whether one was left.
 
         Parameters
         ----------
         routers : int
-            How many routers share the allowance.
+            Number of routers that share the allowance.
         """
         self._expire()
         own = self.ratio * len(self.requests) + self.allowance / routers
-        if len(self.repeats) + 1 > own * USED_SHARE:
+        if len(self.retries) + 1 > own * USED_SHARE:
             return False
-        self.repeats.append(self.clock())
+        self.retries.append(self.clock())
         return True
 
     def _expire(self) -> None:
         oldest = self.clock() - self.window
-        for times in (self.requests, self.repeats):
+        for times in (self.requests, self.retries):
             while times and times[0] < oldest:
                 times.popleft()
--- a/amaranthring/policy/cells.py
+++ b/amaranthring/policy/cells.py
@@ -1,13 +1,13 @@
-"""Cells: the groups of targets whose load one admission owner counts.
+"""Cells: groups of targets whose load is counted by one admission owner.
 
 A cell holds targets of one kind that serve exactly the same set of models or
-services, so that each target is in one cell and is counted once. As long as
-a region has few such targets they form one cell, whose mean is then exact;
-above :data:`TARGETS_MOST` there is a cell for each data centre, and above
-that again several parts by rendezvous of the target's name.
+services, so each target belongs to one cell. Up to :data:`MAX_TARGETS` such
+targets in a region form one cell. Above that there is a cell per data
+centre, and above that again a data centre is split into parts by rendezvous
+hashing of target names.
 
-The name of a cell states its members completely. Two routers that group
-differently for a few seconds therefore still agree on what a named cell is.
+The name of a cell determines its members. Routers that group targets
+differently for a few seconds still agree on the members of a named cell.
 """
 
 import collections.abc
@@ -18,25 +18,25 @@
 from amaranthring.core import hashing
 from amaranthring.core import records
 
-TARGETS_MOST = 16
+MAX_TARGETS = 16
 
 
 @dataclasses.dataclass(frozen=True)
 class Scope:
-    """What the name of a cell says.
+    """Parsed form of a cell's name.
 
     Attributes
     ----------
     kind : str
         Kind of its targets.
     serves : tuple of str
-        The exact set that each of its targets serves, sorted.
+        The sorted set of models or services that each target serves.
     region : str
         Region of its targets.
     data_centre : str
         Data centre of its targets; empty for the whole region.
     part, parts : int
-        Which of how many parts of that.
+        Index of the part, and number of parts.
     """
 
     kind: str
@@ -52,7 +52,7 @@
         return _name(self)
 
     def holds(self, target: records.Target) -> bool:
-        """Return whether `target` is a member."""
+        """Return whether `target` belongs to the cell."""
         return (
             target.kind == self.kind
             and target.region == self.region
@@ -65,9 +65,9 @@
 @functools.lru_cache(maxsize=4096)
 def _name(scope: Scope) -> str:
     serves = ",".join(_quote(each) for each in scope.serves)
-    texts = [scope.kind, serves, _quote(scope.region)]
-    texts.append(_quote(scope.data_centre))
-    return "|".join([*texts, str(scope.part), str(scope.parts)])
+    fields = [scope.kind, serves, _quote(scope.region)]
+    fields.append(_quote(scope.data_centre))
+    return "|".join([*fields, str(scope.part), str(scope.parts)])
 
 
 def _quote(text: str) -> str:
@@ -75,7 +75,7 @@
 
 
 def served(target: records.Target) -> tuple[str, ...]:
-    """Return the sorted set of what `target` serves."""
+    """Return the sorted set of models or services of `target`."""
     return tuple(sorted(set(target.serves)))
 
 
@@ -89,30 +89,30 @@
 
 @functools.lru_cache(maxsize=1024)
 def parse(name: str) -> Scope:
-    """Return the scope that `name` states.
+    """Return the scope encoded in `name`.
 
     Raises
     ------
     ValueError
-        If `name` was not made by :attr:`Scope.name`.
+        If `name` is not the name of a cell.
     """
     kind, serves, region, data_centre, part, parts = name.split("|")
-    plain = urllib.parse.unquote
+    unquote = urllib.parse.unquote
     return Scope(
         kind,
-        tuple(plain(each) for each in serves.split(",")),
-        plain(region),
-        plain(data_centre),
+        tuple(unquote(each) for each in serves.split(",")),
+        unquote(region),
+        unquote(data_centre),
         int(part),
         int(parts),
     )
 
 
 def _parts_for(count: int) -> int:
-    # Powers of two: the number of parts changes rarely, and when it does
-    # each target either stays or moves to a new part.
+    # Powers of two, so that the number of parts changes rarely. When it does,
+    # each target either keeps its part or moves to a new one.
     parts = 1
-    while count > parts * TARGETS_MOST:
+    while count > parts * MAX_TARGETS:
         parts *= 2
     return parts
 
@@ -120,38 +120,38 @@
 def group(
     targets: collections.abc.Iterable[records.Target],
 ) -> dict[str, list[records.Target]]:
-    """Return the members of each cell by the cell's name.
+    """Return the members of each cell, by name of the cell.
 
     Parameters
     ----------
     targets : iterable of Target
-        All eligible targets for one kind and one model or service.
+        All eligible targets of one kind for one model or service.
     """
-    alike: dict[Scope, list[records.Target]] = {}
+    by_scope: dict[Scope, list[records.Target]] = {}
     for target in targets:
         scope = Scope(str(target.kind), served(target), target.region)
-        alike.setdefault(scope, []).append(target)
-    found: dict[str, list[records.Target]] = {}
-    for scope, members in alike.items():
-        if len(members) <= TARGETS_MOST:
-            found[scope.name] = members
+        by_scope.setdefault(scope, []).append(target)
+    cells: dict[str, list[records.Target]] = {}
+    for scope, members in by_scope.items():
+        if len(members) <= MAX_TARGETS:
+            cells[scope.name] = members
         else:
-            _split(scope, members, found)
-    return found
+            _split(scope, members, cells)
+    return cells
 
 
-def _split(scope, members, found) -> None:
-    local: dict[str, list[records.Target]] = {}
+def _split(scope, members, cells) -> None:
+    by_data_centre: dict[str, list[records.Target]] = {}
     for target in members:
-        local.setdefault(target.data_centre, []).append(target)
-    for data_centre, near in local.items():
-        parts = _parts_for(len(near))
-        for target in near:
+        by_data_centre.setdefault(target.data_centre, []).append(target)
+    for data_centre, local in by_data_centre.items():
+        parts = _parts_for(len(local))
+        for target in local:
             part = _part(target.name, parts)
             cell = dataclasses.replace(
                 scope, data_centre=data_centre, part=part, parts=parts
             )
-            found.setdefault(cell.name, []).append(target)
+            cells.setdefault(cell.name, []).append(target)
 
 
 def owners(
@@ -159,20 +159,21 @@
     targets: collections.abc.Iterable[records.Target],
     live: collections.abc.Callable[[str], list[str]],
 ) -> list[str]:
-    """Return routers in the order in which they own cell `name`.
+    """Return routers in order of precedence as owner of cell `name`.
 
-    Only routers of data centres that hold members are taken, so that an
-    owner is never cut off from all of its targets. The second is the deputy.
+    Only routers in data centres of its members are eligible, so that a
+    network partition never separates an owner from all of its targets. The
+    second router is the deputy.
 
     Parameters
     ----------
     name : str
-        The cell.
+        Name of the cell.
     targets : iterable of Target
         Its members.
     live : callable
-        Live routers of a data centre.
+        Returns the live routers of a data centre.
     """
-    near = {target.data_centre for target in targets}
-    routers = {router for centre in near for router in live(centre)}
+    centres = {target.data_centre for target in targets}
+    routers = {router for centre in centres for router in live(centre)}
     return hashing.order(name, routers)
--- a/amaranthring/policy/copies.py
+++ b/amaranthring/policy/copies.py
@@ -1,35 +1,33 @@
-"""Where an engine copies a prompt from that it would have to read.
+"""Choice of the engine to copy a cached prompt prefix from.
 
-An engine can copy from another one what that keeps of a prompt. With the
-links of today's engines this takes a hundredth of the time of reading it, so
-that a beginning that many requests share moves nearly for free: away from an
-engine that leaves, to one that has just started, or to a second one when
-many ask for it at once.
+Copying a cached prefix from another engine takes about a hundredth of the
+time of prefill. Prefixes that many requests share thus move cheaply away
+from an engine that is leaving, to one that has just started, or to a second
+one under load.
 """
 
 import dataclasses
 import typing as t
 
-# Tokens that an engine reads in a second; today's engines read 48 in a
-# millisecond when nothing else runs there.
-READ_RATE = 48_000.0
-# A copy begins this many seconds late, as measured on idle engines.
+# Tokens per second that an otherwise idle engine prefills.
+PREFILL_RATE = 48_000.0
+# Delay before the first token of a copy arrives.
 SETUP_SECONDS = 0.0025
-# A copy waits behind others on the links of both engines; it is asked for
-# only where it takes at most this share of the time of reading.
-TIME_SHARE = 0.5
+# Copies share the links of both engines with other copies. One is made only
+# if it takes at most this share of the prefill time.
+MAX_TIME_SHARE = 0.5
 
 
 @dataclasses.dataclass
 class Holder:
-    """An engine that keeps the beginning of a prompt.
+    """An engine that has cached a prefix of a prompt.
 
     Attributes
     ----------
-    kept : int
-        Tokens from the beginning of the prompt that it has read.
+    cached_tokens : int
+        Length of the cached prefix.
     stays : bool
-        Whether it is not about to leave.
+        Whether the engine is not draining.
     """
 
     id: str
@@ -40,14 +38,14 @@
 
 @dataclasses.dataclass
 class Copy:
-    """What an engine is to copy before it reads.
+    """Copy of a cached prefix, made before prefill of the rest.
 
     Attributes
     ----------
     source : str
         Id of the engine to copy from.
     tokens : int
-        Tokens of the prompt that it has more.
+        Number of tokens copied.
     """
 
     source: str
@@ -55,43 +53,43 @@
 
 
 def is_worthwhile(tokens: int, rate: float) -> bool:
-    """Return whether copying `tokens` is worth it.
+    """Return whether copying `tokens` is sufficiently faster than prefill.
 
     Parameters
     ----------
     rate : float
-        Tokens a second that the engines copy; 0 if they do not.
+        Tokens per second that the engines copy; 0 if they cannot.
     """
     if rate <= 0 or tokens <= 0:
         return False
-    copying = SETUP_SECONDS + tokens / rate
-    return copying <= TIME_SHARE * tokens / READ_RATE
+    copy_seconds = SETUP_SECONDS + tokens / rate
+    return copy_seconds <= MAX_TIME_SHARE * tokens / PREFILL_RATE
 
 
 def choose(
-    holders: t.Iterable[Holder], asked: Holder, rate: float
+    holders: t.Iterable[Holder], receiver: Holder, rate: float
 ) -> Copy | None:
-    """Return the copy to make, or None if reading is as good.
+    """Return the copy to make, or None if none is worthwhile.
 
-    Among engines that keep as much, one in the same data centre is taken:
-    a copy from another takes twice the time.
+    Among engines with equally long prefixes, one in the same data centre is
+    preferred: copies between data centres take twice the time.
 
     Parameters
     ----------
-    asked : Holder
-        The engine that copies, and what it keeps itself.
+    receiver : Holder
+        The engine that copies, with the prefix it already has.
     rate : float
-        As for :func:`pays`.
+        As for :func:`is_worthwhile`.
     """
 
-    def order(one: Holder) -> tuple:
-        near = one.data_centre == asked.data_centre
-        return one.cached_tokens, near, one.stays, one.id
+    def preference(one: Holder) -> tuple:
+        local = one.data_centre == receiver.data_centre
+        return one.cached_tokens, local, one.stays, one.id
 
-    others = [one for one in holders if one.id != asked.id]
-    found = max(others, key=order, default=None)
+    others = [one for one in holders if one.id != receiver.id]
+    found = max(others, key=preference, default=None)
     if found is None or not is_worthwhile(
-        found.cached_tokens - asked.cached_tokens, rate
+        found.cached_tokens - receiver.cached_tokens, rate
     ):
         return None
-    return Copy(found.id, found.cached_tokens - asked.cached_tokens)
+    return Copy(found.id, found.cached_tokens - receiver.cached_tokens)
--- a/amaranthring/policy/estimates.py
+++ b/amaranthring/policy/estimates.py
@@ -1,9 +1,9 @@
-"""Placement without an owner, from one router's count and lagging reports.
+"""Placement without an owner, from local counts and lagging load reports.
 
-Both the router's own part and the estimate of the whole keep the tighter
-bound, so that what several routers decide this way adds up below the bound:
-parts that are each below a multiple of their own mean sum to one below that
-multiple of the whole mean, but for the rounding.
+The tighter bound applies both to the router's own requests and to the
+estimated total. Decisions of several routers then add up to a load below the
+bound: parts that are each below a multiple of their own mean sum to less
+than that multiple of the overall mean, apart from rounding.
 """
 
 import collections.abc
@@ -15,14 +15,14 @@
 
 @dataclasses.dataclass
 class LoadEstimate:
-    """What one router knows of a target's load.
+    """Load of a target as one router knows it.
 
     Attributes
     ----------
     own : int
-        Requests that this router runs there.
+        Requests of this router in flight there.
     reported : int
-        What the target last reported as running and waiting.
+        Running and waiting requests that the target last reported.
     """
 
     own: int
@@ -30,7 +30,7 @@
 
     @property
     def load(self) -> int:
-        """Return the larger of both: reports lag, routers see a part."""
+        """Return the larger of both, as each covers only a part."""
         return max(self.own, self.reported)
 
 
@@ -40,31 +40,31 @@
     estimates: dict[str, LoadEstimate],
     bound: float,
 ) -> str | None:
-    """Return the first of `order` within the tighter bound, or None.
+    """Return the first target in `order` within the tighter bound.
 
     Parameters
     ----------
     order : iterable of str
-        Names of targets, best first.
+        Names of targets, preferred first.
     members : dict
         Targets of the cell by name.
     estimates : dict
-        What is known of each of them.
+        Estimated load by name.
     bound : float
-        Multiple of the mean, before it is made tighter.
+        Multiple of the mean, before tightening.
     """
     tight = bounds.tighter(bound)
     count = len(members)
     own = sum(each.own for each in estimates.values())
-    whole = sum(each.load for each in estimates.values())
-    own_most = bounds.max_load(tight, own + 1, count)
-    whole_most = bounds.max_load(tight, whole + 1, count)
+    total = sum(each.load for each in estimates.values())
+    max_own = bounds.max_load(tight, own + 1, count)
+    max_total = bounds.max_load(tight, total + 1, count)
 
-    def room(name: str) -> int:
-        if estimates[name].own >= own_most:
+    def limit(name: str) -> int:
+        if estimates[name].own >= max_own:
             return 0
-        return min(whole_most, members[name].capacity)
+        return min(max_total, members[name].capacity)
 
     return bounds.first_with_room(
-        order, lambda name: estimates[name].load, room
+        order, lambda name: estimates[name].load, limit
     )
--- a/amaranthring/policy/leases.py
+++ b/amaranthring/policy/leases.py
@@ -1,10 +1,10 @@
-"""What an admission owner knows of the requests in flight in its cell.
+"""Leases of the requests in flight in one cell, as its owner counts them.
 
-Each grant has a lease that its entry router renews. Only own grants are
-counted, never what reports say beyond them: while two owners grant in one
-cell, each keeps *its own* part below ``ceil(c * its mean)``, and such parts
-add up to less than ``c`` times the whole mean, but for the rounding. Adding
-lagging reports to one side breaks this sum; measured, it was worse.
+Each grant has a lease that its entry router renews. Only the owner's own
+grants are counted, not the targets' load reports. While two owners grant in
+one cell, each keeps its part below ``ceil(c * its mean)``, and the parts add
+up to less than ``c`` times the overall mean, apart from rounding. Adding
+lagging reports to either part would break this bound.
 """
 
 import collections
@@ -19,16 +19,16 @@
 
 @dataclasses.dataclass
 class Lease:
-    """One grant in flight.
+    """Lease of one request in flight.
 
     Attributes
     ----------
     target : str
-        Where it runs.
+        Name of the target.
     expires : float
-        When its lease ends, on the owner's clock.
+        Expiry time on the owner's clock.
     suspect : bool
-        Whether it may be what crashed a target.
+        Whether the request may have crashed a target.
     """
 
     target: str
@@ -37,7 +37,7 @@
 
 
 class LeaseTable:
-    """Requests in flight by target."""
+    """Leases by key, with the load of each target."""
 
     def __init__(self):
         self.held: dict[Key, Lease] = {}
@@ -45,43 +45,43 @@
         self.load: collections.Counter[str] = collections.Counter()
         self.suspects: dict[str, Key] = {}
 
-    def add(self, key: Key, held: Lease) -> None:
-        """Count a grant."""
-        self.held[key] = held
+    def add(self, key: Key, lease: Lease) -> None:
+        """Add a lease and count its request."""
+        self.held[key] = lease
         self.serials.setdefault(key[0], set()).add(key[1])
-        self.load[held.target] += 1
-        if held.suspect:
-            self.suspects[held.target] = key
+        self.load[lease.target] += 1
+        if lease.suspect:
+            self.suspects[lease.target] = key
 
     def drop(self, key: Key) -> bool:
-        """Count a grant no longer; return whether it was counted."""
-        held = self.held.pop(key, None)
-        if held is None:
+        """Remove a lease; return whether there was one."""
+        lease = self.held.pop(key, None)
+        if lease is None:
             return False
         router, serial = key
         self.serials[router].discard(serial)
         if not self.serials[router]:
             del self.serials[router]
-        self.load[held.target] -= 1
-        if not self.load[held.target]:
-            del self.load[held.target]
-        if self.suspects.get(held.target) == key:
-            del self.suspects[held.target]
+        self.load[lease.target] -= 1
+        if not self.load[lease.target]:
+            del self.load[lease.target]
+        if self.suspects.get(lease.target) == key:
+            del self.suspects[lease.target]
         return True
 
     def renew(
         self, router: str, held: dict[int, tuple[str, bool]], now: float
     ) -> None:
-        """Renew the leases of what `router` holds; take up what is new.
+        """Renew the leases that `router` reports, and add missing ones.
 
         Parameters
         ----------
         router : str
             Entry router.
         held : dict
-            Serial to target and whether the request is a suspect.
+            Target and suspect flag by serial number.
         now : float
-            On the owner's clock, in seconds.
+            Time on the owner's clock, in seconds.
         """
         for serial, (target, suspect) in held.items():
             key = (router, serial)
@@ -95,27 +95,29 @@
     def keep_only(
         self, router: str, next_serial: int, known: collections.abc.Container
     ) -> None:
-        """End what `router` does not know of any more: its release is lost.
+        """Drop leases of `router` not in `known`: their release was lost.
 
-        Serials from `next_serial` on are younger than what the router told.
+        Serials from `next_serial` on are newer than the report and stay.
         """
         for serial in list(self.serials.get(router, ())):
             if serial < next_serial and serial not in known:
                 self.drop((router, serial))
 
     def shorten(self, router: str, now: float) -> None:
-        """Let the leases of a router that the mesh gave up end soon.
+        """Shorten the leases of a router that was reported lost.
 
-        The verdict may be about a link only; a router that lives says so
-        within the grace and keeps its grants.
+        Possibly only a link failed: a live router renews its leases within
+        the grace period and keeps them.
         """
         for serial in self.serials.get(router, ()):
-            held = self.held[router, serial]
-            held.expires = min(held.expires, now + GRACE_SECONDS)
+            lease = self.held[router, serial]
+            lease.expires = min(lease.expires, now + GRACE_SECONDS)
 
     def expire(self, now: float) -> int:
-        """End leases that ran out; return how many."""
-        late = [key for key, held in self.held.items() if held.expires <= now]
-        for key in late:
+        """Drop expired leases; return how many."""
+        expired = [
+            key for key, lease in self.held.items() if lease.expires <= now
+        ]
+        for key in expired:
             self.drop(key)
-        return len(late)
+        return len(expired)
--- a/amaranthring/policy/limits.py
+++ b/amaranthring/policy/limits.py
@@ -1,4 +1,4 @@
-"""Token buckets for the rates of client accounts."""
+"""Token buckets for the rate limits of client accounts."""
 
 import dataclasses
 
@@ -10,47 +10,47 @@
     Attributes
     ----------
     tokens : float
-        Tokens that are there.
-    filled : float
-        When they were last worked out, in seconds.
+        Tokens available.
+    refilled_at : float
+        Time of the last refill, in seconds.
     """
 
     tokens: float
     refilled_at: float
 
     def refill(self, rate: float, burst: float, now: float) -> None:
-        """Add what came in since the last time.
+        """Add the tokens accrued since the last refill.
 
         Parameters
         ----------
         rate : float
-            Tokens a second.
+            Tokens per second.
         burst : float
-            Most tokens that may gather.
+            Capacity of the bucket.
         now : float
-            Seconds on any steady clock.
+            Seconds on a monotonic clock.
         """
-        gained = max(0.0, now - self.refilled_at) * rate
-        self.tokens = min(burst, self.tokens + gained)
+        accrued = max(0.0, now - self.refilled_at) * rate
+        self.tokens = min(burst, self.tokens + accrued)
         self.refilled_at = now
 
     def take(self, wanted: int) -> int:
-        """Take up to `wanted` whole tokens and return how many."""
+        """Take up to `wanted` whole tokens; return how many."""
         taken = max(0, min(wanted, int(self.tokens + 1e-9)))
         self.tokens -= taken
         return taken
 
     def until_next(self, rate: float) -> float:
-        """Return seconds until a whole token is there."""
+        """Return the seconds until a whole token is available."""
         return max(0.0, 1 - self.tokens) / rate
 
 
 def rate_share(live: int, configured: int) -> float:
-    """Return the part of an account's rate that this side may give.
+    """Return the share of an account's rate that its owner may grant.
 
-    With more than half of the routers in sight it is the whole rate;
-    otherwise the fleet may be cut and the rate is split, so that all sides
-    together stay below one and a half times the rate.
+    With more than half of the configured routers live it is the full rate.
+    Otherwise the network may be partitioned and the rate is divided, so that
+    all partitions together stay below one and a half times the rate.
     """
     if configured <= 0 or 2 * live > configured:
         return 1.0
--- a/amaranthring/policy/queues.py
+++ b/amaranthring/policy/queues.py
@@ -2,10 +2,10 @@
 
 Within a priority, accounts are served by start-time fair queueing (P. Goyal,
 H. Vin, H. Cheng, "Start-time fair queuing", IEEE/ACM Transactions on
-Networking 5(5), 1997): an account that never waits loses nothing, one that
-floods waits behind its own requests only. Lower priorities are served first;
-each higher one is sure of :data:`SHARE_OF_LATER` of the turns, so that batch
-work goes on.
+Networking 5(5), 1997): an account that floods the queue delays only its own
+requests. Lower priority numbers are served first; each higher number is
+guaranteed :data:`LOW_PRIORITY_SHARE` of the turns, so that batch work is not
+starved.
 """
 
 import collections
@@ -14,35 +14,35 @@
 import itertools
 import math
 
-SHARE_OF_LATER = 0.05
-SCAN_MOST = 16
-SPEED_SECONDS = 10.0
+LOW_PRIORITY_SHARE = 0.05
+MAX_SCAN = 16
+SPEED_WINDOW_SECONDS = 10.0
 
 
 @dataclasses.dataclass(eq=False)
 class Waiter:
-    """One waiting request.
+    """A queued request.
 
     Attributes
     ----------
     key : tuple
-        Entry router and serial.
-    ask : object
-        The message that asked.
+        Entry router and serial number.
+    request : object
+        The request for admission.
     account : str
         Client account.
     weight : float
-        The account's share.
+        Weight of the account.
     priority : int
-        Lower is served earlier.
+        Lower numbers are served first.
     since, deadline : float
-        On the owner's clock, in seconds.
+        Time queued and latest time to be served, on the owner's clock.
     start : float
         Start tag in virtual time, set by the queue.
     """
 
     key: tuple[str, int]
-    ask: object
+    request: object
     account: str
     weight: float
     priority: int
@@ -51,8 +51,8 @@
     start: float = 0.0
 
 
-class Level:
-    """Waiting requests of one priority."""
+class PriorityLevel:
+    """Queued requests of one priority, with its virtual time."""
 
     def __init__(self):
         self.accounts: dict[str, collections.deque[Waiter]] = {}
@@ -62,50 +62,52 @@
         self.length = 0
         self.gained = 0.0
         self.gained_at = 0.0
-        self.began = -1.0
+        self.started_at = -1.0
 
     def push(self, waiter: Waiter) -> None:
-        """Add `waiter` behind its account's others."""
+        """Append `waiter` to the queue of its account."""
         waiter.start = max(self.now, self.finish.get(waiter.account, 0.0))
         self.finish[waiter.account] = waiter.start + 1 / waiter.weight
         queue = self.accounts.setdefault(waiter.account, collections.deque())
         queue.append(waiter)
         self.length += 1
 
-    def in_turn(self) -> collections.abc.Iterator[Waiter]:
-        """Yield who may be served, next in turn first.
+    def candidates(self) -> collections.abc.Iterator[Waiter]:
+        """Yield requests that may be served, in the order of their turns.
 
-        One that waits for a certain target must not hold up those behind
-        it, so a few of each account are offered.
+        Several of each account are yielded, so that a request that waits for
+        one particular target does not block those behind it.
         """
         queues = sorted(
             self.accounts.values(),
             key=lambda queue: (queue[0].start, queue[0].since),
         )
         for queue in queues:
-            yield from itertools.islice(queue, SCAN_MOST)
+            yield from itertools.islice(queue, MAX_SCAN)
 
     def speed(self, now: float) -> float:
-        """Return how fast virtual time moved lately, a second."""
-        age = now - self.began
-        if self.began < 0 or age <= 0:
+        """Return the recent progress of virtual time per second."""
+        age = now - self.started_at
+        if self.started_at < 0 or age <= 0:
             return 0.0
-        fade = math.exp(-(now - self.gained_at) / SPEED_SECONDS)
-        filled = SPEED_SECONDS * (1 - math.exp(-age / SPEED_SECONDS))
-        return self.gained * fade / filled
+        decay = math.exp(-(now - self.gained_at) / SPEED_WINDOW_SECONDS)
+        window = SPEED_WINDOW_SECONDS * (
+            1 - math.exp(-age / SPEED_WINDOW_SECONDS)
+        )
+        return self.gained * decay / window
 
     def serve(self, waiter: Waiter, now: float) -> None:
-        """Take `waiter` out as served: virtual time moves on to it."""
-        if self.began < 0:
-            self.began = self.gained_at = now
+        """Remove `waiter` as served, and advance virtual time to it."""
+        if self.started_at < 0:
+            self.started_at = self.gained_at = now
         gain = max(0.0, waiter.start - self.now)
-        fade = math.exp(-(now - self.gained_at) / SPEED_SECONDS)
-        self.gained = self.gained * fade + gain
+        decay = math.exp(-(now - self.gained_at) / SPEED_WINDOW_SECONDS)
+        self.gained = self.gained * decay + gain
         self.gained_at = now
         self.take(waiter, served=True)
 
     def take(self, waiter: Waiter, served: bool) -> None:
-        """Take `waiter` out; `served` moves virtual time on."""
+        """Remove `waiter`; advance virtual time if it was `served`."""
         queue = self.accounts[waiter.account]
         queue.remove(waiter)
         self.length -= 1
@@ -116,12 +118,12 @@
         if not queue:
             del self.accounts[waiter.account]
         if not self.accounts:
-            # Nobody waits: old tags would only grow the table.
+            # No request is queued, so the tags are no longer needed.
             self.finish.clear()
             self.now = 0.0
 
     def _close_gap(self, queue, waiter: Waiter) -> None:
-        # One that leaves unserved must not cost its account a turn.
+        # A request that leaves unserved must not cost its account a turn.
         step = 1 / waiter.weight
         self.finish[waiter.account] -= step
         for later in queue:
@@ -130,29 +132,29 @@
 
 
 class FairQueue:
-    """Bounded fair queue of one cell.
+    """Bounded weighted fair queue of one cell.
 
     Attributes
     ----------
     waiters : dict
-        Every waiting request by its key.
+        All queued requests by key.
     """
 
     def __init__(self):
-        self.levels: dict[int, Level] = {}
+        self.levels: dict[int, PriorityLevel] = {}
         self.waiters: dict[tuple[str, int], Waiter] = {}
 
     def __len__(self) -> int:
         return len(self.waiters)
 
     def push(self, waiter: Waiter, most: int) -> Waiter | None:
-        """Queue `waiter`; return the one that has to go for it, if any.
+        """Queue `waiter`; return the request evicted for it, if any.
 
-        When `most` requests of this priority wait already, the last request
-        of the account that has most of them for its weight goes, which may
-        be `waiter` itself. One surging account so cannot keep others out.
+        If more than `most` requests of this priority are queued, the last
+        one of the account with the most for its weight is evicted, possibly
+        `waiter` itself. A surging account thus cannot keep others out.
         """
-        level = self.levels.setdefault(waiter.priority, Level())
+        level = self.levels.setdefault(waiter.priority, PriorityLevel())
         level.push(waiter)
         self.waiters[waiter.key] = waiter
         if level.length <= most:
@@ -166,11 +168,11 @@
         return last
 
     def remove(self, key: tuple[str, int]) -> Waiter | None:
-        """Take out the waiter under `key`, unserved."""
+        """Remove the request with `key` unserved; return it, if any."""
         waiter = self.waiters.pop(key, None)
         if waiter is not None:
             self.levels[waiter.priority].take(waiter, served=False)
-            self._tidy(waiter.priority)
+            self._remove_if_empty(waiter.priority)
         return waiter
 
     def pop(
@@ -178,43 +180,43 @@
         place: collections.abc.Callable[[Waiter], str | None],
         now: float,
     ) -> tuple[Waiter, str] | None:
-        """Serve the next waiter in turn that `place` finds a target for.
+        """Serve the next request that `place` finds a target for.
 
         Parameters
         ----------
         place : callable
-            Returns the target for a waiter, or None if it has to wait on.
+            Returns the target for a request, or None if there is none yet.
         now : float
-            On the owner's clock, in seconds.
+            Time on the owner's clock, in seconds.
         """
-        for priority in self._turns():
+        for priority in self._priority_order():
             level = self.levels[priority]
-            for waiter in level.in_turn():
+            for waiter in level.candidates():
                 target = place(waiter)
                 if target is None:
                     continue
                 del self.waiters[waiter.key]
                 level.serve(waiter, now)
-                self._tidy(priority)
-                self._credit(priority)
+                self._remove_if_empty(priority)
+                self._update_credit(priority)
                 return waiter, target
         return None
 
     def requests_ahead(self, account: str, priority: int) -> float:
-        """Return how many are served before a new request of `account`."""
+        """Return how many requests go before a new one of `account`."""
         count = 0.0
         for each, level in self.levels.items():
             if each < priority:
                 count += level.length
             elif each == priority:
-                count += self._ahead_in(level, account)
+                count += self._ahead_in_level(level, account)
         return count
 
     def virtual_wait(self, account: str, priority: int, now: float) -> float:
-        """Return seconds until virtual time reaches a new request's turn.
+        """Return the seconds until virtual time reaches a new request.
 
-        The speed of virtual time tells of requests of other accounts that
-        come later and still go first. Unknown, it gives 0.
+        The speed of virtual time accounts for later requests of other
+        accounts that are served first. Returns 0 while it is unknown.
         """
         level = self.levels.get(priority)
         if level is None:
@@ -224,13 +226,13 @@
         return gap / speed if gap > 0 and speed > 0 else 0.0
 
     def expired(self, now: float) -> list[Waiter]:
-        """Take out and return those whose deadline has passed."""
-        late = [w for w in self.waiters.values() if w.deadline <= now]
-        for waiter in late:
+        """Remove and return requests whose deadline has passed."""
+        expired = [w for w in self.waiters.values() if w.deadline <= now]
+        for waiter in expired:
             self.remove(waiter.key)
-        return late
+        return expired
 
-    def _ahead_in(self, level: Level, account: str) -> float:
+    def _ahead_in_level(self, level: PriorityLevel, account: str) -> float:
         own = level.accounts.get(account)
         start = max(level.now, level.finish.get(account, 0.0))
         count = float(len(own)) if own else 0.0
@@ -242,19 +244,19 @@
             count += min(max(turns, 0.0), len(queue))
         return count
 
-    def _turns(self) -> list[int]:
+    def _priority_order(self) -> list[int]:
         waiting = sorted(p for p, level in self.levels.items() if level.length)
         due = [p for p in waiting[1:] if self.levels[p].credit >= 1]
         return due + [p for p in waiting if p not in due]
 
-    def _credit(self, served: int) -> None:
+    def _update_credit(self, served: int) -> None:
         level = self.levels.get(served)
         if level is not None and level.credit >= 1:
             level.credit -= 1
         for priority, other in self.levels.items():
             if priority > served and other.length:
-                other.credit += SHARE_OF_LATER
+                other.credit += LOW_PRIORITY_SHARE
 
-    def _tidy(self, priority: int) -> None:
+    def _remove_if_empty(self, priority: int) -> None:
         if not self.levels[priority].length:
             del self.levels[priority]
--- a/amaranthring/policy/suspects.py
+++ b/amaranthring/policy/suspects.py
@@ -1,36 +1,36 @@
-"""Requests whose run coincided with the death of a target.
+"""Requests that may have crashed a target.
 
-The death of a target makes everything that ran there suspect, for it is not
-known what caused it. A suspect runs on, apart from other suspects, and is
-cleared when that run ends. Only a second death, of another target, during
-such a run condemns it: what merely ran beside the culprit, or twice on
-failing hardware at the same moment, is never condemned by that.
+When a target crashes, all requests in flight there become suspects. A suspect
+is retried on a target without another suspect, and is cleared when that run
+succeeds. It is condemned only if another target crashes during such a run.
+Requests that merely ran beside the cause, or on failing hardware, are
+therefore not condemned.
 """
 
 import collections
 import dataclasses
 
 SUSPECT_SECONDS = 600.0
-ENTRIES_MOST = 20000
-DEATHS_MOST = 4
-MANY_DEATHS = 3
-TOGETHER_SECONDS = 3.0
+MAX_ENTRIES = 20000
+MAX_DEATHS = 4
+CORRELATED_CRASHES = 3
+CORRELATION_SECONDS = 3.0
 
 
 @dataclasses.dataclass
 class Suspect:
-    """What is held against one request.
+    """A request that may have crashed a target.
 
     Attributes
     ----------
     key : str
-        Places the entry on its shard.
+        Determines the directory shard of the entry.
     deaths : list of str
-        Targets that died while it ran there.
+        Targets that crashed while it ran there.
     condemned : bool
-        Whether it is refused from now on.
+        Whether the request is refused.
     expires : float
-        When it is forgotten, in seconds.
+        Time at which the entry expires, in seconds.
     """
 
     key: str
@@ -40,7 +40,7 @@
 
 
 class SuspectTable:
-    """Bounded table of suspects by fingerprint."""
+    """Bounded table of suspects by request fingerprint."""
 
     def __init__(self):
         self.entries: collections.OrderedDict[str, Suspect] = (
@@ -50,30 +50,30 @@
     def record_crash(
         self, key: str, fingerprint: str, target: str, apart: bool, now: float
     ) -> Suspect:
-        """Note that `target` died while `fingerprint` ran there.
+        """Record that `target` crashed while `fingerprint` ran there.
 
         Parameters
         ----------
         apart : bool
-            Whether it ran as a suspect, apart from others.
+            Whether it already ran as a suspect, isolated from others.
         """
         suspect = self.get(fingerprint, now)
         if suspect is None:
             suspect = Suspect(key, [], False, 0.0)
             self.entries[fingerprint] = suspect
-        other = bool(suspect.deaths) and target not in suspect.deaths
-        if apart and other:
+        is_other = bool(suspect.deaths) and target not in suspect.deaths
+        if apart and is_other:
             suspect.condemned = True
         if target not in suspect.deaths:
-            suspect.deaths = [*suspect.deaths, target][-DEATHS_MOST:]
+            suspect.deaths = [*suspect.deaths, target][-MAX_DEATHS:]
         suspect.expires = now + SUSPECT_SECONDS
         self.entries.move_to_end(fingerprint)
-        while len(self.entries) > ENTRIES_MOST:
+        while len(self.entries) > MAX_ENTRIES:
             self.entries.popitem(last=False)
         return suspect
 
     def get(self, fingerprint: str, now: float) -> Suspect | None:
-        """Return what is held against `fingerprint`, if anything."""
+        """Return the entry of `fingerprint`, if it is a suspect."""
         suspect = self.entries.get(fingerprint)
         if suspect is not None and suspect.expires <= now:
             del self.entries[fingerprint]
@@ -81,37 +81,37 @@
         return suspect
 
     def clear(self, fingerprint: str) -> None:
-        """Forget `fingerprint`: its target outlived the run.
+        """Remove `fingerprint`, as its run ended without a crash.
 
-        A condemned one stays, as its caller may have sent it twice.
+        A condemned entry stays: the run may be a duplicate sent earlier.
         """
         suspect = self.entries.get(fingerprint)
         if suspect is not None and not suspect.condemned:
             del self.entries[fingerprint]
 
     def adopt(self, fingerprint: str, suspect: Suspect) -> None:
-        """Take an entry over from another shard."""
+        """Add an entry from another shard, unless there is one."""
         self.entries.setdefault(fingerprint, suspect)
 
 
 class RecentCrashes:
-    """Recent deaths of targets, to tell a broken rack from a bad request."""
+    """Recent crashes of targets, to detect infrastructure failures."""
 
     def __init__(self):
         self.recent: collections.deque[tuple[float, str]] = collections.deque(
-            maxlen=MANY_DEATHS * 8
+            maxlen=CORRELATED_CRASHES * 8
         )
 
     def note(self, target: str, now: float) -> None:
-        """Note that `target` died."""
+        """Record that `target` crashed."""
         self.recent.append((now, target))
 
     def correlated(self, now: float) -> bool:
-        """Return whether many targets died just now.
+        """Return whether several targets crashed at the same time.
 
-        A request brings down one target at a time; a rack, a switch or a
-        data centre takes many. Their requests are no suspects.
+        A bad request crashes one target at a time. Simultaneous crashes come
+        from a rack, switch or data centre, and make no request a suspect.
         """
-        since = now - TOGETHER_SECONDS
+        since = now - CORRELATION_SECONDS
         names = {name for when, name in self.recent if when >= since}
-        return len(names) >= MANY_DEATHS
+        return len(names) >= CORRELATED_CRASHES
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -23,7 +23,7 @@
         self.assertEqual(waits[0], 0.0)
         self.assertGreater(waits[1], 0.0)
         self.assertEqual(waits, sorted(waits))
-        self.assertEqual(waits[-1], flap_damping.LONGEST_WAIT_SECONDS)
+        self.assertEqual(waits[-1], flap_damping.MAX_DELAY_SECONDS)
 
     def test_a_quiet_time_clears_it(self):
         history = flap_damping.History()
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -63,7 +63,7 @@
 
     def test_prompts_to_be_read_have_a_time_of_their_own(self):
         self.assertIsNone(self.wait(reading=10_000))
-        for _ in range(response_times.SAMPLES_LEAST):
+        for _ in range(response_times.MIN_SAMPLES):
             self.times.record("s", 9_000, 0.2)
         self.assertGreater(self.wait(reading=10_000), 0.2)
         self.assertLess(self.wait(), 0.3)
