--- a/amaranthring/routing/__init__.py
+++ b/amaranthring/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing plans: which request goes to which service, for whom, how."""
+"""Routing plans: routes, services, client accounts and request limits."""
 
 from amaranthring.routing.checks import check
 from amaranthring.routing.plan import Account
--- a/amaranthring/routing/checks.py
+++ b/amaranthring/routing/checks.py
@@ -1,4 +1,4 @@
-"""What makes a routing plan invalid, whatever form it came in."""
+"""Validation of routing plans, independent of their encoding."""
 
 import collections
 
@@ -7,14 +7,14 @@
 
 
 def check(plan: plans.Plan) -> None:
-    """Check that `plan` can be put in force.
+    """Check that `plan` is valid.
 
     Raises
     ------
     errors.InvalidPlanError
-        With the first fault that was found.
+        For the first error found.
     """
-    known = {service.name for service in plan.services}
+    service_names = {service.name for service in plan.services}
     _check_unique([service.name for service in plan.services], "service")
     _check_unique([(r.host, r.prefix) for r in plan.routes], "route's place")
     _check_unique(
@@ -23,21 +23,21 @@
         show=False,
     )
     for route in plan.routes:
-        _check_route(route, known)
+        _check_route(route, service_names)
 
 
 def _check_unique(values: list, what: str, show: bool = True) -> None:
     counts = collections.Counter(values)
     for value, count in counts.items():
         if count > 1:
-            # Keys are secrets and stay out of answers and logs.
+            # Keys are secrets and must not appear in responses or logs.
             given = f"{value} {count} times" if show else f"one {count} times"
             raise errors.InvalidPlanError(what, given=given, expected="once")
 
 
-def _check_route(route: plans.Route, known: set[str]) -> None:
+def _check_route(route: plans.Route, service_names: set[str]) -> None:
     for share in route.shares:
-        if share.service not in known:
+        if share.service not in service_names:
             raise errors.InvalidPlanError(
                 f"service of route {route.name}",
                 given=share.service,
--- a/amaranthring/routing/plan.py
+++ b/amaranthring/routing/plan.py
@@ -1,8 +1,8 @@
 """Data classes of a routing plan.
 
-A plan is one whole document under the operator's own version: routes,
-services, client accounts with their keys, and bounds on what callers may
-send. The highest version is in force; a plan is never changed in part.
+A plan is one document with a version number set by the operator: routes,
+services, client accounts with their keys, and limits on requests. The
+highest version is active. Plans are only replaced as a whole.
 """
 
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What may be done twice with the requests of a route."""
+    """Whether requests of a route may be run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass
 class Share:
-    """Part of a route's requests that goes to one service.
+    """Share of a route's requests that goes to one service.
 
     Attributes
     ----------
     weight : int
-        Against the sum of the weights of the route.
+        Relative to the sum of the weights of the route.
     """
 
     service: str
@@ -33,34 +33,34 @@
 
 @dataclasses.dataclass
 class Route:
-    """Where requests for a host and the paths under a prefix go.
+    """Destination of requests for a host and a path prefix.
 
     Attributes
     ----------
     prefix : str
-        Begins and ends with a slash; the longest that fits decides.
+        Begins and ends with a slash; the longest match wins.
     kind : Kind
-        What may be repeated.
+        Whether requests may be retried.
     timeout : float
-        Seconds after which a request has its final answer.
+        Seconds within which a request gets its final response.
     objective : float
-        Seconds within which the answer (of a stream: its first event)
-        should come.
+        Seconds within which the response, or the first event of a stream,
+        should arrive.
     priority : int
         0 is the most urgent.
     shares : tuple of Share
-        Services, with weights.
+        Services with their weights.
     attempts_most : int
-        Targets to which one request may be sent.
+        Maximum number of targets that one request is sent to.
     public : bool
-        Whether no key is asked for.
+        Whether requests need no key.
     with_prompt : bool
-        Whether requests name the parts of a prompt that engines cache.
+        Whether requests list the parts of a prompt that engines cache.
     resumable : bool
-        Whether a stream may go on at another target.
+        Whether a stream may be resumed at another target.
     pause_most : float
-        Longest pause in seconds between two events of a good stream; 0 if
-        the route has no streams.
+        Longest pause in seconds between two events of a healthy stream; 0
+        if the route has no streams.
     """
 
     name: str
@@ -87,19 +87,19 @@
 
 @dataclasses.dataclass
 class Engine:
-    """What the engines of a service are able to do.
+    """Capabilities of the engines of a service.
 
     Attributes
     ----------
     slots : int
-        Requests that one engine runs at once.
+        Requests that one engine runs concurrently.
     kv_tokens : int
-        Tokens that one engine keeps in memory.
+        Capacity of an engine's KV cache in tokens.
     token_bytes : float
-        Memory that one token takes; 0 if not told.
+        KV cache bytes per token; 0 if unknown.
     link_rate : float
-        Bytes a second between two engines; 0 if they do not copy memory
-        from each other.
+        Bytes per second between two engines; 0 if they cannot copy cached
+        tokens from each other.
     """
 
     slots: int
@@ -109,7 +109,7 @@
 
     @property
     def copy_rate(self) -> float:
-        """Return how many tokens a second an engine copies from another."""
+        """Return the tokens per second that an engine can copy from another."""
         if not self.token_bytes:
             return 0.0
         return self.link_rate / self.token_bytes
@@ -117,16 +117,16 @@
 
 @dataclasses.dataclass
 class Service:
-    """A set of targets that answer the same requests.
+    """A set of interchangeable targets.
 
     Attributes
     ----------
     health_path : str
-        Where a target answers a health check.
+        Path of a target's health check.
     connections_most : int
-        Connections that one target accepts from all callers together.
+        Maximum number of connections that one target accepts.
     engine : Engine or None
-        None for a plain service.
+        None for a service without engines.
     """
 
     name: str
@@ -142,9 +142,9 @@
     Attributes
     ----------
     keys : tuple of str
-        Any of them proves the account.
+        Any of them authenticates the account.
     priority : int or None
-        Goes before the priority of the route.
+        Overrides the priority of the route.
     """
 
     name: str
@@ -154,14 +154,14 @@
 
 @dataclasses.dataclass
 class Bounds:
-    """What a caller may send, and how long it may take or stay idle.
+    """Limits on the size and duration of requests and on idle connections.
 
     Attributes
     ----------
     header_seconds : float
-        For all headers of a request.
+        Time to receive all headers of a request.
     idle_seconds : float
-        Between two requests of a connection.
+        Time between two requests of a connection.
     """
 
     header_bytes: int = 16 * 1024
@@ -172,12 +172,12 @@
 
 @dataclasses.dataclass
 class Plan:
-    """One whole document.
+    """A complete routing plan.
 
     Attributes
     ----------
     version : int
-        The operator's own number; the highest is in force.
+        Set by the operator; the highest version is active.
     accounts : tuple of Account
         Empty if callers need no key.
     """
--- a/amaranthring/routing/table.py
+++ b/amaranthring/routing/table.py
@@ -1,4 +1,4 @@
-"""A plan made ready for look-ups, as a router uses it for each request."""
+"""Lookup tables over a routing plan, used for each request."""
 
 import random
 
@@ -6,19 +6,19 @@
 
 
 class RouteTable:
-    """Look-ups over one plan.
+    """Lookup of routes, services and accounts of one plan.
 
     Parameters
     ----------
     plan : Plan
-        A checked plan.
+        A valid plan.
 
     Attributes
     ----------
     services : dict of str to Service
         By name.
     needs_key : bool
-        Whether requests of routes that are not public carry a key.
+        Whether requests of routes that are not public need a key.
     """
 
     def __init__(self, plan: plans.Plan):
@@ -38,23 +38,23 @@
         return self.plan.version
 
     def match(self, host: str, path: str) -> plans.Route | None:
-        """Return the route with the longest prefix of `path`, if any.
+        """Return the route whose prefix is the longest match, if any.
 
         Parameters
         ----------
         host : str
-            As the caller named it, with or without a port.
+            The ``Host`` header, with or without a port.
         path : str
-            Without the query.
+            Path without the query.
         """
         host = host.lower()
-        found = self._longest(host, path)
+        found = self._longest_match(host, path)
         if found is None and ":" in host:
-            found = self._longest(host.rpartition(":")[0], path)
+            found = self._longest_match(host.rpartition(":")[0], path)
         return found
 
-    def _longest(self, host: str, path: str) -> plans.Route | None:
-        # Prefixes end with a slash, so only these cuts can match.
+    def _longest_match(self, host: str, path: str) -> plans.Route | None:
+        # Prefixes end with a slash, so only such substrings can match.
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
             route = self._routes.get((host, path[: end + 1]))
@@ -63,17 +63,17 @@
         return None
 
     def account_of(self, key: str) -> plans.Account | None:
-        """Return the account that holds `key`, if any."""
+        """Return the account with `key`, if any."""
         return self._accounts.get(key)
 
 
 def draw_service(route: plans.Route, draw: float | None = None) -> str:
-    """Return a service of `route`, drawn by the weights.
+    """Return a random service of `route`, by weight.
 
     Parameters
     ----------
     draw : float, optional
-        A number from 0 to below 1; random if left out.
+        Number in ``[0, 1)``; random by default.
     """
     if len(route.shares) == 1:
         return route.shares[0].service
