--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt: a request to one target, and what is known when it fails."""
+"""A single attempt to have a request run by one target."""
 
 import re
 import time
@@ -12,85 +12,84 @@
 from amaranthring.targets import pool
 from amaranthring.targets import upstream
 
-ANSWER_BYTES_MOST = 16 * 1024 * 1024
-# A connection within the fleet's network takes a few milliseconds. One that
-# takes longer leads to a VM without power or behind a cut; the request has
-# not been sent and has its time for another target.
+MAX_BODY_BYTES = 16 * 1024 * 1024
+# Connecting takes a few milliseconds unless the target's VM has lost power or
+# the network is partitioned. The request can then still go elsewhere.
 CONNECT_SECONDS = 0.15
-# How long a connection may have idled for a request that may run again, and
-# for one that may not. On one that has gone bad meanwhile the second kind is
-# lost, where a new connection would show before it is sent that the target
-# is not there.
-KEPT_IDEMPOTENT_SECONDS = 5.0
-KEPT_SECONDS = 2.0
+# Maximum idle time of a reused connection, for idempotent requests and for
+# others. On a broken connection a request that may run only once is lost; a
+# new connection fails before the request is sent.
+IDEMPOTENT_IDLE_SECONDS = 5.0
+IDLE_SECONDS = 2.0
 KEEP_ALIVE = re.compile(r"timeout=(\d+)")
-# Answers of calls before this one that may stand before its own.
-EXTRA_ANSWERS_MOST = 2
+# Duplicate responses to earlier calls that are skipped on a connection.
+MAX_EXTRA_RESPONSES = 2
 EVENT_STREAM = "text/event-stream"
 
 
 class Attempt:
-    """A request on its way to one target.
+    """An attempt to send a request to one target.
 
     Parameters
     ----------
     resume_after : str
-        Number of the last event that the caller has.
+        Id of the last event that the caller received.
     copy_from : str
-        Address of a target from which this one copies the prompt, or empty.
-    trusts_kept : bool
-        Whether a kept connection to the target may be used.
-    may_send : callable
-        Called right before the request leaves; raises if it must not.
+        Address of the target to copy a cached prefix from; empty for none.
+    reuse_connection : bool
+        Whether a pooled connection may be used.
+    before_send : callable
+        Called right before the request is sent; raises to prevent it.
 
     Attributes
     ----------
     exchange : upstream.Exchange
-        The connection; its `sent` says whether the target may have run it.
-    answer : Answer or None
-        Once its head came.
+        The HTTP exchange; `exchange.sent` tells whether the target may have
+        run the request.
+    head : ResponseHead or None
+        Head of the response, once received.
     """
 
     def __init__(
         self,
-        passage: records.RequestContext,
+        context: records.RequestContext,
         target: messages.TargetRecord,
         dialect: records.Dialect,
         resume_after: str,
         connections: pool.Pool,
         copy_from: str,
-        trusts_kept: bool,
-        may_send: t.Callable[[], None],
+        reuse_connection: bool,
+        before_send: t.Callable[[], None],
     ):
-        self.context = passage
+        self.context = context
         self.target = target
         self.dialect = dialect
         self.resume_after = resume_after
         self.connections = connections
         self.exchange = upstream.Exchange(target, CONNECT_SECONDS)
-        self.answer: records.ResponseHead | None = None
+        self.head: records.ResponseHead | None = None
         self.copy_from = copy_from
-        self.reuse_connection = trusts_kept
-        self.before_send = may_send
+        self.reuse_connection = reuse_connection
+        self.before_send = before_send
 
-    async def open(self, patience: float) -> records.ResponseHead:
-        """Send the request and return the head of the answer.
+    async def open(self, timeout: float) -> records.ResponseHead:
+        """Send the request and return the head of the response.
 
         Parameters
         ----------
-        patience : float
+        timeout : float
             Seconds to wait for the head.
 
         Raises
         ------
         errors.UpstreamError
-            Without a usable head; its outcome says what is known.
+            If there is no valid head; its outcome tells whether it ran.
         """
         await self._connect()
         self.before_send()
         left = self.context.deadline - time.monotonic()
         incoming = self.context.incoming
-        sending = records.AttemptInfo(
+        info = records.AttemptInfo(
             self.target,
             self.context.account,
             left,
@@ -100,142 +99,148 @@
         call = upstream.Call(
             incoming.method,
             incoming.uri,
-            self.dialect.request_headers(incoming, sending),
+            self.dialect.request_headers(incoming, info),
             incoming.body,
             keep_alive=True,
         )
-        self.exchange.write_call(call, min(patience, max(left, 0.0)))
+        self.exchange.write_call(call, min(timeout, max(left, 0.0)))
         await self._read_head()
         self._check_head()
-        return self.answer
+        return self.head
 
     async def _connect(self) -> None:
-        held = None
+        connection = None
         if self.reuse_connection:
             idempotent = self.context.route.idempotent
-            idle = KEPT_IDEMPOTENT_SECONDS if idempotent else KEPT_SECONDS
-            held = await self.connections.acquire(self.target.id, idle)
-        if held is not None:
-            self.exchange.reuse(*held)
+            idle = IDEMPOTENT_IDLE_SECONDS if idempotent else IDLE_SECONDS
+            connection = await self.connections.acquire(self.target.id, idle)
+        if connection is not None:
+            self.exchange.reuse(*connection)
             return
         await self.exchange.connect()
         pool.set_ack_timeout(self.exchange.writer)
 
     async def _read_head(self) -> None:
         exchange = self.exchange
-        for _ in range(1 + EXTRA_ANSWERS_MOST):
+        for _ in range(1 + MAX_EXTRA_RESPONSES):
             await exchange.read_head()
-            self.answer = self.dialect.read_response(
+            self.head = self.dialect.read_response(
                 exchange.status, exchange.headers
             )
-            if not exchange.reused or not self._is_of_another():
+            if not exchange.reused or not self._is_for_another_request():
                 return
-            # A target that answered the call before twice: its second
-            # answer stands before ours.
-            await exchange.skip_body(ANSWER_BYTES_MOST)
-
-    def _is_of_another(self) -> bool:
-        named = self.answer.request_id
-        return bool(named) and named != self.context.incoming.request_id
+            # The target responded twice to an earlier call, and the duplicate
+            # precedes the response to this one.
+            await exchange.skip_body(MAX_BODY_BYTES)
+
+    def _is_for_another_request(self) -> bool:
+        request_id = self.head.request_id
+        return (
+            bool(request_id) and request_id != self.context.incoming.request_id
+        )
 
     def _check_head(self) -> None:
-        answer = self.answer
-        if answer.other_target:
+        head = self.head
+        if head.other_target:
             raise errors.OtherTargetError(
-                "another target has the address", given=self.target.address
+                "another target has taken over the address",
+                given=self.target.address,
             )
-        if answer.refused:
+        if head.refused:
             raise errors.TargetRefusedError(
-                "the target refused",
-                given=answer.status,
-                expected="an answer",
+                "the target refused the request",
+                given=head.status,
+                expected="a response",
                 retry_after=1.0,
             )
-        # An answer to another request can come late on a connection, and a
-        # target that breaks writes what is no answer of its own. Either
-        # would reach the caller as a success with foreign content.
-        if answer.request_id != self.context.incoming.request_id:
+        # A late response to another request, or output of a crashing target,
+        # must not reach the caller as a success with foreign content.
+        if head.request_id != self.context.incoming.request_id:
             raise errors.UpstreamError(
-                "an answer to another request",
-                given=answer.request_id,
+                "response to another request",
+                given=head.request_id,
                 expected=self.context.incoming.request_id,
             )
-        if not answer.signed or answer.encoded:
+        if not head.signed or head.encoded:
             raise errors.UpstreamError(
-                "not an answer that the target made itself",
-                given=answer.status,
-                expected="a signed one without content coding",
+                "response not signed by the target, or re-encoded",
+                given=head.status,
+                expected="a signed response without content coding",
             )
 
     @property
     def is_event_stream(self) -> bool:
-        """Return whether the answer is a good event stream."""
-        kind = self.exchange.headers.get("Content-Type", "")
-        return self.answer.status == 200 and kind.startswith(EVENT_STREAM)
+        """Return whether the response is a successful event stream."""
+        content_type = self.exchange.headers.get("Content-Type", "")
+        return self.head.status == 200 and content_type.startswith(
+            EVENT_STREAM
+        )
 
-    async def whole(self) -> bytes:
-        """Return the whole body of the answer.
+    async def read_body(self) -> bytes:
+        """Return the complete body of the response.
 
         Raises
         ------
         errors.UpstreamError
-            If it is not whole.
+            If the body is incomplete.
         """
         left = self.context.deadline - time.monotonic()
         self.exchange.set_timeout(max(left, 0.0))
-        return await self.exchange.read_all(ANSWER_BYTES_MOST, unframed=True)
+        return await self.exchange.read_all(MAX_BODY_BYTES, unframed=True)
 
     async def relay_events(
         self,
-        cutter: events.EventSplitter,
-        reply: responses.ResponseWriter,
-        pause: float,
+        splitter: events.EventSplitter,
+        writer: responses.ResponseWriter,
+        timeout: float,
     ) -> None:
-        """Pass the events of the answer on to its end.
+        """Forward all events of the response to the caller.
 
         Parameters
         ----------
-        pause : float
-            Seconds after which a silent target counts as broken.
+        timeout : float
+            Maximum seconds between two events.
 
         Raises
         ------
         errors.UpstreamError
-            If the target broke off; whole events were passed on.
+            If the stream broke off; only complete events were forwarded.
         errors.CallerGoneError
-            If the caller has closed.
+            If the caller has closed its connection.
         """
-        self.exchange.set_timeout(pause)
+        self.exchange.set_timeout(timeout)
         while data := await self.exchange.read():
             self.exchange.note_progress(time.monotonic())
-            ready = cutter.feed(data)
-            if not ready:
+            complete = splitter.feed(data)
+            if not complete:
                 continue
-            if reply.status:
-                await reply.write(ready)
+            if writer.status:
+                await writer.write(complete)
             else:
-                answer = self.answer
-                await reply.begin(answer.status, answer.headers, ready)
-        if cutter.partial:
+                head = self.head
+                await writer.start_stream(head.status, head.headers, complete)
+        if splitter.partial:
             raise errors.TruncatedAnswerError(
                 "the stream ended within an event",
-                given=len(cutter.partial),
-                expected="whole events",
+                given=len(splitter.partial),
+                expected="complete events",
             )
 
-    def close(self, whole: bool) -> None:
-        """End the attempt; keep its connection if all of it is in order.
+    def close(self, complete: bool) -> None:
+        """End the attempt, and return its connection to the pool if possible.
 
         Parameters
         ----------
-        whole : bool
-            Whether the answer was taken whole. Otherwise the connection is
-            closed, and the target stops its work.
+        complete : bool
+            Whether the response was read completely. Otherwise the connection
+            is closed, which makes the target stop its work.
         """
-        held = self.exchange.release() if whole else None
-        if held is None:
+        connection = self.exchange.release() if complete else None
+        if connection is None:
             self.exchange.close()
             return
-        stated = KEEP_ALIVE.search(self.exchange.headers.get("Keep-Alive", ""))
-        seconds = float(stated[1]) if stated else None
-        self.connections.release(self.target.id, *held, seconds)
+        keep_alive = KEEP_ALIVE.search(
+            self.exchange.headers.get("Keep-Alive", "")
+        )
+        seconds = float(keep_alive[1]) if keep_alive else None
+        self.connections.release(self.target.id, *connection, seconds)
--- a/amaranthring/forwarding/events.py
+++ b/amaranthring/forwarding/events.py
@@ -1,7 +1,7 @@
-"""Event streams cut at whole events, so that a stream can go on elsewhere.
+"""Splitting of event streams, so that another target can resume a stream.
 
 Source: the event stream format of the HTML Living Standard, section 9.2.
-Nothing of an event but its number is read, and its bytes are not changed.
+Only the id of an event is parsed, and its bytes are not changed.
 """
 
 import re
@@ -9,75 +9,75 @@
 from amaranthring import errors
 
 MAX_EVENT_BYTES = 256 * 1024
-END_OF_EVENT = b"\n\n"
-NUMBER = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
+EVENT_END = b"\n\n"
+EVENT_ID = re.compile(rb"^id: ?(\d+)\r?$", re.MULTILINE)
 
 
 class EventSplitter:
-    """Passes on whole events of one answer, from one target or several.
+    """Extracts complete events of one response from one or more targets.
 
     Attributes
     ----------
-    last : int or None
-        Number of the last event that was passed on.
-    rest : bytes
-        Begin of an event that is not whole yet.
+    last_id : int or None
+        Id of the last event returned.
+    partial : bytes
+        Bytes of an incomplete event.
     """
 
-    def __init__(self, last: int | None = None):
-        self.last = last
+    def __init__(self, last_id: int | None = None):
+        self.last_id = last_id
         self.partial = b""
 
     def discard_partial(self) -> None:
-        """Drop the begun event: another target sends it again."""
+        """Drop an incomplete event, as another target sends it again."""
         self.partial = b""
 
     def feed(self, data: bytes) -> bytes:
         """Return the events that `data` completes.
 
-        An event that the caller has already is dropped.
+        Events that were already returned are dropped.
 
         Raises
         ------
         errors.TruncatedAnswerError
             If an event is missing.
         errors.UpstreamError
-            If an event is above the bound.
+            If an event is too large.
         """
         data = self.partial + data if self.partial else data
-        end = data.rfind(END_OF_EVENT)
+        end = data.rfind(EVENT_END)
         if end < 0:
             self.partial = data
-            self._check_rest()
+            self._check_size()
             return b""
-        end += len(END_OF_EVENT)
+        end += len(EVENT_END)
         self.partial = data[end:]
-        self._check_rest()
-        blocks = data[:end].split(END_OF_EVENT)[:-1]
-        kept = [b for b in blocks if self._is_next(b)]
-        return b"".join(block + END_OF_EVENT for block in kept)
+        self._check_size()
+        blocks = data[:end].split(EVENT_END)[:-1]
+        new = [b for b in blocks if self._is_new(b)]
+        return b"".join(block + EVENT_END for block in new)
 
-    def _check_rest(self) -> None:
+    def _check_size(self) -> None:
         if len(self.partial) > MAX_EVENT_BYTES:
             raise errors.UpstreamError(
-                "an event above the bound",
+                "event too large",
                 given=len(self.partial),
                 expected=f"{MAX_EVENT_BYTES} bytes at most",
             )
 
-    def _is_next(self, block: bytes) -> bool:
-        found = NUMBER.search(block)
+    def _is_new(self, block: bytes) -> bool:
+        found = EVENT_ID.search(block)
         if found is None:
             return True
-        number = int(found[1])
-        if self.last is not None:
-            if number <= self.last:
+        event_id = int(found[1])
+        if self.last_id is not None:
+            if event_id <= self.last_id:
                 return False
-            if number > self.last + 1:
+            if event_id > self.last_id + 1:
                 raise errors.TruncatedAnswerError(
                     "events are missing",
-                    given=f"event {number}",
-                    expected=f"event {self.last + 1}",
+                    given=f"event {event_id}",
+                    expected=f"event {self.last_id + 1}",
                 )
-        self.last = number
+        self.last_id = event_id
         return True
--- a/amaranthring/forwarding/failures.py
+++ b/amaranthring/forwarding/failures.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt says of the target's standing here."""
+"""Recording of failed attempts against their targets."""
 
 from amaranthring import errors
 from amaranthring.forwarding import placement
@@ -8,27 +8,27 @@
 
 # Failures after which a target cannot be reached for other requests either.
 UNREACHED = (errors.TargetUnreachedError, errors.TargetSilentError)
-# Failures that may come of a cut between this data centre and the target's.
+# Errors that a partition between two data centres may cause.
 SILENT = (*UNREACHED, errors.UpstreamTimeoutError)
 
 
 def record(
     placer: placement.Placer,
     connections: pool.Pool,
-    passage: records.RequestContext,
+    context: records.RequestContext,
     target: messages.TargetRecord,
     error: errors.UpstreamError,
 ) -> None:
-    """Note what an attempt that failed says of its target."""
+    """Record a failed attempt against its target."""
     if isinstance(error, SILENT):
-        passage.silent_data_centres.add(target.data_centre)
+        context.silent_data_centres.add(target.data_centre)
     if isinstance(error, errors.OtherTargetError):
         placer.record_replaced(target)
     elif isinstance(error, errors.TargetRefusedError):
-        # Nothing is learned before another target takes the request.
-        passage.refused_by.append(target)
+        # Counts only if another target accepts the request.
+        context.refused_by.append(target)
     elif isinstance(error, UNREACHED):
-        # What is kept to it would take requests down with it.
+        # Requests on its pooled connections would fail as well.
         connections.drop(target.id)
         placer.record_failure(target, reached=False)
     elif not isinstance(error, errors.TargetFailedError):
@@ -36,16 +36,14 @@
 
 
 def record_refusals(
-    placer: placement.Placer, passage: records.RequestContext
+    placer: placement.Placer, context: records.RequestContext
 ) -> None:
-    """Hold refusals against targets, now that another took the request.
+    """Record refusals of a request that another target has accepted.
 
     A request that all targets refuse is itself the reason: too large for any
     of them, or with a header that none accepts. If its refusals counted, one
-    caller could make a router shun every target of a service; with that, 474
-    of 1,671 requests of a quiet day were answered 503 within a millisecond
-    while all engines idled.
+    caller could make a router avoid every target of a service.
     """
-    for target in passage.refused_by:
+    for target in context.refused_by:
         placer.record_failure(target, reached=True)
-    passage.refused_by.clear()
+    context.refused_by.clear()
--- a/amaranthring/forwarding/frontend.py
+++ b/amaranthring/forwarding/frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards callers: one task for each request."""
+"""HTTP server for callers, with one task per request."""
 
 import asyncio
 import time
@@ -21,41 +21,40 @@
     [records.Incoming, responses.ResponseWriter], t.Awaitable[None]
 ]
 
-# Bounds of the server itself, above any that a plan may set: the plan's own
-# are checked for each request and answered with their type.
-HEADER_BYTES_MOST = 256 * 1024
-BODY_BYTES_MOST = 64 * 1024 * 1024
-# Idle connections are closed only after any plan's idle time, so that no
-# request of a caller that keeps to it crosses the close.
+# Limits of the HTTP server, above any that a plan may set. The limits of the
+# plan are checked per request, with an error code of their own.
+MAX_HEADER_BYTES = 256 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
+# Longer than the idle time of any plan, so that a connection is not closed
+# while a caller that keeps to the plan sends a request.
 IDLE_SECONDS = 120.0
 
 
 class Frontend(tornado.httputil.HTTPServerConnectionDelegate):
-    """Takes requests from callers and hands each to `serve`.
+    """Receives requests from callers and passes each to `serve`.
 
     Parameters
     ----------
     dialect : records.Dialect
-        Reads the head of a request.
+        Parses the head of a request.
     serve : callable
-        Answers one request.
+        Handles one request.
     bounds : callable
-        Returns the bounds in force.
+        Returns the limits of the active plan.
 
     Attributes
     ----------
-    running : int
-        Requests that were read and have no final answer yet.
+    in_flight : int
+        Requests without a final response.
     closing : bool
-        Whether callers are told that their connections close.
-    ends_at : float
-        Monotonic seconds at which the process ends; a request that may take
-        longer is refused.
-    waiting : connections.Waiting
-        Connections on which no request has come yet, or none since the
-        last.
+        Whether callers are told to close their connections.
+    shutdown_at : float
+        Monotonic seconds at which the process ends; requests that may take
+        longer are refused.
+    idle : connections.Waiting
+        Connections without a request.
     listener : listeners.Listener, optional
-        On which callers come, once it listens.
+        Listener for callers, once started.
     """
 
     def __init__(
@@ -78,34 +77,34 @@
         """Serve on the listening `sockets`."""
         self.server = tornado.httpserver.HTTPServer(
             self,
-            max_header_size=HEADER_BYTES_MOST,
-            max_body_size=BODY_BYTES_MOST,
+            max_header_size=MAX_HEADER_BYTES,
+            max_body_size=MAX_BODY_BYTES,
             idle_connection_timeout=IDLE_SECONDS,
         )
         self.server.add_sockets(sockets)
         self.listener = listeners.Listener(self.server, sockets)
 
     def start_request(self, server_conn, request_conn):
-        """Return what takes in one request."""
+        """Return the delegate that receives one request."""
         self.idle.add(server_conn)
         return _Request(self, server_conn, request_conn)
 
     def on_close(self, server_conn):
-        """Forget a connection that has closed."""
+        """Forget a closed connection."""
         self.idle.discard(server_conn)
 
     async def drain(self, until: float) -> None:
-        """Close connections as they get idle, until none has a request.
+        """Close connections as they become idle, until none has a request.
 
         Parameters
         ----------
         until : float
-            Monotonic seconds after which what still runs is left.
+            Monotonic seconds at which to stop waiting.
         """
         await self.idle.end(until, lambda: self.in_flight)
 
     def check_deadline(self, incoming: records.Incoming) -> None:
-        """Check that a request can end before this process does.
+        """Check that a request can finish before shutdown.
 
         Raises
         ------
@@ -118,99 +117,101 @@
             )
 
     def count(self, step: int) -> None:
-        """Count a request in or out."""
+        """Change the number of requests in flight by `step`."""
         self.in_flight += step
 
 
 class _Request(tornado.httputil.HTTPMessageDelegate):
-    """One request while it is read, and then its task."""
+    """Receives one request and runs its task."""
 
-    def __init__(self, front: Frontend, server_conn, connection):
-        self.front = front
+    def __init__(self, frontend: Frontend, server_conn, connection):
+        self.frontend = frontend
         self.server_conn = server_conn
         self.connection = connection
-        self.reply = responses.ResponseWriter(
-            connection, lambda: front.closing
+        self.writer = responses.ResponseWriter(
+            connection, lambda: frontend.closing
         )
         self.incoming: records.Incoming | None = None
-        self.fault: errors.AmaranthringError | None = None
+        self.error: errors.AmaranthringError | None = None
         self.body: list[bytes] = []
         self.body_bytes = 0
         self.task: asyncio.Task | None = None
 
     def headers_received(self, start_line, headers):
-        """Read the head; a fault is answered when the body has come."""
-        self.front.idle.discard(self.server_conn)
+        """Parse the head; errors are sent after the body was received."""
+        self.frontend.idle.discard(self.server_conn)
         try:
             self._check_headers(headers)
-            self.incoming = self.front.dialect.read_request(
+            self.incoming = self.frontend.dialect.read_request(
                 start_line, headers, time.monotonic()
             )
         except errors.AmaranthringError as error:
-            self.fault = error
+            self.error = error
 
     def _check_headers(self, headers) -> None:
-        most = self.front.bounds().header_bytes
+        limit = self.frontend.bounds().header_bytes
         size = sum(len(n) + len(v) + 4 for n, v in headers.get_all())
-        if size > most:
+        if size > limit:
             raise errors.HeadersTooLargeError(
-                "headers", given=size, expected=f"{most} bytes at most"
+                "headers", given=size, expected=f"{limit} bytes at most"
             )
 
     def data_received(self, chunk):
-        """Keep the body, up to the bound."""
+        """Collect the body, up to its limit."""
         self.body_bytes += len(chunk)
-        most = self.front.bounds().body_bytes
-        if self.body_bytes > most:
+        limit = self.frontend.bounds().body_bytes
+        if self.body_bytes > limit:
             self.body.clear()
-            self.fault = self.fault or errors.TooLargeError(
-                "body", given=self.body_bytes, expected=f"{most} bytes at most"
+            self.error = self.error or errors.TooLargeError(
+                "body",
+                given=self.body_bytes,
+                expected=f"{limit} bytes at most",
             )
         else:
             self.body.append(chunk)
 
     def finish(self):
-        """Answer the request, which is whole now."""
+        """Handle the request, which is now complete."""
         if self.server_conn.stream.closed():
-            # Its bytes were read in the very step in which the connection
-            # was closed as idle. The caller sees a close without an answer
-            # and sends it again, so it must not run here as well.
+            # The request was read in the same event loop iteration in which
+            # the connection was closed as idle. The caller sees it closed and
+            # sends the request again, so it must not run here too.
             return
-        self.front.count(+1)
-        # While an answer is awaited tornado tells of a close here only.
+        self.frontend.count(+1)
+        # While a response is pending, tornado reports a close only here.
         self.connection.set_close_callback(self.on_connection_close)
         self.task = asyncio.ensure_future(self._run())
 
     def on_connection_close(self):
-        """Stop all work on the request: its caller has gone."""
+        """Cancel the request, as its caller has disconnected."""
         if self.task is not None:
             self.task.cancel()
 
-    async def _refuse(self, error: errors.AmaranthringError) -> None:
+    async def _send_error(self, error: errors.AmaranthringError) -> None:
         try:
-            await self.reply.refuse(error)
+            await self.writer.send_error(error)
         except errors.CallerGoneError:
-            self.reply.break_off()
+            self.writer.abort()
 
     async def _run(self) -> None:
         try:
-            if self.fault is not None:
-                await self._refuse(self.fault)
+            if self.error is not None:
+                await self._send_error(self.error)
                 return
             self.incoming.body = b"".join(self.body)
             self.body.clear()
-            self.front.check_deadline(self.incoming)
-            await self.front.serve(self.incoming, self.reply)
+            self.frontend.check_deadline(self.incoming)
+            await self.frontend.serve(self.incoming, self.writer)
         except errors.ShuttingDownError as error:
-            await self._refuse(error)
+            await self._send_error(error)
         except errors.CallerGoneError:
-            self.reply.break_off()
+            self.writer.abort()
         except asyncio.CancelledError:
-            self.reply.break_off()
+            self.writer.abort()
         except Exception:
             log.exception("request.failed")
-            self.reply.break_off()
+            self.writer.abort()
         finally:
             connections.when_sent(
-                self.connection, lambda: self.front.count(-1)
+                self.connection, lambda: self.frontend.count(-1)
             )
--- a/amaranthring/forwarding/placement.py
+++ b/amaranthring/forwarding/placement.py
@@ -1,10 +1,10 @@
-"""Which target gets an attempt, from what this router knows of targets."""
+"""Choice of the target for each attempt, from state this router observes."""
 
 import collections
 import time
 import typing as t
 
-from amaranthring.forwarding import prefixes
+from amaranthring.forwarding import prompts
 from amaranthring.forwarding import records
 from amaranthring.forwarding import views
 from amaranthring.policy import affinity
@@ -13,51 +13,49 @@
 from amaranthring.registry import sharing
 from amaranthring.registry import targets as tables
 
-# A target that failed is passed over for this long, doubled with each
-# further failure in a row up to the most. The first is shorter than an
-# announcement's beat: most failures are over at once. The most bounds how
-# long after the end of a cut callers are still refused.
+# Exponential backoff for a target that failed. It starts below the interval
+# of announcements, as most failures are brief. The maximum limits how long
+# callers are still refused after a network partition ends.
 BACKOFF_SECONDS = 0.5
-AVOID_SECONDS_MOST = 2.0
-# A target that answered here within this time lives, whatever keepers heard.
-ANSWERED_SECONDS = 2.0
-# A target that so many other routers could not reach is avoided here too,
-# unless it did well here within the trusted time; the doubt lasts a little
-# longer than the pause between two reports.
-DOUBTING_ROUTERS = 2
+MAX_BACKOFF_SECONDS = 2.0
+# A target that responded here within this time is alive, even if the keepers
+# miss its announcements.
+RECENT_SUCCESS_SECONDS = 2.0
+# A target that this many other routers could not reach is avoided here too,
+# unless it responded here within the trusted time. A report counts slightly
+# longer than the interval between reports.
+MIN_REPORTING_ROUTERS = 2
 TRUSTED_SECONDS = 0.5
 PEER_REPORT_SECONDS = 0.6
-# A target that broke an answer off so lately, at any router, gets what may
-# run only once if half of the targets are left. So one that often breaks off
-# is known to all after a few losses; each router by itself would have to lose
-# some of its own requests before it turned away.
+# A target that broke off a response this recently, at any router, gets no
+# requests that may run only once, provided that half of the targets remain.
+# Without reports from others, each router would lose requests of its own.
 FAILING_SECONDS = 1.0
-DOUBTED_MOST = 0.5
-# Targets of one data centre that could not be reached, without one that was
-# reached since, after which all of them count as cut off. Two can be down by
-# themselves, and are then one request's delay each; a cut would cost every
-# request one connection's timeout for each target of the data centre.
-CUT_TARGETS = 2
-# How long they then get requests only if there is no other target. The cut
-# is looked for again by one request each time.
+MAX_EXCLUDED_SHARE = 0.5
+# Number of unreachable targets after which their data centre counts as
+# partitioned off, unless another target there has responded since. Otherwise
+# each request would run into one connect timeout per target.
+PARTITION_TARGETS = 2
+# Time for which targets of a partitioned data centre are a last resort. Then
+# the next request probes the data centre again.
 PARTITION_SECONDS = 1.0
-# A target that leaves without having drained goes on for two seconds or more,
-# and others can copy from it meanwhile. Whoever is to copy from one that has
-# ended waits for it in vain, and reads all the same.
+# Time for which others may copy from a target that left without draining: it
+# serves for at least two seconds more. A copy from a stopped target waits in
+# vain, and the prompt has to be prefilled anyway.
 LINGER_SECONDS = 1.5
 
 
 class Placer:
-    """Chooses targets and remembers how they did.
+    """Chooses targets and tracks their load and failures.
 
     Parameters
     ----------
     table : registry.targets.TargetTable
-        Targets as the keepers know them.
+        Targets as known to the keepers.
     data_centre : str
-        Of this router.
+        Data centre of this router.
     clock : callable
-        Monotonic seconds.
+        Returns monotonic seconds.
     """
 
     def __init__(
@@ -72,27 +70,37 @@
         self.data_centres: dict[str, views.DataCentreView] = (
             collections.defaultdict(views.DataCentreView)
         )
-        self.prefixes = prefixes.PrefixIndex(clock)
+        self.prefixes = prompts.PrefixIndex(clock)
         self.views: dict[str, views.TargetView] = collections.defaultdict(
             views.TargetView
         )
 
     def choose(
-        self, passage: records.RequestContext
+        self, context: records.RequestContext
     ) -> messages.TargetRecord | None:
         """Return the target for the next attempt, or None."""
         now = self.clock()
-        able = self._able(passage)
-        near = [r for r in able if not self._may_be_cut_off(passage, r, now)]
-        sound = [
-            r for r in near or able if self.views[r.id].avoid_until <= now
+        eligible = self._eligible(context)
+        reachable = [
+            r
+            for r in eligible
+            if not self._may_be_partitioned(context, r, now)
         ]
-        heard = [r for r in sound if self._is_heard(r, now)]
-        # A target that fails, or is not heard, is still better than none;
-        # one that surely cannot be reached is not: the caller is told at
-        # once, and the next request after the avoided time looks again.
-        chosen = heard or sound or [r for r in able if not self._is_out(r)]
-        if not passage.route.idempotent:
+        healthy = [
+            r
+            for r in reachable or eligible
+            if self.views[r.id].backoff_until <= now
+        ]
+        alive = [r for r in healthy if self._is_alive(r, now)]
+        # A failing or silent target is better than none. An unreachable one
+        # is not: the caller is refused at once, and the first request after
+        # the backoff tries again.
+        chosen = (
+            alive
+            or healthy
+            or [r for r in eligible if not self._is_unreachable(r)]
+        )
+        if not context.route.idempotent:
             chosen = self._without_failing(chosen, now)
         by_id = {record.id: record for record in chosen}
         candidates = [
@@ -104,16 +112,16 @@
             )
             for record in chosen
         ]
-        parts = passage.incoming.parts
-        if passage.route.with_prompt and parts:
-            holders = self._holders(passage)
+        parts = context.incoming.parts
+        if context.route.with_prompt and parts:
+            holders = self._holders(context)
             for one in candidates:
                 one.uncached_tokens = self.prefixes.uncached_tokens(
                     parts, one.id
                 )
-                copy = self._copy(passage, by_id[one.id], holders)
+                copy = self._copy(context, by_id[one.id], holders)
                 one.copied_tokens = copy.tokens if copy else 0
-                one.pending_tokens = self.views[one.id].waiting
+                one.pending_tokens = self.views[one.id].pending_tokens
             shared = parts[-2] if len(parts) > 1 else parts[-1]
             tokens = sum(part.tokens for part in parts)
             found = affinity.choose_by_prefix(candidates, shared.id, tokens)
@@ -124,154 +132,155 @@
     def _without_failing(
         self, records: list[messages.TargetRecord], now: float
     ) -> list[messages.TargetRecord]:
-        """Return those that broke off no answer lately, if enough are left."""
-        left = [r for r in records if not self._is_failing(r, now)]
-        enough = len(left) >= (1 - DOUBTED_MOST) * len(records)
-        return left if enough else records
+        """Leave out targets that recently failed, if enough remain."""
+        remaining = [r for r in records if not self._is_failing(r, now)]
+        enough = len(remaining) >= (1 - MAX_EXCLUDED_SHARE) * len(records)
+        return remaining if enough else records
 
     def _is_failing(self, record: messages.TargetRecord, now: float) -> bool:
         view = self.views[record.id]
-        if now < view.doubted_until:
+        if now < view.reported_failing_until:
             return True
         return now - view.failed_at < FAILING_SECONDS
 
-    def _may_be_cut_off(
+    def _may_be_partitioned(
         self,
-        passage: records.RequestContext,
+        context: records.RequestContext,
         record: messages.TargetRecord,
         now: float,
     ) -> bool:
-        """Return whether the target's data centre is better left out.
+        """Return whether the target's data centre may be unreachable.
 
-        A request that one target of another data centre has left without an
-        answer would mostly wait in vain for the next one there, too.
+        If one target of another data centre did not respond to a request,
+        the next one there would most likely not respond either.
         """
         if record.data_centre == self.data_centre:
             return False
-        if record.data_centre in passage.silent_data_centres:
+        if record.data_centre in context.silent_data_centres:
             return True
-        return self._is_cut_off(record, now)
+        return self._is_partitioned(record, now)
 
     def copy_for(
-        self, passage: records.RequestContext, target: messages.TargetRecord
+        self, context: records.RequestContext, target: messages.TargetRecord
     ) -> copies.Copy | None:
-        """Return what `target` should copy of the prompt, and from where.
+        """Return the copy of a cached prefix that `target` should make.
 
-        None if it keeps the prompt itself, or reads it as fast.
+        Returns None if it has the prefix, or if prefill is as fast.
         """
-        return self._copy(passage, target, self._holders(passage))
+        return self._copy(context, target, self._holders(context))
 
     def source_address(self, copy: copies.Copy | None) -> str:
-        """Return the address that `copy` comes from; empty without one."""
+        """Return the address of the source of `copy`; empty for None."""
         return self.table.entries[copy.source].record.address if copy else ""
 
     def _copy(
         self,
-        passage: records.RequestContext,
+        context: records.RequestContext,
         target: messages.TargetRecord,
         holders: list[copies.Holder],
     ) -> copies.Copy | None:
         if not holders:
             return None
-        parts = passage.incoming.parts
-        whole = sum(part.tokens for part in parts)
-        asked = copies.Holder(
+        parts = context.incoming.parts
+        total = sum(part.tokens for part in parts)
+        receiver = copies.Holder(
             target.id,
             target.data_centre,
-            whole - self.prefixes.uncached_tokens(parts, target.id),
+            total - self.prefixes.uncached_tokens(parts, target.id),
         )
-        return copies.choose(holders, asked, passage.engine.copy_rate)
+        return copies.choose(holders, receiver, context.engine.copy_rate)
 
-    def _holders(self, passage: records.RequestContext) -> list[copies.Holder]:
-        """Return the targets from which the prompt can be copied."""
-        if passage.engine is None or not passage.route.with_prompt:
+    def _holders(self, context: records.RequestContext) -> list[copies.Holder]:
+        """Return the targets from which a cached prefix can be copied."""
+        if context.engine is None or not context.route.with_prompt:
             return []
         now = self.clock()
         found = []
         for entry in self.table.entries.values():
             record = entry.record
-            if record.service != passage.service:
+            if record.service != context.service:
                 continue
-            kept = self.prefixes.copyable_tokens(
-                passage.incoming.parts, record.id
+            tokens = self.prefixes.copyable_tokens(
+                context.incoming.parts, record.id
             )
-            if not kept or not self._may_copy_from(entry, now):
+            if not tokens or not self._may_copy_from(entry, now):
                 continue
             stays = record.state == messages.State.READY
             found.append(
-                copies.Holder(record.id, record.data_centre, kept, stays)
+                copies.Holder(record.id, record.data_centre, tokens, stays)
             )
         return found
 
     def _may_copy_from(self, entry: tables.Entry, now: float) -> bool:
         record = entry.record
-        if self._is_out(record) or self._is_cut_off(record, now):
+        if self._is_unreachable(record) or self._is_partitioned(record, now):
             return False
         if entry.gone_at:
             return entry.still_serving and now - entry.gone_at < LINGER_SECONDS
-        return self.table.holds_address(record) and self._is_heard(record, now)
+        return self.table.holds_address(record) and self._is_alive(record, now)
 
-    def _is_heard(self, record: messages.TargetRecord, now: float) -> bool:
-        # Keepers that are cut off from each other miss announcements of
-        # targets that answer here all the while.
+    def _is_alive(self, record: messages.TargetRecord, now: float) -> bool:
+        # Partitioned keepers miss announcements of targets that respond here.
         if not record.silent:
             return True
-        return now - self.views[record.id].succeeded_at < ANSWERED_SECONDS
+        return (
+            now - self.views[record.id].succeeded_at < RECENT_SUCCESS_SECONDS
+        )
 
-    def _is_out(self, record: messages.TargetRecord) -> bool:
+    def _is_unreachable(self, record: messages.TargetRecord) -> bool:
         return self.views[record.id].unreachable
 
-    def _able(self, passage: records.RequestContext) -> list:
+    def _eligible(self, context: records.RequestContext) -> list:
         return [
             record
             for record in self.table.active()
-            if record.service == passage.service
+            if record.service == context.service
             and record.state == messages.State.READY
-            and record.id not in passage.tried
+            and record.id not in context.tried
         ]
 
     def begin(
         self,
         target: messages.TargetRecord,
-        passage: records.RequestContext,
+        context: records.RequestContext,
         copy: copies.Copy | None = None,
     ) -> None:
-        """Count a request of this router at `target`.
+        """Count a request that is sent to `target`.
 
         Parameters
         ----------
         copy : Copy, optional
-            What the target copies of the prompt instead of reading it.
+            Cached prefix that the target copies instead of prefilling it.
         """
-        parts = passage.incoming.parts
-        passage.prefill_tokens = self.prefixes.uncached_tokens(
+        parts = context.incoming.parts
+        context.prefill_tokens = self.prefixes.uncached_tokens(
             parts, target.id
         )
-        passage.prefill_tokens -= copy.tokens if copy else 0
+        context.prefill_tokens -= copy.tokens if copy else 0
         self.prefixes.record_sent(parts, target.id)
         view = self.views[target.id]
-        view.reading += passage.prefill_tokens
+        view.prefill_tokens += context.prefill_tokens
         view.running += 1
         view.reported += 1
 
     def prefill_done(
-        self, target: messages.TargetRecord, passage: records.RequestContext
+        self, target: messages.TargetRecord, context: records.RequestContext
     ) -> None:
-        """Note that the target has begun to answer."""
-        self.prefixes.mark_cached(passage.incoming.parts, target.id)
-        self._count_read(target, passage)
+        """Record that the target has prefilled the prompt."""
+        self.prefixes.mark_cached(context.incoming.parts, target.id)
+        self._clear_prefill(target, context)
 
-    def _count_read(
-        self, target: messages.TargetRecord, passage: records.RequestContext
+    def _clear_prefill(
+        self, target: messages.TargetRecord, context: records.RequestContext
     ) -> None:
-        self.views[target.id].reading -= passage.prefill_tokens
-        passage.prefill_tokens = 0
+        self.views[target.id].prefill_tokens -= context.prefill_tokens
+        context.prefill_tokens = 0
 
     def end(
-        self, target: messages.TargetRecord, passage: records.RequestContext
+        self, target: messages.TargetRecord, context: records.RequestContext
     ) -> None:
-        """Count it off again."""
-        self._count_read(target, passage)
+        """Count a request at `target` as ended."""
+        self._clear_prefill(target, context)
         view = self.views[target.id]
         view.running -= 1
         view.reported = max(0.0, view.reported - 1)
@@ -279,67 +288,69 @@
     def update_load(
         self, target: messages.TargetRecord, load: records.Load
     ) -> None:
-        """Take what `target` said of its load."""
+        """Store the load that `target` reported."""
         view = self.views[target.id]
         view.reported = load.running + load.waiting
         view.reported_at = self.clock()
 
     def record_success(self, target: messages.TargetRecord) -> None:
-        """Note an answer that the target made."""
+        """Record a response of the target."""
         view = self.views[target.id]
         view.failures = 0
-        view.avoid_until = 0.0
+        view.backoff_until = 0.0
         view.unreachable = False
         view.succeeded_at = self.clock()
         self.record_contact(target)
 
     def record_replaced(self, target: messages.TargetRecord) -> None:
-        """Note that another target has the address of `target`."""
+        """Record that another target has taken the address of `target`."""
         self.table.mark_gone(target.id)
         self.views[target.id].unreachable = True
 
     def failed_recently(self, target: messages.TargetRecord) -> bool:
-        """Return whether the target failed last, here or at others."""
+        """Return whether the last attempt failed, here or at other routers."""
         view = self.views[target.id]
-        return view.failures > 0 or view.avoid_until > self.clock()
+        return view.failures > 0 or view.backoff_until > self.clock()
 
     def unreachable_targets(self) -> list[str]:
-        """Return the targets that this router could not reach last."""
+        """Return the targets that this router recently failed to reach."""
         now = self.clock()
         return [
             name
             for name, view in self.views.items()
-            if view.unreachable and view.avoid_until > now
+            if view.unreachable and view.backoff_until > now
         ]
 
     def record_contact(self, target: messages.TargetRecord) -> None:
-        """Note that `target` said anything."""
+        """Record data from `target`: its data centre is reachable."""
         if target.data_centre in self.data_centres:
             del self.data_centres[target.data_centre]
 
-    def _count_unreached(self, target: messages.TargetRecord) -> None:
+    def _count_unreachable(self, target: messages.TargetRecord) -> None:
         if target.data_centre == self.data_centre:
             return
         view = self.data_centres[target.data_centre]
         view.unreachable.add(target.id)
-        if len(view.unreachable) >= CUT_TARGETS:
-            view.cut_until = self.clock() + PARTITION_SECONDS
+        if len(view.unreachable) >= PARTITION_TARGETS:
+            view.partitioned_until = self.clock() + PARTITION_SECONDS
 
-    def _is_cut_off(self, target: messages.TargetRecord, now: float) -> bool:
+    def _is_partitioned(
+        self, target: messages.TargetRecord, now: float
+    ) -> bool:
         view = self.data_centres.get(target.data_centre)
-        return view is not None and view.cut_until > now
+        return view is not None and view.partitioned_until > now
 
     def record_failure(
         self, target: messages.TargetRecord, reached: bool
     ) -> None:
-        """Note an attempt that the target did not answer.
+        """Record an attempt that the target did not complete.
 
         Parameters
         ----------
         reached : bool
-            Whether there was a connection. A target that breaks one answer
-            off may do well with all others, and whoever leaves it for that
-            has long prompts read again elsewhere; two in a row are a sign.
+            Whether a connection was made. The target is then avoided only
+            from the second consecutive failure on, as avoiding it moves long
+            prompts to targets that have not cached them.
         """
         view = self.views[target.id]
         view.failures += 1
@@ -347,38 +358,42 @@
         if reached:
             view.failed_at = self.clock()
         else:
-            self._count_unreached(target)
-        counted = view.failures - (1 if reached else 0)
-        if counted < 1:
+            self._count_unreachable(target)
+        failures = view.failures - (1 if reached else 0)
+        if failures < 1:
             return
-        seconds = BACKOFF_SECONDS * 2 ** (counted - 1)
-        view.avoid_until = self.clock() + min(seconds, AVOID_SECONDS_MOST)
+        seconds = BACKOFF_SECONDS * 2 ** (failures - 1)
+        view.backoff_until = self.clock() + min(seconds, MAX_BACKOFF_SECONDS)
 
     def in_flight(self) -> dict[str, int]:
-        """Return this router's requests by target."""
+        """Return this router's requests in flight by target."""
         views = self.views.items()
         return {name: view.running for name, view in views if view.running}
 
     def pending_tokens(self) -> dict[str, int]:
-        """Return the tokens yet to be read for this router, by target."""
+        """Return the tokens yet to be prefilled for this router, by target."""
         views = self.views.items()
-        return {name: view.reading for name, view in views if view.reading}
+        return {
+            name: view.prefill_tokens
+            for name, view in views
+            if view.prefill_tokens
+        }
 
     def update_from_others(self, others: sharing.Others) -> None:
-        """Take what the other routers do and have found."""
-        self._doubt_with_others(others.unreached)
+        """Apply the reports of the other routers."""
+        self._apply_unreachable(others.unreached)
         until = self.clock() + PEER_REPORT_SECONDS
         for name in set(others.failing) & set(self.table.entries):
-            self.views[name].doubted_until = until
-        named = set(others.counts) | set(others.reading)
-        for target_id in set(self.views) | named & set(self.table.entries):
+            self.views[name].reported_failing_until = until
+        reported = set(others.counts) | set(others.reading)
+        for target_id in set(self.views) | reported & set(self.table.entries):
             view = self.views[target_id]
             view.others = others.counts.get(target_id, 0)
-            view.others_reading = others.reading.get(target_id, 0)
+            view.others_prefill_tokens = others.reading.get(target_id, 0)
         self.prefixes.merge(others.places)
 
     def report(self) -> sharing.Report:
-        """Return what the other routers should know."""
+        """Return the report for the other routers."""
         tokens = self.prefixes.prefix_tokens
         return sharing.Report(
             self.in_flight(),
@@ -390,26 +405,29 @@
         )
 
     def failing_targets(self) -> list[str]:
-        """Return the targets that broke an answer off here lately."""
+        """Return the targets that recently broke off a response here."""
         oldest = self.clock() - FAILING_SECONDS
         views = self.views.items()
         return [name for name, view in views if view.failed_at > oldest]
 
-    def _doubt_with_others(self, unreached: dict[str, int]) -> None:
-        # Each router would lose requests of its own to a target that lost
-        # its power. One router that cannot reach it may itself be cut off.
+    def _apply_unreachable(self, unreached: dict[str, int]) -> None:
+        # Otherwise each router would lose requests to a target that lost
+        # power. A single router that cannot reach it may itself be isolated.
         now = self.clock()
         for name, routers in unreached.items():
-            if routers < DOUBTING_ROUTERS or name not in self.table.entries:
+            if (
+                routers < MIN_REPORTING_ROUTERS
+                or name not in self.table.entries
+            ):
                 continue
             view = self.views[name]
             if now - view.succeeded_at > TRUSTED_SECONDS:
-                view.avoid_until = max(
-                    view.avoid_until, now + PEER_REPORT_SECONDS
+                view.backoff_until = max(
+                    view.backoff_until, now + PEER_REPORT_SECONDS
                 )
 
     def prune(self) -> None:
-        """Drop what was seen of targets that are gone, and what is old."""
+        """Drop state of targets that are gone, and expired cache locations."""
         self.prefixes.prune(self.table.entries)
         for target_id in set(self.views) - set(self.table.entries):
             if not self.views[target_id].running:
--- a/amaranthring/forwarding/records.py
+++ b/amaranthring/forwarding/records.py
@@ -1,4 +1,4 @@
-"""Data classes of a request and its answer while they pass through."""
+"""Data classes for requests and responses while they are forwarded."""
 
 import dataclasses
 import typing as t
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class PromptPart:
-    """One part of a prompt that other requests may share.
+    """One part of a prompt; other requests may have the same part.
 
     Attributes
     ----------
@@ -25,30 +25,30 @@
 
 @dataclasses.dataclass
 class Incoming:
-    """A request as its caller sent it.
+    """A request as received from its caller.
 
     Attributes
     ----------
     request_id : str
-        The caller's own, new with each of its attempts.
+        Set by the caller, different for each of its attempts.
     uri, path : str
         With and without the query.
     headers : HTTPHeaders
-        All that are passed on.
+        Headers to forward.
     body : bytes
-        Whole.
+        Complete body.
     arrived : float
-        Monotonic seconds when its headers were read.
-    patience : float
+        Monotonic seconds at which its headers were read.
+    timeout : float
         Seconds that the caller waits; infinite if it did not say.
     key : str
-        What proves the account; empty if none came.
+        Key of the client account; empty if none was sent.
     resume_after : str
-        Number of the last event that the caller has; empty for none.
-    parts : tuple of Part
-        Parts of the prompt in order; the last is the request's own.
+        Id of the last event that the caller received; empty for none.
+    parts : tuple of PromptPart
+        Parts of the prompt in order; the last one is not shared.
     output_tokens : int
-        Most tokens that it may make.
+        Maximum number of generated tokens.
     """
 
     request_id: str
@@ -68,19 +68,18 @@
 
 @dataclasses.dataclass
 class AttemptInfo:
-    """What one attempt adds to the request for its target.
+    """Values that one attempt adds to the forwarded request.
 
     Attributes
     ----------
     account : str
-        Name of the account; empty if the route is public.
+        Name of the client account; empty if the route is public.
     seconds_left : float
-        Until the caller has gone.
+        Time until the deadline of the request.
     resume_after : str
-        Number of the last event that the caller has.
+        Id of the last event that the caller received.
     copy_from : str
-        Address of a target from which this one copies what it lacks of the
-        prompt; empty if it reads all of that itself.
+        Address of the target to copy a cached prefix from; empty for none.
     """
 
     target: messages.TargetRecord
@@ -92,7 +91,7 @@
 
 @dataclasses.dataclass
 class Load:
-    """What a target said of its load in an answer."""
+    """Load that a target reported in a response."""
 
     running: int
     waiting: int
@@ -101,26 +100,26 @@
 
 @dataclasses.dataclass
 class ResponseHead:
-    """The head of a target's answer.
+    """Status and headers of a target's response.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : HTTPHeaders
-        Those that are passed on to the caller.
+        Headers to forward to the caller.
     request_id : str
-        Which request it answers.
+        Id of the request that it belongs to.
     signed : bool
-        Whether a target made it; only then does it reach the caller.
+        Whether a target signed it. Others are not forwarded.
     refused : bool
-        Whether it states that the request did not run there.
+        Whether it states that the request was not run.
     other_target : bool
-        Whether another target has the address now.
+        Whether another target has taken over the address.
     encoded : bool
-        Whether the body is not as the target made it.
+        Whether an intermediary changed the encoding of the body.
     load : Load or None
-        If the target told it.
+        Load of the target, if reported.
     """
 
     status: int
@@ -135,7 +134,7 @@
 
 @dataclasses.dataclass
 class Dialect:
-    """How requests and answers are written on the wire, as functions.
+    """Functions that read and write requests and responses on the wire.
 
     Attributes
     ----------
@@ -143,9 +142,9 @@
         ``(start line, headers, arrived) -> Incoming``; raises
         ``errors.BadRequestError``.
     request_headers : callable
-        ``(Incoming, Sending) -> headers`` for the target.
-    read_answer : callable
-        ``(status, headers) -> Answer``.
+        ``(Incoming, AttemptInfo) -> headers`` for the target.
+    read_response : callable
+        ``(status, headers) -> ResponseHead``.
     """
 
     read_request: t.Callable[..., Incoming]
@@ -157,29 +156,28 @@
 
 @dataclasses.dataclass
 class RequestContext:
-    """What the router knows of one request on its way.
+    """State of one request while it is forwarded.
 
     Attributes
     ----------
     deadline : float
-        Monotonic seconds at which it has its final answer.
-    sent : int
-        Targets that may have begun to work on it.
+        Monotonic seconds by which it gets its final response.
+    attempts_sent : int
+        Number of targets that may have started to run it.
     tried : set of str
-        Ids of targets that will not be asked again.
+        Ids of targets that are not tried again.
     refused_by : list of TargetRecord
-        Targets that refused it, as long as none has taken it.
+        Targets that refused it, while none has accepted it.
     engine : Engine or None
-        What the targets of the service can do; None for a plain service.
-    reading : int
-        Tokens that the target asked now has to read first.
-    silent_in : set of str
-        Data centres whose targets left it without an answer.
-    trail : list of str
-        ``target:outcome`` of each attempt so far.
+        Capabilities of the service's engines; None if it has none.
+    prefill_tokens : int
+        Tokens that the current target has to prefill.
+    silent_data_centres : set of str
+        Data centres in which a target did not respond.
+    attempt_outcomes : list of str
+        ``target:outcome`` of each attempt.
     copies : list of str
-        ``source>target`` of each attempt whose target was to copy the
-        prompt from another.
+        ``source>target`` of each attempt with a copy of a cached prefix.
     """
 
     incoming: Incoming
@@ -189,12 +187,12 @@
     version: int
     deadline: float
     engine: plans.Engine | None = None
-    sent: int = 0
+    attempts_sent: int = 0
     prefill_tokens: int = 0
     tried: set[str] = dataclasses.field(default_factory=set)
     refused_by: list[messages.TargetRecord] = dataclasses.field(
         default_factory=list
     )
     silent_data_centres: set[str] = dataclasses.field(default_factory=set)
-    trail: list[str] = dataclasses.field(default_factory=list)
+    attempt_outcomes: list[str] = dataclasses.field(default_factory=list)
     copies: list[str] = dataclasses.field(default_factory=list)
--- a/amaranthring/forwarding/relay.py
+++ b/amaranthring/forwarding/relay.py
@@ -1,4 +1,4 @@
-"""The way of one request: route, account, target, attempts, answer."""
+"""Forwarding of one request: routing, authentication, attempts, response."""
 
 import asyncio
 import collections
@@ -23,51 +23,48 @@
 from amaranthring.routing import table as route_tables
 from amaranthring.targets import pool
 
-# A safe request that has no answer after this multiple of its objective is
-# sent to a second target, early enough to be on time by the deadline; as long
-# as nothing was learned of how long answers take.
-SAFE_PATIENCE = 1.6
-# A target from which no event comes for so many of the route's longest
-# pauses has broken down, and a stream that may go on elsewhere does; callers
-# give up after eight. Another stream waits: it can only be continued there,
-# and a cut that heals lets it go on.
-STREAM_PAUSES = 4.0
-STREAM_SECONDS_LEAST = 1.2
-# The final answer leaves this many seconds before the caller gives up.
-ANSWER_MARGIN = 0.02
-# When a caller should come back after each kind of refusal, in seconds.
-# Targets announce themselves about every second; a full target frees a
-# slot within some tens of milliseconds, but all callers wait for it.
+# While response times are unknown, a safe request goes to a second target
+# after this multiple of its objective.
+SAFE_TIMEOUT_FACTOR = 1.6
+# A resumable stream moves to another target after this multiple of the route's
+# longest pause without an event; callers give up after eight times the pause.
+# Other streams wait, as only the same target can continue them.
+PAUSE_FACTOR = 4.0
+MIN_EVENT_TIMEOUT = 1.2
+# Seconds before the caller's timeout at which the final response is sent.
+RESPONSE_MARGIN = 0.02
+# ``Retry-After`` in seconds. Targets announce themselves about every second;
+# a full target frees a slot sooner, but all callers wait for it.
 RETRY_NO_TARGET = 0.5
 RETRY_REFUSED = 0.3
-# In the trail of a request: no byte of it went to that target.
+# Outcome of an attempt in the request log: nothing was sent.
 UNREACHED = "target-unreached"
 
 
 class Relay:
-    """Forwards requests of callers.
+    """Forwards requests from callers to targets.
 
     Parameters
     ----------
     table : callable
-        Returns the RouteTable in force, or None.
-    may_admit : callable
-        Whether the plan is known to be new enough to trust its keys.
+        Returns the active RouteTable, or None.
+    may_trust_keys : callable
+        Returns whether the plan is recent enough to trust its keys.
     budget : callable
-        ``(service) -> RetryBudget``, new for each service.
+        Returns a new WindowBudget; called once per service.
     routers : callable
-        Returns how many routers share the budgets.
+        Returns the number of routers that share the retry budgets.
     connections : Pool, optional
-        Kept connections to targets.
-    start : Start, optional
-        What holds requests back until there is a plan.
+        Pool of connections to targets.
+    start : StartupGate, optional
+        Delays requests until there is a plan.
     """
 
     def __init__(
         self,
         dialect: records.Dialect,
         table: t.Callable[[], route_tables.RouteTable | None],
-        may_admit: t.Callable[[], bool],
+        may_trust_keys: t.Callable[[], bool],
         placer: placement.Placer,
         budget: t.Callable[[], budgets.WindowBudget],
         routers: t.Callable[[], int],
@@ -78,11 +75,11 @@
         self.connections = connections or pool.Pool()
         self.dialect = dialect
         self.table = table
-        self.may_admit = may_admit
+        self.may_trust_keys = may_trust_keys
         self.placer = placer
         self.routers = routers
         self.metrics = metrics
-        self.note = functools.partial(request_log.record, metrics)
+        self.log_request = functools.partial(request_log.record, metrics)
         self.startup = start or startup.StartupGate(metrics)
         self.response_times = response_times.ResponseTimes()
         self.budgets: dict[str, budgets.WindowBudget] = (
@@ -90,54 +87,54 @@
         )
 
     async def serve(
-        self, incoming: records.Incoming, reply: responses.ResponseWriter
+        self, incoming: records.Incoming, writer: responses.ResponseWriter
     ) -> None:
-        """Answer one request.
+        """Handle one request.
 
-        Cancelled when the caller has gone; the target's connection is then
-        closed at once, so that it stops its work.
+        Cancelled when the caller disconnects. The connection to the target
+        is then closed at once, which makes the target stop its work.
         """
-        passage = None
-        fault: BaseException | None = None
+        context = None
+        failure: BaseException | None = None
         try:
             await self.startup.wait_for_plan(incoming)
-            passage = self.resolve(incoming)
-            # An answer that is there when this process wakes from a stall
-            # is delivered, also after the deadline.
-            async with timeouts.until(self._loop_time(passage.deadline)):
-                await self._attempt_all(passage, reply)
+            context = self.resolve(incoming)
+            # A response that arrived while this process was stalled is
+            # delivered even after the deadline.
+            async with timeouts.until(self._loop_time(context.deadline)):
+                await self._run_attempts(context, writer)
         except TimeoutError:
-            fault = errors.UpstreamTimeoutError(
-                "no answer within the request's time"
+            failure = errors.UpstreamTimeoutError(
+                "no response before the deadline of the request"
             )
-            await self._give_up(passage, reply, fault)
+            await self._send_failure(context, writer, failure)
         except errors.CallerGoneError as error:
-            fault = error
-            reply.break_off()
+            failure = error
+            writer.abort()
         except errors.AmaranthringError as error:
-            fault = error
-            await self._give_up(passage, reply, error)
+            failure = error
+            await self._send_failure(context, writer, error)
         except asyncio.CancelledError as error:
-            fault = error
-            reply.break_off()
+            failure = error
+            writer.abort()
             raise
         finally:
-            self.note(incoming, passage, reply, fault)
+            self.log_request(incoming, context, writer, failure)
 
     @staticmethod
     def _loop_time(deadline: float) -> float:
         loop = asyncio.get_running_loop()
         return loop.time() + deadline - time.monotonic()
 
-    # -- before the first attempt ------------------------------------
+    # -- routing -----------------------------------------------------
 
     def resolve(self, incoming: records.Incoming) -> records.RequestContext:
-        """Return the request with its route and account.
+        """Return the request with its route, account and service.
 
         Raises
         ------
         errors.RefusedError
-            If it may not pass.
+            If the request may not be forwarded.
         """
         table = self.table()
         if table is None:
@@ -151,7 +148,7 @@
         account = self._account(table, route, incoming)
         service = route_tables.draw_service(route)
         self.budgets[service].count_request()
-        seconds = min(incoming.timeout - ANSWER_MARGIN, route.timeout)
+        seconds = min(incoming.timeout - RESPONSE_MARGIN, route.timeout)
         return records.RequestContext(
             incoming,
             route,
@@ -170,83 +167,87 @@
     ) -> plans.Account | None:
         if route.public or not table.needs_key:
             return None
-        self._check_lease()
+        self._check_keys_trusted()
         account = table.account_of(incoming.key)
         if account is None:
             raise errors.UnauthenticatedError("unknown key")
         return account
 
-    def _check_lease(self) -> None:
-        if not self.may_admit():
-            # A key may have been withdrawn since: while no keeper with a
-            # quorum confirms the plan, it must not be trusted.
+    def _check_keys_trusted(self) -> None:
+        if not self.may_trust_keys():
+            # A key may have been revoked since: keys are not trusted unless
+            # a keeper with a quorum confirms the plan.
             raise errors.NoQuorumError(
-                "no keeper confirms the plan in force",
+                "no keeper confirms the active plan",
                 retry_after=self.startup.retry_after(),
             )
 
     # -- attempts ----------------------------------------------------
 
-    async def _attempt_all(
-        self, passage: records.RequestContext, reply: responses.ResponseWriter
+    async def _run_attempts(
+        self, context: records.RequestContext, writer: responses.ResponseWriter
     ) -> None:
-        after = passage.incoming.resume_after
-        cutter = events.EventSplitter(int(after) if after.isdigit() else None)
+        resume_after = context.incoming.resume_after
+        splitter = events.EventSplitter(
+            int(resume_after) if resume_after.isdigit() else None
+        )
         while True:
-            target = self.placer.choose(passage)
+            target = self.placer.choose(context)
             if target is None:
-                raise self._no_target(passage)
+                raise self._no_target_error(context)
             try:
-                await self._attempt(passage, target, cutter, reply)
+                await self._attempt(context, target, splitter, writer)
                 return
             except errors.UpstreamError as error:
-                passage.tried.add(target.id)
+                context.tried.add(target.id)
                 failures.record(
-                    self.placer, self.connections, passage, target, error
+                    self.placer, self.connections, context, target, error
                 )
-                if not self._may_repeat(passage, error):
+                if not self._may_retry(context, error):
                     raise
                 self.metrics.count("request.repeated")
-                cutter.discard_partial()
+                splitter.discard_partial()
 
-    async def _attempt(self, passage, target, cutter, reply) -> None:
-        after = passage.incoming.resume_after
-        if cutter.last is not None:
-            after = str(cutter.last)
-        copy = self.placer.copy_for(passage, target)
+    async def _attempt(self, context, target, splitter, writer) -> None:
+        resume_after = context.incoming.resume_after
+        if splitter.last_id is not None:
+            resume_after = str(splitter.last_id)
+        copy = self.placer.copy_for(context, target)
         if copy is not None:
-            passage.copies.append(f"{copy.source}>{target.id}")
+            context.copies.append(f"{copy.source}>{target.id}")
         attempt = attempts.Attempt(
-            passage,
+            context,
             target,
             self.dialect,
-            after,
+            resume_after,
             self.connections,
             copy_from=self.placer.source_address(copy),
-            trusts_kept=not self.placer.failed_recently(target),
-            may_send=functools.partial(self._may_send, passage),
+            reuse_connection=not self.placer.failed_recently(target),
+            before_send=functools.partial(self._before_send, context),
         )
-        whole = False
-        # Stands in the log if the request ends while this target is asked.
+        complete = False
+        # Logged if the request is cancelled during this attempt.
         outcome = "unfinished"
-        self.placer.begin(target, passage, copy)
+        self.placer.begin(target, context, copy)
         try:
-            answer = await self._open(passage, attempt)
+            head = await self._open(context, attempt)
             self.placer.record_contact(target)
-            self.placer.prefill_done(target, passage)
-            if answer.load is not None:
-                self.placer.update_load(target, answer.load)
+            self.placer.prefill_done(target, context)
+            if head.load is not None:
+                self.placer.update_load(target, head.load)
             if attempt.is_event_stream:
-                await attempt.relay_events(cutter, reply, self._pause(passage))
-                if not reply.status:
-                    await reply.begin(answer.status, answer.headers, b"")
-                reply.finish()
+                await attempt.relay_events(
+                    splitter, writer, self._event_timeout(context)
+                )
+                if not writer.status:
+                    await writer.start_stream(head.status, head.headers, b"")
+                writer.finish()
             else:
-                await self._pass_whole(passage, attempt, reply)
-            whole = True
+                await self._relay_body(context, attempt, writer)
+            complete = True
             self.placer.record_success(target)
-            failures.record_refusals(self.placer, passage)
-            outcome = str(answer.status)
+            failures.record_refusals(self.placer, context)
+            outcome = str(head.status)
         except errors.TargetUnreachedError:
             outcome = UNREACHED
             raise
@@ -254,123 +255,125 @@
             outcome = error.code
             raise
         finally:
-            passage.trail.append(f"{target.id}:{outcome}")
-            attempt.close(whole)
-            self.placer.end(target, passage)
-            if attempt.exchange.sent and not _certainly_refused(attempt):
-                passage.sent += 1
+            context.attempt_outcomes.append(f"{target.id}:{outcome}")
+            attempt.close(complete)
+            self.placer.end(target, context)
+            if attempt.exchange.sent and not _was_refused(attempt):
+                context.attempts_sent += 1
 
     async def _open(
-        self, passage: records.RequestContext, attempt: attempts.Attempt
+        self, context: records.RequestContext, attempt: attempts.Attempt
     ) -> records.ResponseHead:
-        """Return the head of the answer, and learn how long it took."""
-        began = time.monotonic()
-        asked = passage.service, passage.prefill_tokens
+        """Return the head of the response, and record the time it took."""
+        started_at = time.monotonic()
+        key = context.service, context.prefill_tokens
         try:
-            answer = await attempt.open(self._patience(passage))
+            head = await attempt.open(self._head_timeout(context))
         except errors.UpstreamTimeoutError:
             self.response_times.record_timeout(
-                *asked, time.monotonic() - began
+                *key, time.monotonic() - started_at
             )
             raise
-        self.response_times.record(*asked, time.monotonic() - began)
-        return answer
-
-    async def _pass_whole(self, passage, attempt, reply) -> None:
-        body = await attempt.whole()
-        answer = attempt.answer
-        if answer.status >= 500 and passage.route.idempotent:
-            left = passage.route.attempts_most - passage.sent - 1
-            if left > 0 and self._takes_budget(passage):
+        self.response_times.record(*key, time.monotonic() - started_at)
+        return head
+
+    async def _relay_body(self, context, attempt, writer) -> None:
+        body = await attempt.read_body()
+        head = attempt.head
+        if head.status >= 500 and context.route.idempotent:
+            left = context.route.attempts_most - context.attempts_sent - 1
+            if left > 0 and self._take_retry(context):
                 raise errors.TargetFailedError(
-                    "the target failed", given=answer.status
+                    "the target failed", given=head.status
                 )
-        if reply.status:
-            # A stream that was to go on here got something else.
-            raise errors.UpstreamError("no stream to go on with")
-        await reply.whole(answer.status, answer.headers, body)
+        if writer.status:
+            # The stream was to be resumed, but the response is not a stream.
+            raise errors.UpstreamError(
+                "the response does not resume the stream"
+            )
+        await writer.send(head.status, head.headers, body)
 
-    def _may_send(self, passage: records.RequestContext) -> None:
-        if passage.account:
-            self._check_lease()
+    def _before_send(self, context: records.RequestContext) -> None:
+        if context.account:
+            self._check_keys_trusted()
 
-    def _patience(self, passage: records.RequestContext) -> float:
-        """Return how long to await the head of an answer, in seconds.
+    def _head_timeout(self, context: records.RequestContext) -> float:
+        """Return the timeout for the head of a response, in seconds.
 
-        Where the request may run elsewhere as well. Callers of streams were
-        0.7 s late when a data centre was cut off, as long as it took to know
-        that what was sent there was not acknowledged.
+        It is finite only if another target may run the request too. Without
+        it, callers would wait for TCP to give up when a data centre is
+        partitioned off.
         """
-        route = passage.route
-        if not route.idempotent or self._attempts_left(passage) < 2:
+        route = context.route
+        if not route.idempotent or self._attempts_left(context) < 2:
             return float("inf")
-        objective_at = passage.incoming.arrived + route.objective
-        left = objective_at - time.monotonic()
+        objective_at = context.incoming.arrived + route.objective
+        objective_left = objective_at - time.monotonic()
         learned = self.response_times.timeout(
-            passage.service, passage.prefill_tokens, left
+            context.service, context.prefill_tokens, objective_left
         )
         if learned is not None:
             return learned
         safe = route.kind == plans.Kind.SAFE
-        return route.objective * SAFE_PATIENCE if safe else float("inf")
+        return route.objective * SAFE_TIMEOUT_FACTOR if safe else float("inf")
 
-    def _pause(self, passage: records.RequestContext) -> float:
-        route = passage.route
-        if not route.idempotent or self._attempts_left(passage) < 2:
-            return passage.deadline - time.monotonic()
-        longest = STREAM_PAUSES * route.pause_most
-        return max(longest, STREAM_SECONDS_LEAST)
+    def _event_timeout(self, context: records.RequestContext) -> float:
+        route = context.route
+        if not route.idempotent or self._attempts_left(context) < 2:
+            return context.deadline - time.monotonic()
+        timeout = PAUSE_FACTOR * route.pause_most
+        return max(timeout, MIN_EVENT_TIMEOUT)
 
-    def _attempts_left(self, passage: records.RequestContext) -> int:
-        return passage.route.attempts_most - passage.sent
+    def _attempts_left(self, context: records.RequestContext) -> int:
+        return context.route.attempts_most - context.attempts_sent
 
-    def _may_repeat(
-        self, passage: records.RequestContext, error: errors.UpstreamError
+    def _may_retry(
+        self, context: records.RequestContext, error: errors.UpstreamError
     ) -> bool:
         if isinstance(error, errors.TargetFailedError):
             return True
         if error.outcome == errors.Outcome.NOT_RUN:
-            arrived = isinstance(error, errors.TargetRefusedError)
-            return not arrived or self._takes_budget(passage)
-        if not passage.route.idempotent:
+            refused = isinstance(error, errors.TargetRefusedError)
+            return not refused or self._take_retry(context)
+        if not context.route.idempotent:
             return False
-        if self._attempts_left(passage) < 1:
+        if self._attempts_left(context) < 1:
             return False
-        return self._takes_budget(passage)
+        return self._take_retry(context)
 
-    def _takes_budget(self, passage: records.RequestContext) -> bool:
-        return self.budgets[passage.service].take(self.routers())
+    def _take_retry(self, context: records.RequestContext) -> bool:
+        return self.budgets[context.service].take(self.routers())
 
-    # -- when it fails -----------------------------------------------
+    # -- failures ----------------------------------------------------
 
-    def _no_target(self, passage) -> errors.AmaranthringError:
-        if passage.sent:
+    def _no_target_error(self, context) -> errors.AmaranthringError:
+        if context.attempts_sent:
             return errors.UpstreamError("no other target is left")
         return errors.NoTargetError(
-            f"no target of service {passage.service} is ready",
+            f"no target of service {context.service} is ready",
             retry_after=RETRY_NO_TARGET,
         )
 
-    async def _give_up(self, passage, reply, error) -> None:
-        if reply.status:
-            reply.break_off()
+    async def _send_failure(self, context, writer, error) -> None:
+        if writer.status:
+            writer.abort()
             return
-        known = error
-        if passage is not None and passage.sent == 0:
-            known = self._not_run(error)
-        elif isinstance(error, errors.RefusedError) and passage is not None:
-            # It was refused only after a target may have begun it.
-            known = errors.UpstreamError(error.detail)
-        if isinstance(known, errors.NoQuorumError):
-            # What follows on this connection would meet the same.
-            reply.closing = True
+        reported = error
+        if context is not None and context.attempts_sent == 0:
+            reported = self._not_run_error(error)
+        elif isinstance(error, errors.RefusedError) and context is not None:
+            # A target may have run it before it was refused.
+            reported = errors.UpstreamError(error.detail)
+        if isinstance(reported, errors.NoQuorumError):
+            # Further requests on this connection would fail likewise.
+            writer.closing = True
         try:
-            await reply.refuse(known)
+            await writer.send_error(reported)
         except errors.CallerGoneError:
-            reply.break_off()
+            writer.abort()
 
     @staticmethod
-    def _not_run(error) -> errors.AmaranthringError:
+    def _not_run_error(error) -> errors.AmaranthringError:
         if isinstance(error, errors.RefusedError):
             return error
         return errors.NoTargetError(
@@ -379,6 +382,6 @@
         )
 
 
-def _certainly_refused(attempt: attempts.Attempt) -> bool:
-    answer = attempt.answer
-    return answer is not None and (answer.refused or answer.other_target)
+def _was_refused(attempt: attempts.Attempt) -> bool:
+    head = attempt.head
+    return head is not None and (head.refused or head.other_target)
--- a/amaranthring/forwarding/request_log.py
+++ b/amaranthring/forwarding/request_log.py
@@ -1,4 +1,4 @@
-"""The line in the log and the figures that each request leaves."""
+"""Log line and metrics of each request."""
 
 import time
 import typing as t
@@ -17,35 +17,35 @@
 def record(
     metrics: metrics_module.Metrics,
     incoming: records.Incoming,
-    passage: records.RequestContext | None,
-    reply: responses.ResponseWriter,
+    context: records.RequestContext | None,
+    writer: responses.ResponseWriter,
     fault: BaseException | None,
 ) -> None:
-    """Log and count how a request ended.
+    """Log and count the outcome of a request.
 
     Parameters
     ----------
-    passage : Passage or None
-        None if the request was refused before it had a route.
+    context : RequestContext or None
+        None if the request was refused before it was routed.
     fault : exception or None
-        Why it has no answer of a target.
+        Why the request has no response from a target.
     """
     seconds = time.monotonic() - incoming.arrived
     outcome = _outcome(fault)
     metrics.count(f"request.{outcome}")
-    if passage is not None:
+    if context is not None:
         metrics.record(
-            "request.seconds", seconds, passage.account, passage.route.kind
+            "request.seconds", seconds, context.account, context.route.kind
         )
     logs.event(
         log,
         "request",
         id=incoming.request_id,
         outcome=outcome,
-        status=reply.status,
+        status=writer.status,
         ms=round(seconds * 1e3, 1),
-        first_ms=_milliseconds(incoming.arrived, reply.started_at),
-        **_inputs(passage),
+        first_ms=_milliseconds(incoming.arrived, writer.started_at),
+        **_context_fields(context),
     )
 
 
@@ -57,19 +57,21 @@
     return "caller-gone"
 
 
-def _inputs(passage: records.RequestContext | None) -> dict[str, t.Any]:
-    """Return what decided on the request."""
-    if passage is None:
+def _context_fields(
+    context: records.RequestContext | None,
+) -> dict[str, t.Any]:
+    """Return the log fields of a routed request."""
+    if context is None:
         return {}
-    parts = passage.incoming.parts
+    parts = context.incoming.parts
     return {
-        "route": passage.route.name,
-        "account": passage.account,
-        "service": passage.service,
-        "plan": passage.version,
-        "sent": passage.sent,
-        "trail": ",".join(passage.trail),
-        "copies": ",".join(passage.copies),
+        "route": context.route.name,
+        "account": context.account,
+        "service": context.service,
+        "plan": context.version,
+        "sent": context.attempts_sent,
+        "trail": ",".join(context.attempt_outcomes),
+        "copies": ",".join(context.copies),
         "prompt": ",".join(f"{part.id}:{part.tokens}" for part in parts),
     }
 
--- a/amaranthring/forwarding/responses.py
+++ b/amaranthring/forwarding/responses.py
@@ -1,4 +1,4 @@
-"""The answer to one caller, over tornado's HTTP connection."""
+"""Responses to callers, over tornado's HTTP connections."""
 
 import json
 import time
@@ -14,26 +14,26 @@
 
 
 class ResponseWriter:
-    """Writes one answer.
+    """Writes the response to one request.
 
     Parameters
     ----------
     connection : tornado.httputil.HTTPConnection
-        The caller's.
+        Connection to the caller.
     stopping : callable
-        Returns whether callers are told to close their connections, as the
-        router stops.
+        Returns whether the router is shutting down, so that callers should
+        close their connections.
 
     Attributes
     ----------
     status : int
-        What was answered; 0 before the head was written.
-    began_at : float
-        Monotonic seconds at which its head was written.
-    ended : bool
-        Whether the answer is whole or broken off.
+        HTTP status; 0 before the head is written.
+    started_at : float
+        Monotonic seconds at which the head was written.
+    finished : bool
+        Whether the response is complete or was aborted.
     closing : bool
-        Whether this caller is told to close its connection.
+        Whether this caller should close its connection.
     """
 
     def __init__(
@@ -48,23 +48,23 @@
         self.finished = False
         self.closing = False
 
-    async def whole(
+    async def send(
         self, status: int, headers: tornado.httputil.HTTPHeaders, body: bytes
     ) -> None:
-        """Write an answer at once."""
+        """Send a complete response."""
         headers = headers.copy()
         if status not in (204, 304):
             headers["Content-Length"] = str(len(body))
-        await self._head(status, headers, body)
+        await self._write_head(status, headers, body)
         self.finish()
 
-    async def begin(
+    async def start_stream(
         self, status: int, headers: tornado.httputil.HTTPHeaders, data: bytes
     ) -> None:
-        """Write the head of a stream and its first bytes."""
-        await self._head(status, headers.copy(), data)
+        """Write the head and the first bytes of a streamed response."""
+        await self._write_head(status, headers.copy(), data)
 
-    async def _head(self, status, headers, data: bytes) -> None:
+    async def _write_head(self, status, headers, data: bytes) -> None:
         self.status = status
         self.started_at = time.monotonic()
         if self.closing or self.stopping():
@@ -73,45 +73,45 @@
         try:
             await self.connection.write_headers(line, headers, data)
         except tornado.iostream.StreamClosedError as error:
-            raise _gone() from error
+            raise _caller_gone() from error
 
     async def write(self, data: bytes) -> None:
-        """Write more of a stream.
+        """Write more bytes of a streamed response.
 
         Raises
         ------
         errors.CallerGoneError
-            If the caller has closed.
+            If the caller has closed its connection.
         """
         try:
             await self.connection.write(data)
         except tornado.iostream.StreamClosedError as error:
-            raise _gone() from error
+            raise _caller_gone() from error
 
     def finish(self) -> None:
-        """End the answer in good order."""
+        """End the response."""
         if not self.finished:
             self.finished = True
             self.connection.finish()
 
-    def break_off(self) -> None:
-        """Close the connection, so that the answer cannot pass for whole."""
+    def abort(self) -> None:
+        """Close the connection, so that the response is seen as incomplete."""
         if not self.finished:
             self.finished = True
             stream = getattr(self.connection, "stream", None)
             if stream is not None:
                 stream.close()
 
-    async def refuse(self, error: errors.AmaranthringError) -> None:
-        """Write an answer of the router's own."""
+    async def send_error(self, error: errors.AmaranthringError) -> None:
+        """Send an error response of the router itself."""
         headers = tornado.httputil.HTTPHeaders()
         headers["Content-Type"] = "application/json"
         if error.retry_after is not None:
             headers[RETRY_AFTER_HEADER] = f"{error.retry_after:g}"
         record = {"code": error.code, "detail": error.detail}
         body = json.dumps({"error": record}).encode()
-        await self.whole(error.status, headers, body)
+        await self.send(error.status, headers, body)
 
 
-def _gone() -> errors.CallerGoneError:
+def _caller_gone() -> errors.CallerGoneError:
     return errors.CallerGoneError("the caller has closed its connection")
--- a/amaranthring/forwarding/startup.py
+++ b/amaranthring/forwarding/startup.py
@@ -1,8 +1,7 @@
-"""What a router does before it has a plan that keepers confirm.
+"""Handling of requests before a router has a confirmed plan.
 
-The pattern is a loss of power of all VMs: routers listen again after 0.3 s,
-keepers and a leader are back 0.7 to 0.9 s later, while callers whose
-connections broke return all the while.
+After a restart of the whole fleet, routers accept connections up to a second
+before the keepers have elected a leader.
 """
 
 import asyncio
@@ -12,46 +11,42 @@
 from amaranthring.core import metrics as metrics_module
 from amaranthring.forwarding import records
 
-# A router that has just started expects its first plan within this time: 0.9
-# to 1.1 s after all processes were killed at once, as measured from its
-# start, and as much again for keepers that find each other late.
+# Time after its start within which a router expects its first plan, with a
+# margin for a slow leader election.
 START_SECONDS = 3.0
-# Mostly it is there by now; whose time reaches so far, with a quarter to
-# spare, waits for it and is not refused a tenth of a second before.
+# Time within which the plan usually arrives. A request waits at least that
+# long if it takes no more than this share of its timeout.
 USUAL_SECONDS = 1.3
 USUAL_SHARE = 0.75
-# Until then a request may wait for the plan, for this share of its caller's
-# time. A stream with 10 s to go is better served 1 s late than refused, and
-# a booking with 2.5 s finds the plan where two refusals at once are its end.
-# One that could wait less than the least is refused at once, to come back
+# Otherwise a request may wait for the plan for this share of its timeout.
+# One that could wait less than the minimum is refused at once, to be retried
 # when there is a plan.
 START_SHARE = 0.45
-START_WAIT_LEAST = 0.6
-# When to come back, in seconds: to a router that has just started;
+MIN_WAIT_SECONDS = 0.6
+# ``Retry-After`` in seconds from a router that has just started,
 RETRY_STARTING = 0.4
-# to a router that alone is cut off, since callers return by another one: with
-# 2 s instead, every request that met one of three such routers of seven was
-# answered, and 2.1 s late;
+# from one that is isolated from the keepers, so that callers switch to another
+# router at once,
 RETRY_ELSEWHERE = 0.0
-# and to a fleet whose keepers have no quorum.
+# and while the keepers have no quorum.
 RETRY_NO_PLAN = 2.0
 
 
 class StartupGate:
-    """Holds requests back until there is a plan, and says when to return.
+    """Delays requests until there is a plan, and sets ``Retry-After``.
 
     Parameters
     ----------
     first_plan : asyncio.Event, optional
-        Set once there is a plan that keepers confirm; without one there is
-        nothing to wait for.
+        Set once there is a confirmed plan. Without it, requests never wait.
     cut_off : callable
-        Whether this router is cut off from the keepers that others reach.
+        Returns whether this router is isolated from the keepers while other
+        routers reach them.
 
     Attributes
     ----------
-    began_at : float
-        Monotonic seconds.
+    started_at : float
+        Monotonic seconds at which the router started.
     """
 
     def __init__(
@@ -66,32 +61,32 @@
         self.started_at = time.monotonic()
 
     def seconds_left(self) -> float:
-        """Return within which time the first plan is expected."""
+        """Return the seconds within which the first plan is expected."""
         return self.started_at + START_SECONDS - time.monotonic()
 
-    def _seconds_to_wait(self, patience: float) -> float:
+    def _seconds_to_wait(self, timeout: float) -> float:
         left = self.seconds_left()
         usual = left - START_SECONDS + USUAL_SECONDS
-        if usual > patience * USUAL_SHARE:
+        if usual > timeout * USUAL_SHARE:
             usual = 0.0
-        return min(left, max(usual, patience * START_SHARE))
+        return min(left, max(usual, timeout * START_SHARE))
 
     async def wait_for_plan(self, incoming: records.Incoming) -> None:
-        """Let a request wait for the plan of a router that has just begun."""
+        """Wait for the first plan, if the router has just started."""
         if self.first_plan is None or self.first_plan.is_set():
             return
         seconds = self._seconds_to_wait(incoming.timeout)
-        if seconds < START_WAIT_LEAST:
+        if seconds < MIN_WAIT_SECONDS:
             return
         self.metrics.count("request.awaited-plan")
         try:
             await asyncio.wait_for(self.first_plan.wait(), seconds)
         except TimeoutError:
-            # It is refused for want of a plan.
+            # The request is then refused, as there is no plan.
             return
 
     def retry_after(self) -> float:
-        """Return when a refused caller finds a plan, in seconds."""
+        """Return when a refused caller should retry, in seconds."""
         if self.seconds_left() > 0:
             return RETRY_STARTING
         return RETRY_ELSEWHERE if self.cut_off() else RETRY_NO_PLAN
--- a/amaranthring/forwarding/views.py
+++ b/amaranthring/forwarding/views.py
@@ -1,67 +1,71 @@
-"""What one router itself has seen of targets and of data centres."""
+"""State of targets and data centres as observed by one router."""
 
-# What a target said of its load is worth this long; then only this router's
-# own requests count.
+# Age up to which a load reported by a target is used. After that only
+# requests counted by routers are.
 REPORT_SECONDS = 0.3
 
 
 class DataCentreView:
-    """What this router itself has seen of one data centre.
+    """State of one data centre.
 
     Attributes
     ----------
-    unreached : set of str
-        Targets that could not be reached since one was.
+    unreachable : set of str
+        Targets that could not be reached since a target there last responded.
+    partitioned_until : float
+        Time until which the data centre counts as partitioned off.
     """
 
     def __init__(self):
         self.unreachable: set[str] = set()
-        self.cut_until = 0.0
+        self.partitioned_until = 0.0
 
 
 class TargetView:
-    """What this router itself has seen of one target.
+    """State of one target.
 
     Attributes
     ----------
     running : int
-        Requests of this router there.
+        Requests of this router in flight there.
     others : int
-        Requests of the other routers there, as they last said.
-    reading, others_reading : int
-        Tokens that it has yet to read for this router and for the others.
-    failed_at : float
-        When it last broke an answer off here, or gave none.
-    doubted_until : float
-        Until when other routers' word of that counts.
+        Requests of the other routers there, as last reported.
+    prefill_tokens, others_prefill_tokens : int
+        Tokens that it has yet to prefill for this router and for the others.
     reported : float
-        Requests of all routers there, as it last said, and those that this
-        router has sent since.
+        Requests of all routers there: the last load that the target
+        reported, and those that this router has sent since.
+    backoff_until : float
+        Time until which it is avoided after failures.
+    failed_at : float
+        When it last failed to respond, or broke off a response, here.
+    reported_failing_until : float
+        Time until which reports of such failures by other routers count.
     """
 
     def __init__(self):
         self.running = 0
         self.others = 0
-        self.reading = 0
-        self.others_reading = 0
+        self.prefill_tokens = 0
+        self.others_prefill_tokens = 0
         self.reported = 0.0
         self.reported_at = float("-inf")
         self.failures = 0
-        self.avoid_until = 0.0
+        self.backoff_until = 0.0
         self.unreachable = False
         self.succeeded_at = float("-inf")
         self.failed_at = float("-inf")
-        self.doubted_until = float("-inf")
+        self.reported_failing_until = float("-inf")
 
     @property
-    def waiting(self) -> int:
-        """Return the tokens that it has yet to read."""
-        return self.reading + self.others_reading
+    def pending_tokens(self) -> int:
+        """Return the tokens that it has yet to prefill."""
+        return self.prefill_tokens + self.others_prefill_tokens
 
     def load(self, now: float) -> float:
-        """Return the number of requests there, as far as is known."""
+        """Return the estimated number of requests there."""
         counted = self.running + self.others
         if now - self.reported_at > REPORT_SECONDS:
             return counted
-        # Either may lag behind by what was begun meanwhile.
+        # Either figure may miss requests that have just been sent.
         return max(counted, self.reported)
--- a/amaranthring/routing/plan.py
+++ b/amaranthring/routing/plan.py
@@ -109,7 +109,7 @@
 
     @property
     def copy_rate(self) -> float:
-        """Return the tokens per second that an engine can copy from another."""
+        """Return the tokens per second that an engine copies from another."""
         if not self.token_bytes:
             return 0.0
         return self.link_rate / self.token_bytes
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -28,7 +28,7 @@
                 got += cutter.feed(whole[at : at + size])
                 at += size
             self.assertEqual(whole, got)
-            self.assertEqual(29, cutter.last)
+            self.assertEqual(29, cutter.last_id)
 
     def test_begun_event_is_dropped_when_another_target_goes_on(self):
         cutter = events.EventSplitter()
@@ -49,7 +49,7 @@
         cutter = events.EventSplitter()
         data = b"version: 3\nid: 7\ndata: x\n\n"
         self.assertEqual(data, cutter.feed(data))
-        self.assertEqual(7, cutter.last)
+        self.assertEqual(7, cutter.last_id)
 
     def test_event_without_end_is_bounded(self):
         cutter = events.EventSplitter()
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -15,7 +15,7 @@
 
 from amaranthring import routing
 from amaranthring.forwarding import placement
-from amaranthring.forwarding import prefixes
+from amaranthring.forwarding import prompts
 from amaranthring.forwarding import records
 from amaranthring.policy import copies
 from amaranthring.registry import messages
@@ -254,7 +254,7 @@
         the prompt is read twice.
         """
         self.assertIsNone(self.copy())
-        self.now += prefixes.PREFILL_SECONDS
+        self.now += prompts.PREFILL_SECONDS
         self.assertEqual("e0", self.copy().source)
         self.assertEqual("e0:1", self.placer.source_address(self.copy()))
 
--- a/tests/test_prompt_placing.py
+++ b/tests/test_prompt_placing.py
@@ -12,7 +12,7 @@
 
 from amaranthring import routing
 from amaranthring.forwarding import placement
-from amaranthring.forwarding import prefixes
+from amaranthring.forwarding import prompts
 from amaranthring.forwarding import records
 from amaranthring.policy import affinity
 from amaranthring.policy import budgets
@@ -44,7 +44,7 @@
         self.random = random.Random(seed)
         self.hot_share = hot_share
         self.now = 1000.0
-        self.places = prefixes.PrefixIndex(lambda: self.now)
+        self.places = prompts.PrefixIndex(lambda: self.now)
         self.running: list[tuple[float, float, str]] = []
         self.read: dict[str, set[str]] = collections.defaultdict(set)
         self.read_again = 0
@@ -191,7 +191,7 @@
 
     def setUp(self):
         self.now = 1000.0
-        self.places = prefixes.PrefixIndex(lambda: self.now)
+        self.places = prompts.PrefixIndex(lambda: self.now)
         self.parts = (
             records.PromptPart("a", 100),
             records.PromptPart("b", 1000),
@@ -210,7 +210,7 @@
         self.places.record_sent(self.parts, "e0")
         told = [("a", "e0"), ("b", "e0")]
         self.assertEqual(told, self.places.take_updates())
-        self.now += prefixes.TELL_AGAIN_SECONDS + 1
+        self.now += prompts.REPEAT_SECONDS + 1
         self.places.record_sent(self.parts, "e0")
         self.assertEqual(told, self.places.take_updates())
 
@@ -228,15 +228,15 @@
 
     def test_what_is_not_used_is_forgotten(self):
         self.places.record_sent(self.parts, "e0")
-        self.now += prefixes.KEPT_SECONDS + 1
+        self.now += prompts.RETENTION_SECONDS + 1
         self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e0"))
         self.places.prune({"e0"})
-        self.assertEqual({}, dict(self.places._places))
+        self.assertEqual({}, dict(self.places._locations))
 
     def test_number_of_parts_is_bounded(self):
-        for number in range(prefixes.PARTS_MOST + 10):
+        for number in range(prompts.MAX_PARTS + 10):
             self.places.merge([(str(number), "e0")])
-        self.assertEqual(prefixes.PARTS_MOST, len(self.places._places))
+        self.assertEqual(prompts.MAX_PARTS, len(self.places._locations))
 
 
 class TestPlainRequests(unittest.TestCase):
@@ -405,7 +405,7 @@
         self.placer.record_success(self.first)
         self.placer.table.merge(record)
         self.assertEqual(self.first.id, self.chosen().id)
-        self.now += placement.ANSWERED_SECONDS
+        self.now += placement.RECENT_SUCCESS_SECONDS
         self.assertNotEqual(self.first.id, self.chosen().id)
 
 
