--- a/tests/test_account_limits.py
+++ b/tests/test_account_limits.py
@@ -1,4 +1,4 @@
-"""Rates of accounts over the whole fleet, and retry budgets."""
+"""Rate limits of client accounts over the fleet, and retry budgets."""
 
 import asyncio
 import unittest
@@ -10,71 +10,71 @@
 from amaranthring.testing import routers as fakes
 
 
-async def no_time(_seconds):
-    """Pass no time while a call goes unanswered."""
+async def no_pause(_seconds):
+    """Return at once instead of waiting for an unanswered call."""
 
 
 class TestAccountLimits(unittest.IsolatedAsyncioTestCase):
-    """Six routers; account ``a`` may send 50 a second."""
+    """Six routers; account ``a`` may send 50 requests per second."""
 
     def setUp(self):
         self.fleet = assembled.Routers(6, 1)
-        self.fleet.net.pause = no_time
+        self.fleet.net.pause = no_pause
         self.fleet.config.presets["ordinary"].accounts["a"] = (
             fleet.AccountPolicy(rate_per_second=50.0, burst=50.0)
         )
 
     async def send(self, per_second, seconds, routers=None):
-        """Send through routers in turn; return how many passed."""
-        passed = 0
+        """Send requests to routers in turn; return how many were admitted."""
+        admitted = 0
         live = routers or self.fleet.live()
         for number in range(int(per_second * seconds)):
             self.fleet.clock.now += 1 / per_second
             at = live[number % len(live)]
             try:
                 await at.limits.check_limits(fakes.request(number))
-                passed += 1
+                admitted += 1
             except errors.RateLimitedError as error:
                 self.assertGreater(error.retry_after, 0)
-        return passed
+        return admitted
 
     async def test_rate_holds_over_all_routers(self):
-        # Each router allowed the whole rate, six times too much.
-        passed = await self.send(300, 10)
-        self.assertLessEqual(passed, 50 * 10 + 50)
-        self.assertGreaterEqual(passed, 50 * 10 * 0.95)
+        # The routers together must not allow six times the rate.
+        admitted = await self.send(300, 10)
+        self.assertLessEqual(admitted, 50 * 10 + 50)
+        self.assertGreaterEqual(admitted, 50 * 10 * 0.95)
 
-    async def test_rate_is_there_through_one_router(self):
-        # A balancer sent an account to one router, and a sixth passed.
-        passed = await self.send(100, 10, self.fleet.live()[:1])
-        self.assertGreaterEqual(passed, 50 * 10 * 0.95)
+    async def test_full_rate_is_available_through_one_router(self):
+        # A router must not be limited to its sixth of the rate.
+        admitted = await self.send(100, 10, self.fleet.live()[:1])
+        self.assertGreaterEqual(admitted, 50 * 10 * 0.95)
 
-    async def test_control_traffic_is_bounded(self):
+    async def test_control_traffic_is_limited(self):
         self.fleet.net.counts.clear()
         await self.send(300, 10)
         asked = self.fleet.net.counts.get("rate-ask", 0)
         self.assertLessEqual(asked, 0.2 * 3000)
 
-    async def test_silent_owner_leaves_a_fraction(self):
-        # The owner of an account froze and its callers were all refused.
+    async def test_routers_use_their_fraction_while_the_owner_is_silent(self):
+        # A frozen owner must not cause all requests of its accounts to fail.
         live = self.fleet.live()
         owner = live[0].limits._owner("a")
         self.fleet.net.frozen.add(owner)
         others = [each for each in live if each.name != owner]
-        passed = await self.send(300, 10, others)
-        self.assertGreaterEqual(passed, 50 * 10 * 0.5)
-        self.assertLessEqual(passed, 50 * 10 + 50)
+        admitted = await self.send(300, 10, others)
+        self.assertGreaterEqual(admitted, 50 * 10 * 0.5)
+        self.assertLessEqual(admitted, 50 * 10 + 50)
 
-    async def test_two_halves_stay_near_the_rate(self):
-        # The fleet was cut in two, and each half gave the whole rate.
+    async def test_two_partitions_stay_near_the_rate(self):
+        # Two partitions must not each allow the full rate.
         for index, router in enumerate(self.fleet.live()):
-            half = {f"r{n}" for n in range(6) if n % 2 != index % 2}
-            router.mesh.hidden = half
+            other_half = {f"r{n}" for n in range(6) if n % 2 != index % 2}
+            router.mesh.hidden = other_half
             router.mesh.changed()
-        passed = await self.send(300, 10)
-        self.assertLessEqual(passed, 50 * 10 + 2 * 50)
+        admitted = await self.send(300, 10)
+        self.assertLessEqual(admitted, 50 * 10 + 2 * 50)
 
-    async def test_caller_that_leaves_does_not_fail_others(self):
+    async def test_cancelled_caller_does_not_fail_others(self):
         gate = asyncio.Event()
         at = self.fleet.live()[0]
         if at.limits._owner("a") == at.name:
@@ -99,13 +99,13 @@
 
 
 class TestRetryBudget(unittest.TestCase):
-    """A tenth of recent successes may be retried."""
+    """Retries are limited to a tenth of recent successes."""
 
     def setUp(self):
         self.clock = assembled.Clock()
         self.budget = retries.RetryBudget(lambda: 0.1, self.clock)
 
-    def test_retries_are_a_share_of_successes(self):
+    def test_retries_are_limited_to_a_share_of_successes(self):
         for _ in range(100):
             self.budget.record_success("a")
         allowed = sum(self.budget.may_retry("a") for _ in range(100))
@@ -120,7 +120,7 @@
             self.budget.may_retry("a")
         self.assertTrue(self.budget.may_retry("b"))
 
-    def test_budget_returns_with_successes(self):
+    def test_budget_is_refilled_by_successes(self):
         self.assertTrue(self.budget.may_retry("a"))
         self.assertFalse(self.budget.may_retry("a"))
         for _ in range(20):
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Event streams cut at whole events."""
+"""Splitting of event streams into events."""
 
 import random
 import unittest
@@ -13,45 +13,47 @@
     )
 
 
-class TestEventCutter(unittest.TestCase):
-    """Bytes in any pieces, from one target or two."""
+class TestEventSplitter(unittest.TestCase):
+    """Bytes in chunks of any size, from one target or two."""
 
-    def test_bytes_are_not_changed_however_they_are_cut(self):
+    def test_bytes_are_unchanged_for_any_chunk_sizes(self):
         whole = stream(1, 30)
-        draw = random.Random(1)
+        rng = random.Random(1)
         for _ in range(20):
-            cutter = events.EventSplitter()
+            splitter = events.EventSplitter()
             got = b""
             at = 0
             while at < len(whole):
-                size = draw.randrange(1, 40)
-                got += cutter.feed(whole[at : at + size])
+                size = rng.randrange(1, 40)
+                got += splitter.feed(whole[at : at + size])
                 at += size
             self.assertEqual(whole, got)
-            self.assertEqual(29, cutter.last_id)
-
-    def test_begun_event_is_dropped_when_another_target_goes_on(self):
-        cutter = events.EventSplitter()
-        self.assertEqual(stream(1, 3), cutter.feed(stream(1, 3) + b"id: 3\nd"))
-        cutter.discard_partial()
-        self.assertEqual(stream(3, 5), cutter.feed(stream(3, 5)))
-
-    def test_events_that_the_caller_has_are_dropped(self):
-        cutter = events.EventSplitter(3)
-        self.assertEqual(stream(4, 6), cutter.feed(stream(2, 6)))
-
-    def test_gap_is_a_fault(self):
-        cutter = events.EventSplitter(3)
+            self.assertEqual(29, splitter.last_id)
+
+    def test_partial_event_is_dropped_when_another_target_resumes(self):
+        splitter = events.EventSplitter()
+        self.assertEqual(
+            stream(1, 3), splitter.feed(stream(1, 3) + b"id: 3\nd")
+        )
+        splitter.discard_partial()
+        self.assertEqual(stream(3, 5), splitter.feed(stream(3, 5)))
+
+    def test_events_that_the_caller_received_are_dropped(self):
+        splitter = events.EventSplitter(3)
+        self.assertEqual(stream(4, 6), splitter.feed(stream(2, 6)))
+
+    def test_missing_event_is_an_error(self):
+        splitter = events.EventSplitter(3)
         with self.assertRaises(errors.TruncatedAnswerError):
-            cutter.feed(stream(5, 6))
+            splitter.feed(stream(5, 6))
 
-    def test_first_lines_before_the_number_pass(self):
-        cutter = events.EventSplitter()
+    def test_id_need_not_be_the_first_line(self):
+        splitter = events.EventSplitter()
         data = b"version: 3\nid: 7\ndata: x\n\n"
-        self.assertEqual(data, cutter.feed(data))
-        self.assertEqual(7, cutter.last_id)
+        self.assertEqual(data, splitter.feed(data))
+        self.assertEqual(7, splitter.last_id)
 
-    def test_event_without_end_is_bounded(self):
-        cutter = events.EventSplitter()
+    def test_size_of_an_event_is_limited(self):
+        splitter = events.EventSplitter()
         with self.assertRaises(errors.UpstreamError):
-            cutter.feed(b"x" * (events.MAX_EVENT_BYTES + 1))
+            splitter.feed(b"x" * (events.MAX_EVENT_BYTES + 1))
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -1,4 +1,4 @@
-"""Damping of targets that come and go, and lateness of messages."""
+"""Flap damping of targets, and detection of late messages."""
 
 import random
 import unittest
@@ -7,25 +7,25 @@
 from amaranthring.routers import lateness
 
 
-class TestFlapping(unittest.TestCase):
-    """Waits grow with each return and decay with time."""
+class TestFlapDamping(unittest.TestCase):
+    """Delays grow with each return and decay with time."""
 
-    def test_each_return_waits_longer_up_to_the_bound(self):
+    def test_delay_grows_up_to_the_maximum(self):
         history = flap_damping.History()
-        waits = []
+        delays = []
         for number in range(12):
             history = flap_damping.record_departure(
                 history, float(number), False
             )
-            waits.append(
+            delays.append(
                 flap_damping.readmission_delay(history, float(number))
             )
-        self.assertEqual(waits[0], 0.0)
-        self.assertGreater(waits[1], 0.0)
-        self.assertEqual(waits, sorted(waits))
-        self.assertEqual(waits[-1], flap_damping.MAX_DELAY_SECONDS)
+        self.assertEqual(delays[0], 0.0)
+        self.assertGreater(delays[1], 0.0)
+        self.assertEqual(delays, sorted(delays))
+        self.assertEqual(delays[-1], flap_damping.MAX_DELAY_SECONDS)
 
-    def test_a_quiet_time_clears_it(self):
+    def test_penalty_decays(self):
         history = flap_damping.History()
         for number in range(5):
             history = flap_damping.record_departure(
@@ -43,9 +43,9 @@
 
 
 class TestLateness(unittest.TestCase):
-    """Clocks of two processes have nothing in common but their pace."""
+    """The clocks of two processes share only their rate."""
 
-    def test_late_message_is_noticed_and_drift_forgiven(self):
+    def test_late_message_is_detected_despite_clock_drift(self):
         rng = random.Random(3)
         known = lateness.Lateness()
         for second in range(100):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding to targets that answer well, badly, late or not at all."""
+"""Forwarding to targets that work, fail, hang or are unreachable."""
 
 import asyncio
 import time
@@ -42,7 +42,7 @@
 
 
 class RouterCase(unittest.IsolatedAsyncioTestCase):
-    """Base: a router and targets in this process."""
+    """Base class: a router and targets in this process."""
 
     async def begin(self, *scripts, allowance=10.0):
         self.router = scripted.ScriptedRouter(PLAN, allowance)
@@ -69,10 +69,10 @@
         return sum(len(target.seen) for target in self.targets)
 
 
-class TestAnswers(RouterCase):
-    """What a caller gets while targets are sound."""
+class TestResponses(RouterCase):
+    """Responses to callers while targets are healthy."""
 
-    async def test_request_and_answer_pass_unchanged(self):
+    async def test_request_and_response_are_unchanged(self):
         await self.begin(scripted.whole(b"entry", status=201))
         got = await self.ask("/b/x?y=1", "POST", b"text", X_Other="1")
         self.assertEqual((201, b"entry"), (got.status, got.body))
@@ -84,20 +84,20 @@
         self.assertEqual("1", seen.headers["X-Other"])
         self.assertEqual("t0", seen.headers[scripted.EXPECTED])
 
-    async def test_time_that_is_left_is_handed_on(self):
+    async def test_remaining_time_is_forwarded(self):
         await self.begin(scripted.whole())
         await self.ask("/b/x", Test_Patience="1.5")
         left = float(self.targets[0].seen[0].headers[scripted.PATIENCE])
         self.assertLess(1.0, left)
         self.assertLessEqual(left, 1.5)
 
-    async def test_stream_passes_event_by_event(self):
+    async def test_events_of_a_stream_are_forwarded(self):
         await self.begin(scripted.events(4))
         got = await self.ask("/d/x", "POST")
         self.assertTrue(got.whole)
         self.assertEqual(b"".join(map(scripted.event, range(1, 5))), got.body)
 
-    async def test_callers_of_no_route_and_no_account(self):
+    async def test_unknown_route_and_unknown_key_are_refused(self):
         await self.begin(scripted.whole())
         self.assertEqual(404, (await self.ask("/z/x")).status)
         self.assertEqual(401, (await self.ask("/e/x")).status)
@@ -108,7 +108,7 @@
         self.assertEqual("alba", seen.headers[scripted.ACCOUNT])
         self.assertNotIn(scripted.KEY, seen.headers)
 
-    async def test_bounds_of_the_plan(self):
+    async def test_limits_of_the_plan(self):
         await self.begin(scripted.whole())
         big = await self.ask("/b/x", "POST", b"x" * 1001)
         self.assertEqual(413, big.status)
@@ -120,11 +120,10 @@
 class TestLease(RouterCase):
     """Requests with a key while no keeper confirms the plan."""
 
-    async def test_key_is_not_trusted_without_lease(self):
-        """A learner's key is withdrawn while this router is cut off.
+    async def test_key_is_not_trusted_without_a_confirmed_plan(self):
+        """A key is revoked while this router is isolated with the old plan.
 
-        The router still holds the old plan. With the key trusted, requests
-        of a client that has lost its access would go on for ever.
+        The router must not accept the revoked key for ever.
         """
         await self.begin(scripted.whole())
         self.router.fresh = False
@@ -134,11 +133,11 @@
         self.assertEqual(0, self.ran())
         self.assertEqual(200, (await self.ask("/a/x")).status)
 
-    async def test_caller_of_a_cut_off_router_returns_by_another(self):
-        """Three routers of seven lose the keepers for seven seconds.
+    async def test_caller_of_an_isolated_router_is_sent_to_another(self):
+        """The router loses the keepers while other routers reach them.
 
-        Each told its callers to come back in 2 s, and on kept connections
-        to itself. They were answered 2.1 s later, by the other four.
+        Its callers should retry at once and on a new connection, which leads
+        to another router.
         """
         await self.begin(scripted.whole())
         self.router.relay.startup.started_at -= startup.START_SECONDS
@@ -152,11 +151,10 @@
 
 
 class TestFirstPlan(RouterCase):
-    """Requests that come before a router's first plan.
+    """Requests that arrive before a router's first plan.
 
-    The pattern is that of a day on which all processes are killed at once:
-    routers listen after 0.2 s, keepers after 0.9 s and have a leader 0.6 s
-    later, while callers whose connections broke come back all the while.
+    After a restart of all processes, routers accept connections more than a
+    second before the keepers have a leader.
     """
 
     async def begin_without_plan(self):
@@ -165,11 +163,11 @@
         self.router.first_plan.clear()
         return table
 
-    async def test_caller_with_time_waits_for_the_plan(self):
-        """A conversation's only retry meets a router that has just started.
+    async def test_request_with_a_long_timeout_waits_for_the_plan(self):
+        """The only retry of a request goes to a router that just started.
 
-        Refused, the caller is lost, although it would wait ten seconds and
-        the plan is there after one.
+        It must not be refused, as its caller waits longer than the plan
+        takes to arrive.
         """
         table = await self.begin_without_plan()
         asked = asyncio.ensure_future(
@@ -181,19 +179,15 @@
         self.router.first_plan.set()
         self.assertEqual(200, (await asked).status)
 
-    async def test_caller_in_a_hurry_is_told_at_once_when_to_come_back(self):
+    async def test_request_with_a_short_timeout_is_refused_at_once(self):
         await self.begin_without_plan()
         got = await self.ask("/b/x", "POST", Test_Patience="1")
         self.assertEqual(503, got.status)
         self.assertIn("Retry-After", got.headers)
         self.assertLess(got.seconds, 0.2)
 
-    async def test_booking_waits_for_a_plan_that_is_about_to_come(self):
-        """A booking's last try comes 0.1 s after its router's start.
-
-        It has 2 s left, and the plan comes after 1.1 s; it was refused
-        0.1 s before that.
-        """
+    async def test_request_waits_for_a_plan_that_is_expected_soon(self):
+        """A request with 2 s left must not be refused just before the plan."""
         table = await self.begin_without_plan()
         asked = asyncio.ensure_future(
             self.ask("/c/x", "POST", Test_Patience="2")
@@ -204,14 +198,14 @@
         self.router.first_plan.set()
         self.assertEqual(200, (await asked).status)
 
-    async def test_nobody_waits_once_the_start_is_over(self):
+    async def test_no_request_waits_after_the_startup_time(self):
         await self.begin_without_plan()
         self.router.relay.startup.started_at -= startup.START_SECONDS
         got = await self.ask("/d/x", "POST", Test_Patience="10")
         self.assertEqual(503, got.status)
         self.assertLess(got.seconds, 0.2)
 
-    async def test_caller_that_leaves_meanwhile_is_not_served(self):
+    async def test_request_of_a_disconnected_caller_is_not_run(self):
         table = await self.begin_without_plan()
         asked = asyncio.ensure_future(
             self.ask("/d/x", "POST", Test_Patience="10")
@@ -225,13 +219,13 @@
 
 
 class TestNotIdempotent(RouterCase):
-    """Requests that may run once at most."""
+    """Requests that may run at most once."""
 
-    async def test_no_second_run_after_doubt(self):
-        """A booking's target breaks after it read the request.
+    async def test_no_retry_if_the_request_may_have_run(self):
+        """A target fails after it has read a booking request.
 
-        It may have booked the slot. A second target would book it again;
-        a refusal would make the caller send it again.
+        It may have made the booking. Neither the router nor the caller, on a
+        refusal, may send the request again.
         """
         for script in (
             scripted.reset(),
@@ -245,57 +239,57 @@
             self.assertEqual(502, got.status)
             self.assertEqual(1, self.ran())
 
-    async def test_refusal_that_is_certain_goes_to_another_target(self):
+    async def test_refused_request_goes_to_another_target(self):
         await self.begin(scripted.refuse(), scripted.refuse())
         got = await self.ask("/b/x", "POST", b"1")
         self.assertEqual(503, got.status)
         self.assertIn("Retry-After", got.headers)
         self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
 
-    async def test_unreachable_target_costs_nothing(self):
+    async def test_unreachable_target_fails_no_request(self):
         await self.begin(scripted.whole())
-        dead = scripted.ScriptedTarget("t9", scripted.whole())
-        await dead.start()
-        dead.stop()
-        await dead.server.wait_closed()
-        self.router.targets.merge(dead.record())
+        stopped = scripted.ScriptedTarget("t9", scripted.whole())
+        await stopped.start()
+        stopped.stop()
+        await stopped.server.wait_closed()
+        self.router.targets.merge(stopped.record())
         for _ in range(4):
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
 
-    async def test_silence_ends_as_unknown_at_the_deadline(self):
+    async def test_silent_target_gives_504_at_the_deadline(self):
         await self.begin(scripted.mute(), scripted.mute())
         got = await self.ask("/b/x", "POST", Test_Patience="0.4")
         self.assertEqual(504, got.status)
         self.assertLess(got.seconds, 0.45)
         self.assertEqual(1, self.ran())
 
-    async def test_failure_of_the_target_itself_is_passed_on(self):
+    async def test_error_response_of_the_target_is_forwarded(self):
         await self.begin(scripted.whole(b"no", status=500))
         got = await self.ask("/b/x", "POST")
         self.assertEqual((500, b"no"), (got.status, got.body))
         self.assertIn(scripted.SIGNED, got.headers)
 
 
-def refuse_in(path, answer):
-    """Return a script that refuses requests of one path only."""
+def refuse_path(path, otherwise):
+    """Return a script that refuses requests for one path only."""
 
     async def script(seen, writer):
         refused = seen.uri.startswith(path)
-        await (scripted.refuse() if refused else answer)(seen, writer)
+        await (scripted.refuse() if refused else otherwise)(seen, writer)
 
     return script
 
 
 class TestRefusals(RouterCase):
-    """What refusals of targets mean for the requests after them."""
+    """Effect of refusals by targets on later requests."""
 
-    async def test_request_that_all_refuse_harms_no_other(self):
-        """One caller sends what no engine takes, and all engines refuse it.
+    async def test_request_that_all_targets_refuse_affects_no_other(self):
+        """All engines refuse one caller's invalid request.
 
-        Counted as engines that cannot be reached, they got no request for
-        half a second and more, and all callers of that router got 503.
+        This must not count as a failure of the engines, or all callers of
+        the router would get 503.
         """
-        script = refuse_in("/a/odd", scripted.whole())
+        script = refuse_path("/a/odd", scripted.whole())
         await self.begin(script, script, script)
         for _ in range(3):
             self.assertEqual(503, (await self.ask("/a/odd")).status)
@@ -303,11 +297,11 @@
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
         self.assertEqual([], self.router.placer.unreachable_targets())
 
-    async def test_target_that_refuses_what_others_take_is_left(self):
-        """A booking replica refuses all though it has free places.
+    async def test_target_that_refuses_what_others_accept_is_avoided(self):
+        """One replica refuses everything.
 
-        Each request that goes there first costs a round trip and a part of
-        the retry budget.
+        Each request that goes there first would cost a round trip and a part
+        of the retry budget.
         """
         await self.begin(scripted.refuse(), scripted.whole())
         for _ in range(12):
@@ -316,9 +310,9 @@
 
 
 class TestIdempotent(RouterCase):
-    """Requests that may run again."""
+    """Requests that may be run again."""
 
-    async def test_failures_are_tried_at_another_target(self):
+    async def test_failed_requests_are_retried_at_another_target(self):
         bad = (
             scripted.reset(),
             scripted.whole(status=500),
@@ -327,19 +321,19 @@
         )
         for script in bad:
             await self.begin(script)
-            self.router.placer.choose(self._passage_of_nothing())
+            self.router.placer.choose(self._context_without_targets())
             good = scripted.ScriptedTarget("good", scripted.whole())
             await good.start()
             self.addCleanup(good.stop)
-            # Work at the good one lets the bad one be chosen first.
+            # Load at the good target makes the bad one the first choice.
             self.router.targets.merge(good.record())
             self.router.placer.views["good"].running = 5
             got = await self.ask("/a/x", Test_Patience="1.0")
             self.assertEqual((200, b"good"), (got.status, got.body))
             self.assertEqual(1, len(self.targets[0].seen))
 
-    def _passage_of_nothing(self):
-        class Nothing:
+    def _context_without_targets(self):
+        class Context:
             service = "none"
             tried = frozenset()
             route = SAFE
@@ -347,29 +341,29 @@
             class incoming:  # noqa: N801
                 parts = ()
 
-        return Nothing
+        return Context
 
-    async def test_attempts_are_bounded(self):
+    async def test_number_of_attempts_is_limited(self):
         await self.begin(*[scripted.reset()] * 4)
         got = await self.ask("/a/x")
         self.assertEqual(502, got.status)
         self.assertEqual(SAFE.attempts_most, self.ran())
 
-    async def test_budget_bounds_repeats(self):
-        """Targets fail all requests and callers send many.
+    async def test_retry_budget_limits_retries(self):
+        """Targets fail all requests under load.
 
-        Each request that is tried twice doubles the load on what is left
-        of the service, which then cannot recover.
+        Unlimited retries would double the load and prevent the service from
+        recovering.
         """
         await self.begin(scripted.reset(), scripted.reset(), allowance=2.0)
         for _ in range(20):
             await self.ask("/a/x")
         self.assertLessEqual(self.ran(), 20 + 0.2 * 20 + 2)
 
-    async def test_answer_to_another_request_is_never_passed_on(self):
-        """A target sends the answer of a request that came before.
+    async def test_response_to_another_request_is_not_forwarded(self):
+        """A target sends the response to an earlier request.
 
-        Two callers would see each other's bookings.
+        Forwarding it would show one caller the data of another.
         """
 
         def foreign(seen):
@@ -381,7 +375,7 @@
         self.assertEqual(502, got.status)
         self.assertNotIn(b"bad", got.body)
 
-    async def test_unframed_answer_that_is_reset_is_not_whole(self):
+    async def test_reset_unframed_response_is_incomplete(self):
         async def script(seen, writer):
             writer.write(scripted.head(seen) + b"part")
             await writer.drain()
@@ -392,7 +386,7 @@
         got = await self.ask("/a/x")
         self.assertEqual(502, got.status)
 
-    async def test_unframed_answer_that_ends_in_good_order_is_whole(self):
+    async def test_closed_unframed_response_is_complete(self):
         await self.begin(
             scripted.raw(lambda seen: scripted.head(seen) + b"all")
         )
@@ -401,13 +395,13 @@
 
 
 class TestStreams(RouterCase):
-    """Streams whose target breaks off."""
+    """Streams that break off at their target."""
 
-    async def test_resumable_stream_goes_on_elsewhere(self):
-        """A target dies in the middle of an event of a long answer.
+    async def test_resumable_stream_continues_at_another_target(self):
+        """A target crashes in the middle of an event.
 
-        The caller has the events before it. Another target goes on after
-        the last of them; no event is missing, doubled or joined of two.
+        Another target resumes after the last complete event. No event may be
+        missing, duplicated or corrupted.
         """
         await self.begin(
             scripted.events(6, breaks_after=3),
@@ -418,18 +412,17 @@
         got = await self.ask("/c/x", "POST")
         self.assertTrue(got.whole)
         self.assertEqual(b"".join(map(scripted.event, range(1, 7))), got.body)
-        lasts = [
+        last_ids = [
             seen.headers.get(scripted.LAST)
             for target in self.targets
             for seen in target.seen
         ]
-        self.assertCountEqual([None, "3", "3"], lasts)
+        self.assertCountEqual([None, "3", "3"], last_ids)
 
-    async def test_head_is_of_the_target_that_made_the_stream(self):
-        """A target sends the head of a stream and dies before any event.
+    async def test_head_comes_from_the_target_that_sent_the_stream(self):
+        """A target crashes after the head and before any event of a stream.
 
-        Another one makes the whole stream. Under the first one's head the
-        caller would hold a signature that is not of what it got.
+        Its signature must not be forwarded with the stream of another target.
         """
 
         async def head_only(seen, writer):
@@ -447,15 +440,15 @@
         self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
         self.assertNotIn("X-By", got.headers)
 
-    async def test_silent_target_is_left_in_time_for_the_objective(self):
-        """An engine takes what is sent to it and answers nothing.
+    async def test_silent_target_is_replaced_within_the_objective(self):
+        """An engine accepts a request and does not respond.
 
-        Its data centre is cut off, or it hangs. The caller has half a
-        second for the first event, and was given it after the deadline.
+        Another engine must be tried early enough for the first event to meet
+        the objective.
         """
         await self.begin(scripted.mute(), scripted.events(3))
-        # The second one is asked after 0.3 s, with 0.2 s to spare for a
-        # machine on which other tests run.
+        # The second target is tried after 0.3 s, which leaves 0.2 s of slack
+        # on a busy machine.
         for _ in range(10):
             self.router.relay.response_times.record("s", 0, 0.15)
         self.router.placer.views["t1"].running = 3
@@ -464,26 +457,25 @@
         self.assertLess(got.seconds, RESUMABLE.objective)
         self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
 
-    async def test_answer_that_never_came_spoils_no_estimate(self):
-        """A booking has all of its caller's time, and its target hangs.
+    async def test_missing_response_does_not_spoil_the_estimate(self):
+        """A request that has no timeout for the head runs at a hung target.
 
-        Taken for an endless one, the time that answers take was endless for
-        the whole service from then on, and nothing was sent elsewhere.
+        An infinite sample would make the estimate of the service infinite.
         """
         await self.begin()
         for _ in range(10):
             self.router.relay.response_times.record("s", 0, 0.02)
         late = mock.Mock()
         late.open.side_effect = errors.UpstreamTimeoutError("too long")
-        passage = records.RequestContext(
+        context = records.RequestContext(
             mock.Mock(), UNSAFE, "", "s", 1, time.monotonic()
         )
         with self.assertRaises(errors.UpstreamTimeoutError):
-            await self.router.relay._open(passage, late)
+            await self.router.relay._open(context, late)
         learned = self.router.relay.response_times.timeout("s", 0, 0.5)
         self.assertLess(learned, 1.0)
 
-    async def test_stream_that_runs_once_waits_for_its_target(self):
+    async def test_stream_that_may_run_once_waits_for_its_target(self):
         await self.begin(scripted.mute(), scripted.events(3))
         for _ in range(10):
             self.router.relay.response_times.record("s", 0, 0.02)
@@ -492,10 +484,10 @@
         self.assertEqual(504, got.status)
         self.assertEqual(0, len(self.targets[1].seen))
 
-    async def test_other_stream_is_not_run_again(self):
-        """The same for a stream that may run once only.
+    async def test_stream_that_is_not_resumable_is_aborted(self):
+        """A stream that may run only once breaks off.
 
-        What the caller got must not look whole.
+        The caller must not take the partial response for a complete one.
         """
         await self.begin(
             scripted.events(6, breaks_after=3),
@@ -506,49 +498,46 @@
         self.assertEqual(b"".join(map(scripted.event, range(1, 4))), got.body)
         self.assertEqual(1, self.ran())
 
-    async def test_caller_that_resumes_is_served_from_its_last_event(self):
+    async def test_caller_resumes_after_its_last_event(self):
         await self.begin(scripted.events(6))
         got = await self.ask("/c/x", "POST", Last_Event_Id="4")
         self.assertEqual(scripted.event(5) + scripted.event(6), got.body)
 
-    async def test_work_ends_when_the_caller_leaves(self):
-        """A shopkeeper closes the app while the answer is being made.
+    async def test_target_stops_when_the_caller_disconnects(self):
+        """A caller disconnects during a response.
 
-        Without a close towards the target it would go on working for
-        nobody, and keep a slot from others.
+        The target's connection must be closed as well, or the target would
+        continue and occupy a slot.
         """
         await self.begin(scripted.mute())
-        asking = asyncio.ensure_future(self.ask("/d/x", "POST"))
+        request = asyncio.ensure_future(self.ask("/d/x", "POST"))
         await self.until(self.ran)
-        asking.cancel()
+        request.cancel()
         await self.until(lambda: self.targets[0].left)
 
 
-class TestOwnStall(RouterCase):
-    """A router that stands still while a target does its part.
+class TestRouterStall(RouterCase):
+    """A router whose process stalls while a target responds.
 
-    Beside other processes, or where its share of a core is used up, the
-    router is not scheduled for some tenths of a second. On waking, its timer
-    for the target is due in the same step of the loop in which what it waits
-    for has come, and runs first. The target counted as unreached or silent,
-    and its caller got 503 ``no-target`` or 502 for a target that was there.
-    A process stopped in one of these steps for 0.2 s failed so always.
+    After a stall, the timeout of the target is due in the same iteration of
+    the event loop in which its data is readable, and runs first. The target
+    must not count as unreachable or silent for that.
     """
 
     def stall(self, seconds):
-        """Stand still in this step of the loop."""
+        """Block this iteration of the event loop."""
         time.sleep(seconds)
 
     def stall_next(self, seconds):
-        """Stand still in the next step of the loop."""
+        """Block the next iteration of the event loop."""
         asyncio.get_running_loop().call_soon(time.sleep, seconds)
 
-    def stall_connecting(self, at):
-        """Let `at` run in the step in which a connection is begun."""
+    def stall_connecting(self, stall):
+        """Call `stall` when a connection is started."""
         connect = asyncio.open_connection
 
         async def stalled(*args, **more):
-            at(0.3)
+            stall(0.3)
             return await connect(*args, **more)
 
         patched = mock.patch("asyncio.open_connection", stalled)
@@ -565,42 +554,42 @@
         self.stall_connecting(self.stall_next)
         self.assertEqual(200, (await self.ask("/a/x")).status)
 
-    async def test_stall_while_the_head_comes(self):
-        async def answers(seen, writer):
+    async def test_stall_while_the_head_arrives(self):
+        async def respond(seen, writer):
             writer.write(scripted.head(seen, Content_Length="4"))
             self.stall(0.3)
             await asyncio.sleep(0.05)
             writer.write(b"good")
 
-        await self.begin(answers)
+        await self.begin(respond)
         got = await self.ask("/a/x")
         self.assertEqual((200, b"good"), (got.status, got.body))
 
     async def test_stall_at_the_deadline(self):
-        """The time of a request ends while its answer lies unread."""
+        """The deadline passes while the response is readable but unread."""
 
-        async def answers(seen, writer):
+        async def respond(seen, writer):
             writer.write(scripted.head(seen, Content_Length="4") + b"good")
             self.stall(0.5)
 
-        await self.begin(answers)
+        await self.begin(respond)
         got = await self.ask("/b/x", "POST", Test_Patience="0.3")
         self.assertEqual((200, b"good"), (got.status, got.body))
 
 
 class TestPlannedStop(RouterCase):
-    """What callers see while a router is being stopped."""
+    """Requests during a planned shutdown of a router."""
 
-    async def test_callers_are_told_that_their_connection_closes(self):
+    async def test_response_closes_the_connection(self):
         await self.begin(scripted.whole())
         self.router.front.closing = True
         got = await self.ask("/a/x")
         self.assertEqual("close", got.headers["Connection"])
 
-    async def test_request_that_cannot_end_in_time_is_refused(self):
-        """A stream of seconds comes just before the process ends.
+    async def test_request_that_may_outlast_the_process_is_refused(self):
+        """A long request arrives shortly before the process ends.
 
-        It would be cut in the middle; refused it can run elsewhere.
+        It would be aborted; if refused, it can run elsewhere.
         """
         await self.begin(scripted.whole())
         self.router.front.closing = True
@@ -609,11 +598,11 @@
         self.assertEqual(503, got.status)
         self.assertEqual(0, self.ran())
 
-    async def test_request_read_as_its_connection_closes_does_not_run(self):
-        """An idle connection is closed in the step that reads a request.
+    async def test_request_on_a_connection_being_closed_is_not_run(self):
+        """An idle connection is closed while a request is being read.
 
-        The caller sees a close with no answer and sends the request to
-        another router. Passed on here as well, it would run twice.
+        The caller sees it closed and sends the request to another router. It
+        must not be forwarded here too.
         """
         await self.begin(scripted.whole())
         reader, writer = await asyncio.open_connection(*self.router.address)
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -1,4 +1,4 @@
-"""Targets that cannot be reached, as an admission owner treats them."""
+"""Circuit breakers of targets that cannot be reached."""
 
 import unittest
 
@@ -22,14 +22,14 @@
     )
 
 
-def ask(serial, remembered="", router="r1"):
+def request(serial, remembered="", router="r1"):
     return admission.Request(
         (router, serial), "a", 1, "chat", 10.0, remembered=(remembered,)
     )
 
 
-class TestOutages(unittest.TestCase):
-    """One cell of three engines, the clock in hand."""
+class TestBreakers(unittest.TestCase):
+    """One cell of three engines, with a simulated clock."""
 
     def setUp(self):
         self.cell = admission.Cell("cell", -10.0)
@@ -38,16 +38,15 @@
 
     def grant(self, now, remembered="e1", router="r1"):
         self.serial += 1
-        wanted = ask(self.serial, remembered, router)
-        placed = self.cell.admit(wanted, admission.Policy(bound=3.0), now)
-        return placed.key, placed.target
+        wanted = request(self.serial, remembered, router)
+        grant = self.cell.admit(wanted, admission.Policy(bound=3.0), now)
+        return grant.key, grant.target
 
-    def test_dead_engine_costs_few_retries(self):
-        """An engine dies; its lease runs for three seconds more.
+    def test_crashed_engine_costs_few_retries(self):
+        """An engine crashes, and its lease ends three seconds later.
 
-        Users saw refusals all that time: every chat remembered there was
-        granted to it, failed, and spent a retry until the budget was gone.
-        The owner was never told how its grants ended.
+        Meanwhile requests of chats that ran there must not all be granted to
+        it again and use up the retry budget.
         """
         failed = 0
         for step in range(300):
@@ -60,7 +59,7 @@
                 self.cell.release(key, now, DONE)
         self.assertLessEqual(failed, 4)
 
-    def test_first_success_opens_the_engine(self):
+    def test_first_success_closes_the_breaker(self):
         key, _ = self.grant(0.0)
         self.cell.release(key, 0.0, UNREACHABLE)
         self.assertNotEqual(self.grant(0.1)[1], "e1")
@@ -70,22 +69,21 @@
         self.cell.release(key, 0.6, DONE)
         self.assertEqual(self.grant(0.6)[1], "e1")
 
-    def test_restarted_engine_is_open_at_once(self):
+    def test_restart_closes_the_breaker(self):
         key, _ = self.grant(0.0)
         self.cell.release(key, 0.0, UNREACHABLE)
         self.cell.set_targets([target("e1", 2), target("e2")])
         self.assertEqual(self.grant(0.1)[1], "e1")
 
-    def test_one_broken_router_closes_no_cell(self):
-        """One entry VM loses its way to all engines; the others have none.
+    def test_one_isolated_router_does_not_open_all_breakers(self):
+        """One router cannot reach any engine, while the others can.
 
-        Its callers fail everywhere. Believing its word about every engine
-        would refuse all other callers of the cell with it.
+        Its reports must not make the cell refuse all other callers.
         """
-        cell = breakers.CircuitBreakers()
+        circuits = breakers.CircuitBreakers()
         names = ("e1", "e2", "e3")
-        closed = [
-            cell.record_unreachable(n, "broken", names, 0.0) for n in names
+        opened = [
+            circuits.record_unreachable(n, "broken", names, 0.0) for n in names
         ]
-        self.assertEqual(closed.count(True), 1)
-        self.assertTrue(cell.record_unreachable("e2", "other", names, 0.1))
+        self.assertEqual(opened.count(True), 1)
+        self.assertTrue(circuits.record_unreachable("e2", "other", names, 0.1))
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,10 +1,8 @@
-"""How long routers wait for a target before they ask another one.
+"""Timeout for the first event before another target is tried.
 
-The load pattern is a data centre that is cut off from the others while 130
-requests a second come: a third of the targets takes what is sent to it and
-says nothing. Times to the first event are those of engines that have the
-prompt (60 ms on average, one in a hundred above 110) and callers' objectives
-are 0.4 s, as today.
+The scenario is a data centre that is partitioned off: a third of the targets
+accepts requests and does not respond. Other targets take 60 ms on average to
+the first event, and callers have an objective of 0.4 s.
 """
 
 import random
@@ -13,60 +11,66 @@
 from amaranthring.policy import response_times
 
 OBJECTIVE = 0.4
-# Below it lies what a second target needs to answer on time.
+# Usual time of a second target to its first event.
 USUAL = 0.06
 
 
-def first_event(draw):
-    return 0.04 + draw.expovariate(1 / 0.02)
+def first_event_seconds(rng):
+    return 0.04 + rng.expovariate(1 / 0.02)
 
 
-class TestCutDataCentre(unittest.TestCase):
-    """Requests that meet a silent target."""
+class TestResponseTimes(unittest.TestCase):
+    """Requests that are sent to a silent target."""
 
     def setUp(self):
         self.random = random.Random(5)
         self.times = response_times.ResponseTimes()
         for _ in range(200):
-            self.times.record("s", 0, first_event(self.random))
+            self.times.record("s", 0, first_event_seconds(self.random))
 
-    def wait(self, reading=0, left=OBJECTIVE):
-        return self.times.timeout("s", reading, left)
+    def timeout(self, prefill_tokens=0, left=OBJECTIVE):
+        return self.times.timeout("s", prefill_tokens, left)
 
-    def test_second_target_is_asked_in_time_for_the_objective(self):
-        """A data centre is cut off, and its targets answer nothing.
+    def test_second_target_can_still_meet_the_objective(self):
+        """A data centre is partitioned off, and its targets do not respond.
 
-        Each request waited 0.7 s, until the kernel gave its connection up,
-        and every caller that met one was answered late.
+        Waiting until the kernel gives up the connection makes every caller
+        that hits one of them late.
         """
-        self.assertLess(self.wait() + USUAL + 0.03, OBJECTIVE)
+        self.assertLess(self.timeout() + USUAL + 0.03, OBJECTIVE)
 
-    def test_sound_targets_are_awaited(self):
-        slow = sum(first_event(self.random) > self.wait() for _ in range(5000))
+    def test_healthy_targets_rarely_time_out(self):
+        slow = sum(
+            first_event_seconds(self.random) > self.timeout()
+            for _ in range(5000)
+        )
         self.assertLess(slow / 5000, 0.01)
 
-    def test_targets_that_all_turn_slow_are_awaited_again(self):
-        """All targets take four times as long, under a burst.
+    def test_timeout_adapts_if_all_targets_become_slow(self):
+        """All targets take four times as long, under a burst of load.
 
-        With a bound from their good days every request would be sent twice,
-        to targets that are at their limit already.
+        With the old timeout every request would be sent twice, to targets
+        that are already overloaded.
         """
         expired = 0
         for number in range(400):
-            seconds, wait = 4 * first_event(self.random), self.wait()
-            if seconds > wait:
-                self.times.record_timeout("s", 0, wait)
+            seconds, timeout = (
+                4 * first_event_seconds(self.random),
+                self.timeout(),
+            )
+            if seconds > timeout:
+                self.times.record_timeout("s", 0, timeout)
                 expired += number >= 100
             else:
                 self.times.record("s", 0, seconds)
         self.assertLess(expired / 300, 0.05)
 
-    def test_prompts_to_be_read_have_a_time_of_their_own(self):
-        self.assertIsNone(self.wait(reading=10_000))
+    def test_long_prefill_has_its_own_estimate(self):
+        self.assertIsNone(self.timeout(prefill_tokens=10_000))
         for _ in range(response_times.MIN_SAMPLES):
             self.times.record("s", 9_000, 0.2)
-        self.assertGreater(self.wait(reading=10_000), 0.2)
-        self.assertLess(self.wait(), 0.3)
+        self.assertGreater(self.timeout(prefill_tokens=10_000), 0.2)
+        self.assertLess(self.timeout(), 0.3)
 
-    def test_nothing_is_known_at_first(self):
+    def test_no_timeout_without_samples(self):
         self.assertIsNone(response_times.ResponseTimes().timeout("s", 0, 0.4))
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -1,11 +1,9 @@
-"""Engines that copy prompts from each other instead of reading them.
-
-The load pattern is a day on which the engines of a service are replaced one
-after the other while callers return to long beginnings that they share: 5
-engines, 23 requests a second, a fifth of them with one of 16 beginnings of
-10,000 tokens, the rest with one of 85 beginnings of about 1,000. Rates are
-those of the engines that run today: 48 tokens read and 5,000 tokens copied
-in a millisecond.
+"""Engines that copy cached prefixes from each other instead of prefilling.
+
+In the scenario the engines of a service are replaced one after the other
+under load: 5 engines and 23 requests per second, a fifth of them with one of
+16 prefixes of 10,000 tokens, the rest with one of 85 prefixes of 1,000. An
+engine prefills 48 tokens and copies 5,000 tokens per millisecond.
 """
 
 import collections
@@ -27,9 +25,9 @@
 SLOW_LINKS = routing.Engine(64, 423_882, 18_432.0, 0.3e9)
 REQUESTS_PER_SECOND = 23.0
 LONG_SHARE = 0.2
-# Each engine announces that it leaves, goes on for two seconds, and the next
-# one follows some seconds later.
-REPLACE_EVERY = 5.0
+# Interval between replacements, and time that an engine serves after it has
+# announced that it leaves.
+REPLACE_SECONDS = 5.0
 DRAIN_SECONDS = 2.0
 
 
@@ -41,14 +39,14 @@
 
 
 class Service:
-    """Engines as one router knows them, and what they really keep.
+    """Engines as known to one router, and the prefixes they have cached.
 
     Attributes
     ----------
-    read_again : int
-        Tokens of shared parts read though an engine that is there, or was
-        within the last ten seconds, had read them.
-    copied : int
+    recomputed_tokens : int
+        Tokens of shared parts that were prefilled although an engine had
+        cached them within the last ten seconds.
+    copied_tokens : int
         Tokens of shared parts that were copied.
     """
 
@@ -58,25 +56,25 @@
         self.engine = engine
         self.table = targets.TargetTable(lambda: self.now, 0.0)
         self.placer = placement.Placer(self.table, "here", lambda: self.now)
-        self.keeps: dict[str, set[str]] = collections.defaultdict(set)
-        self.used: dict[str, float] = {}
-        self.read_again = 0
-        self.copied = 0
-        self.names = 0
+        self.cached: dict[str, set[str]] = collections.defaultdict(set)
+        self.last_used: dict[str, float] = {}
+        self.recomputed_tokens = 0
+        self.copied_tokens = 0
+        self.started = 0
         self.running: list[
             tuple[float, messages.TargetRecord, records.RequestContext]
         ] = []
 
     def add(self) -> None:
-        """Start an engine with an empty memory."""
-        self.names += 1
-        name = f"e{self.names}"
+        """Start an engine with an empty cache."""
+        self.started += 1
+        name = f"e{self.started}"
         self.table.merge(
             messages.TargetRecord(name, "s", f"{name}:1", "here", slots=64)
         )
 
     def drain_oldest(self) -> None:
-        """Let the oldest engine announce that it leaves."""
+        """Let the oldest engine start to drain."""
         oldest = next(
             record
             for record in self.table.active()
@@ -84,13 +82,13 @@
         )
         oldest.state = messages.State.DRAINING
 
-    def end_drained(self) -> None:
-        """End the engines that have announced it."""
+    def stop_drained(self) -> None:
+        """Stop the engines that drain."""
         for record in list(self.table.active()):
             if record.state == messages.State.DRAINING:
                 self.table.mark_gone(record.id)
 
-    def parts(self):
+    def next_parts(self):
         """Return the parts of the next prompt."""
         if self.random.random() < LONG_SHARE:
             shared = (f"long{self.random.randrange(16)}", 10_000)
@@ -99,95 +97,94 @@
         own = records.PromptPart(f"own{self.random.random()}", 200)
         return (records.PromptPart(*shared), own)
 
-    def ask(self) -> None:
+    def place(self) -> None:
         """Place one request."""
         self.end_requests()
         incoming = records.Incoming(
-            "r", "POST", "/", "/", "h", None, self.now, parts=self.parts()
+            "r", "POST", "/", "/", "h", None, self.now, parts=self.next_parts()
         )
-        passage = records.RequestContext(
+        context = records.RequestContext(
             incoming, route(), "", "s", 1, self.now + 10, self.engine
         )
-        target = self.placer.choose(passage)
-        copy = self.placer.copy_for(passage, target)
-        self.placer.begin(target, passage, copy)
-        self.account(incoming.parts[0], target.id, copy)
-        ends = self.now + self.random.expovariate(1 / 0.9)
-        self.running.append((ends, target, passage))
-
-    def account(self, part, name, copy) -> None:
-        """Count what the engine `name` reads again or copies."""
-        recent = self.now - self.used.get(part.id, -100.0) < 10.0
-        if part.id not in self.keeps[name] and recent:
-            if copy is not None and part.id in self.keeps[copy.source]:
-                self.copied += part.tokens
+        target = self.placer.choose(context)
+        copy = self.placer.copy_for(context, target)
+        self.placer.begin(target, context, copy)
+        self.record(incoming.parts[0], target.id, copy)
+        ends_at = self.now + self.random.expovariate(1 / 0.9)
+        self.running.append((ends_at, target, context))
+
+    def record(self, part, name, copy) -> None:
+        """Record what the engine `name` recomputes or copies."""
+        recent = self.now - self.last_used.get(part.id, -100.0) < 10.0
+        if part.id not in self.cached[name] and recent:
+            if copy is not None and part.id in self.cached[copy.source]:
+                self.copied_tokens += part.tokens
             else:
-                self.read_again += part.tokens
-        self.keeps[name].add(part.id)
-        self.used[part.id] = self.now
+                self.recomputed_tokens += part.tokens
+        self.cached[name].add(part.id)
+        self.last_used[part.id] = self.now
 
     def end_requests(self) -> None:
-        """End the requests whose time has come."""
-        for ends, target, passage in list(self.running):
-            if ends <= self.now:
-                self.placer.prefill_done(target, passage)
-                self.placer.end(target, passage)
-                self.running.remove((ends, target, passage))
-
-    def play(self, engines: int, seconds: float) -> None:
-        """Replace all engines one after the other under load."""
+        """End the requests that are complete."""
+        for ends_at, target, context in list(self.running):
+            if ends_at <= self.now:
+                self.placer.prefill_done(target, context)
+                self.placer.end(target, context)
+                self.running.remove((ends_at, target, context))
+
+    def run(self, engines: int, seconds: float) -> None:
+        """Replace the engines one after the other under load."""
         for _ in range(engines):
             self.add()
-        end = self.now + seconds
-        replace_at = self.now + REPLACE_EVERY
-        end_at = float("inf")
-        while self.now < end:
+        run_until = self.now + seconds
+        replace_at = self.now + REPLACE_SECONDS
+        stop_at = float("inf")
+        while self.now < run_until:
             self.now += self.random.expovariate(REQUESTS_PER_SECOND)
             if self.now >= replace_at:
                 self.add()
                 self.drain_oldest()
-                replace_at += REPLACE_EVERY
-                end_at = self.now + DRAIN_SECONDS
-            if self.now >= end_at:
-                self.end_drained()
-                end_at = float("inf")
-            self.ask()
+                replace_at += REPLACE_SECONDS
+                stop_at = self.now + DRAIN_SECONDS
+            if self.now >= stop_at:
+                self.stop_drained()
+                stop_at = float("inf")
+            self.place()
 
 
 class TestEnginesReplaced(unittest.TestCase):
     """All engines of a service are replaced under load."""
 
-    def play(self, engine):
-        again = copied = 0
+    def run_service(self, engine):
+        recomputed = copied = 0
         for seed in (1, 2, 3):
             service = Service(engine, seed)
-            service.play(5, 35.0)
-            again += service.read_again
-            copied += service.copied
-        return again, copied
+            service.run(5, 35.0)
+            recomputed += service.recomputed_tokens
+            copied += service.copied_tokens
+        return recomputed, copied
 
-    def test_half_of_what_was_read_again_is_copied(self):
-        """Each engine that leaves takes a fifth of all beginnings along.
+    def test_copying_halves_recomputed_tokens(self):
+        """Each engine that leaves takes a fifth of all cached prefixes along.
 
-        Every caller that returns to one of them waits until another engine
-        has read it again: 0.2 s for 10,000 tokens, and everybody who runs
-        there waits as well.
+        Recomputing one takes 0.2 s for 10,000 tokens and delays all other
+        requests at that engine.
         """
-        without, nothing = self.play(SLOW_LINKS)
-        again, copied = self.play(ENGINE)
-        self.assertEqual(0, nothing)
+        without_copies, none_copied = self.run_service(SLOW_LINKS)
+        recomputed, copied = self.run_service(ENGINE)
+        self.assertEqual(0, none_copied)
         self.assertGreater(copied, 0)
-        self.assertLess(again, without / 2)
+        self.assertLess(recomputed, without_copies / 2)
 
 
 class TestWhenCopyPays(unittest.TestCase):
-    """Copying against reading."""
+    """Whether a copy is faster than prefill."""
 
-    def test_long_parts_over_fast_links(self):
+    def test_many_tokens_over_fast_links(self):
         self.assertTrue(copies.is_worthwhile(10_000, ENGINE.copy_rate))
         self.assertTrue(copies.is_worthwhile(500, ENGINE.copy_rate))
 
-    def test_few_tokens_are_read_before_a_copy_begins(self):
+    def test_few_tokens_are_not_worth_the_setup(self):
         self.assertFalse(copies.is_worthwhile(100, ENGINE.copy_rate))
         self.assertFalse(copies.is_worthwhile(0, ENGINE.copy_rate))
 
@@ -196,29 +193,29 @@
         self.assertFalse(copies.is_worthwhile(10_000, 0.0))
         self.assertEqual(0.0, routing.Engine(64, 1000).copy_rate)
 
-    def test_the_engine_that_keeps_most_then_a_near_one(self):
-        asked = copies.Holder("a", "here", 0)
+    def test_longest_prefix_then_same_data_centre_is_preferred(self):
+        receiver = copies.Holder("a", "here", 0)
         far = copies.Holder("far", "there", 5_000)
         near = copies.Holder("near", "here", 5_000)
         most = copies.Holder("most", "there", 9_000)
         rate = ENGINE.copy_rate
         self.assertEqual(
-            "near", copies.choose([far, near], asked, rate).source
+            "near", copies.choose([far, near], receiver, rate).source
         )
-        best = copies.choose([far, most, near], asked, rate)
+        best = copies.choose([far, most, near], receiver, rate)
         self.assertEqual(copies.Copy("most", 9_000), best)
 
-    def test_nobody_keeps_more(self):
-        asked = copies.Holder("a", "here", 5_000)
+    def test_no_copy_if_no_engine_has_a_longer_prefix(self):
+        receiver = copies.Holder("a", "here", 5_000)
         same = copies.Holder("b", "here", 5_000)
         self.assertIsNone(
-            copies.choose([asked, same], asked, ENGINE.copy_rate)
+            copies.choose([receiver, same], receiver, ENGINE.copy_rate)
         )
-        self.assertIsNone(copies.choose([], asked, ENGINE.copy_rate))
+        self.assertIsNone(copies.choose([], receiver, ENGINE.copy_rate))
 
 
 class TestSources(unittest.TestCase):
-    """From which engines a router lets another one copy."""
+    """Engines that others may copy from."""
 
     def setUp(self):
         self.now = 100.0
@@ -236,7 +233,7 @@
         self.new = self.table.entries["e1"].record
         self.placer.prefixes.record_sent(self.parts, "e0")
 
-    def passage(self, engine=ENGINE):
+    def context(self, engine=ENGINE):
         incoming = records.Incoming(
             "r", "POST", "/", "/", "h", None, self.now, parts=self.parts
         )
@@ -245,31 +242,29 @@
         )
 
     def copy(self, engine=ENGINE):
-        return self.placer.copy_for(self.passage(engine), self.new)
+        return self.placer.copy_for(self.context(engine), self.new)
 
-    def test_only_what_was_read(self):
+    def test_only_prefilled_tokens_are_copied(self):
         """A long prompt has just been sent to an engine.
 
-        Another engine that copies from it at once finds nothing there, and
-        the prompt is read twice.
+        Another engine that copies from it at once would find nothing.
         """
         self.assertIsNone(self.copy())
         self.now += prompts.PREFILL_SECONDS
         self.assertEqual("e0", self.copy().source)
         self.assertEqual("e0:1", self.placer.source_address(self.copy()))
 
-    def test_first_event_shows_that_it_was_read(self):
-        self.placer.begin(self.old, passage := self.passage())
-        self.placer.end(self.old, passage)
+    def test_first_event_shows_that_prefill_is_done(self):
+        self.placer.begin(self.old, context := self.context())
+        self.placer.end(self.old, context)
         self.assertIsNone(self.copy())
-        self.placer.prefill_done(self.old, passage)
+        self.placer.prefill_done(self.old, context)
         self.assertEqual("e0", self.copy().source)
 
-    def test_engine_that_drains_is_a_source_until_it_is_gone(self):
-        """An engine has drained, says that it is gone and ends at once.
+    def test_draining_engine_is_a_source_until_it_is_gone(self):
+        """An engine that has drained stops at once when it is gone.
 
-        Others that were told to copy from it waited a third of a second for
-        nobody, and then read the whole prompt.
+        Others that copy from it would wait in vain.
         """
         self.now += 1.0
         self.old.state = messages.State.DRAINING
@@ -277,7 +272,7 @@
         self.table.mark_gone("e0")
         self.assertIsNone(self.copy())
 
-    def test_engine_that_leaves_without_draining_goes_on_for_a_while(self):
+    def test_engine_gone_without_draining_remains_a_source_for_a_while(self):
         self.now += 1.0
         gone = dataclasses.replace(self.old, state=messages.State.GONE)
         self.table.merge(gone)
@@ -285,26 +280,26 @@
         self.now += placement.LINGER_SECONDS
         self.assertIsNone(self.copy())
 
-    def test_engine_whose_address_another_has_is_none(self):
+    def test_replaced_engine_is_not_a_source(self):
         self.now += 1.0
         self.placer.record_replaced(self.old)
         self.assertIsNone(self.copy())
 
-    def test_engine_that_cannot_be_reached_is_none(self):
+    def test_unreachable_engine_is_not_a_source(self):
         self.now += 1.0
         self.placer.record_failure(self.old, reached=False)
         self.assertIsNone(self.copy())
 
-    def test_engines_that_do_not_copy(self):
+    def test_engines_without_copy_support(self):
         self.now += 1.0
         self.assertIsNone(self.copy(routing.Engine(64, 1000)))
         self.assertIsNone(self.copy(None))
 
 
 class TestCopiesOnTheWire(test_forwarding.RouterCase):
-    """What a target is told."""
+    """Source of a copy in requests to targets."""
 
-    async def test_target_learns_where_to_copy_from(self):
+    async def test_request_names_the_source_of_the_copy(self):
         plan = routing.Plan(
             1,
             (
--- a/tests/test_prompt_placing.py
+++ b/tests/test_prompt_placing.py
@@ -1,8 +1,8 @@
-"""Where requests go: prompts, loads and failures, without a network.
+"""Placement by cached prefix, load and failures, without a network.
 
-The load patterns are those of a booking fleet on a busy day: 8 engines, 23
-requests a second that last 0.9 s each, of which a fifth share one of 16
-beginnings of 10,000 tokens and the rest one of 85 beginnings of about 1,000.
+The simulated load has 8 engines and 23 requests per second that take 0.9 s
+each. A fifth of them share one of 16 prefixes of 10,000 tokens, the rest one
+of 85 prefixes of 1,000 tokens.
 """
 
 import collections
@@ -25,44 +25,44 @@
 REQUESTS_PER_SECOND = 23.0
 REQUEST_SECONDS = 0.9
 LONG_SHARE = 0.2
-# Counts of other routers are this old at most, as they are passed on.
+# Maximum age of the counts of other routers.
 LAG_SECONDS = 0.4
 
 
-class Day:
-    """Requests of the pattern, placed one after the other.
+class Simulation:
+    """Simulated requests, placed one after the other.
 
     Attributes
     ----------
-    read_again : int
-        Tokens of shared parts that some engine had read before.
+    recomputed_tokens : int
+        Tokens of shared parts that another engine had already prefilled.
     loads : list of tuple of int
-        Requests at the chosen engine and at all, at each choice.
+        Requests at the chosen engine and at all engines, per placement.
     """
 
-    def __init__(self, seed: int, hot_share: float = 0.0):
+    def __init__(self, seed: int, popular_share: float = 0.0):
         self.random = random.Random(seed)
-        self.hot_share = hot_share
+        self.popular_share = popular_share
         self.now = 1000.0
-        self.places = prompts.PrefixIndex(lambda: self.now)
+        self.index = prompts.PrefixIndex(lambda: self.now)
         self.running: list[tuple[float, float, str]] = []
-        self.read: dict[str, set[str]] = collections.defaultdict(set)
-        self.read_again = 0
+        self.cached: dict[str, set[str]] = collections.defaultdict(set)
+        self.recomputed_tokens = 0
         self.loads: list[tuple[int, int]] = []
 
-    def play(self, choose) -> None:
-        """Place a minute of requests by `choose`."""
-        end = self.now + SECONDS
-        while self.now < end:
+    def run(self, choose) -> None:
+        """Place requests for a minute with `choose`."""
+        run_until = self.now + SECONDS
+        while self.now < run_until:
             self.now += self.random.expovariate(REQUESTS_PER_SECOND)
             self.running = [r for r in self.running if r[1] > self.now]
-            parts = self.parts()
+            parts = self.next_parts()
             engine = choose(self, parts)
-            self.count(parts, engine)
+            self.record(parts, engine)
 
-    def parts(self):
+    def next_parts(self):
         """Return the parts of the next prompt."""
-        if self.random.random() < self.hot_share:
+        if self.random.random() < self.popular_share:
             shared = ("long0", 10_000)
         elif self.random.random() < LONG_SHARE:
             shared = (f"long{self.random.randrange(16)}", 10_000)
@@ -71,222 +71,222 @@
         own = records.PromptPart(f"own{self.random.random()}", 200)
         return (records.PromptPart(*shared), own)
 
-    def count(self, parts, engine: str) -> None:
-        """Account for a request at `engine`."""
-        at = sum(1 for _, _, where in self.running if where == engine)
-        self.loads.append((at, len(self.running)))
-        ends = self.now + self.random.expovariate(1 / REQUEST_SECONDS)
-        self.running.append((self.now, ends, engine))
+    def record(self, parts, engine: str) -> None:
+        """Record a request at `engine`."""
+        load = sum(1 for _, _, where in self.running if where == engine)
+        self.loads.append((load, len(self.running)))
+        ends_at = self.now + self.random.expovariate(1 / REQUEST_SECONDS)
+        self.running.append((self.now, ends_at, engine))
         for part in parts[:-1]:
-            holders = self.read[part.id]
+            holders = self.cached[part.id]
             if holders and engine not in holders:
-                self.read_again += part.tokens
+                self.recomputed_tokens += part.tokens
             holders.add(engine)
-        self.places.record_sent(parts, engine)
+        self.index.record_sent(parts, engine)
 
     def load(self, engine: str) -> int:
-        """Return the requests at `engine` as a router knows them."""
-        known = self.now - LAG_SECONDS
+        """Return the requests at `engine` as known to a router."""
+        counts_at = self.now - LAG_SECONDS
         return sum(
             1
-            for began, _, where in self.running
-            if where == engine and began < known
+            for started_at, _, where in self.running
+            if where == engine and started_at < counts_at
         )
 
     def overloaded(self) -> float:
-        """Return the share of requests above twice the mean plus three."""
+        """Return the share of requests at overloaded engines."""
         over = [
-            at
-            for at, everywhere in self.loads
-            if at + 1 > 2 * (everywhere + 1) / len(ENGINES) + 3
+            load
+            for load, total in self.loads
+            if load + 1 > 2 * (total + 1) / len(ENGINES) + 3
         ]
         return len(over) / len(self.loads)
 
 
-def by_prompt(day: Day, parts) -> str:
+def by_prompt(simulation: Simulation, parts) -> str:
     candidates = [
         affinity.Candidate(
             engine,
-            day.load(engine),
+            simulation.load(engine),
             64,
             True,
-            day.places.uncached_tokens(parts, engine),
+            simulation.index.uncached_tokens(parts, engine),
         )
         for engine in ENGINES
     ]
     tokens = sum(part.tokens for part in parts)
     return affinity.choose_by_prefix(
-        candidates, parts[-2].id, tokens, day.random.random
+        candidates, parts[-2].id, tokens, simulation.random.random
     ).id
 
 
-def by_load(day: Day, parts) -> str:
+def by_load(simulation: Simulation, parts) -> str:
     del parts
     candidates = [
-        affinity.Candidate(engine, day.load(engine), 64) for engine in ENGINES
+        affinity.Candidate(engine, simulation.load(engine), 64)
+        for engine in ENGINES
     ]
-    return affinity.least_loaded(candidates, day.random.random).id
+    return affinity.least_loaded(candidates, simulation.random.random).id
 
 
-class TestPromptsOnABusyDay(unittest.TestCase):
-    """Long beginnings that return, against the load of engines."""
+class TestPrefixAffinity(unittest.TestCase):
+    """Reuse of cached prefixes, and the load of engines."""
 
-    def play(self, choose, **pattern):
-        days = []
+    def simulate(self, choose, **options):
+        runs = []
         for seed in (1, 2, 3):
-            day = Day(seed, **pattern)
-            day.play(choose)
-            days.append(day)
-        again = sum(day.read_again for day in days) / len(days)
-        over = max(day.overloaded() for day in days)
-        return again, over
-
-    def test_beginnings_are_read_a_tenth_as_often_as_without(self):
-        spread, _ = self.play(by_load)
-        kept, over = self.play(by_prompt)
-        self.assertLess(kept, spread / 10)
-        self.assertLess(over, 0.03)
-
-    def test_one_beginning_wanted_by_a_third_overloads_nobody(self):
-        """A council's long minutes are asked about by every third caller.
-
-        All of these requests at the one engine that holds them would hold
-        more than twice the mean.
+            run = Simulation(seed, **options)
+            run.run(choose)
+            runs.append(run)
+        recomputed = sum(run.recomputed_tokens for run in runs) / len(runs)
+        overloaded = max(run.overloaded() for run in runs)
+        return recomputed, overloaded
+
+    def test_affinity_avoids_nine_tenths_of_recomputation(self):
+        by_load_only, _ = self.simulate(by_load)
+        recomputed, overloaded = self.simulate(by_prompt)
+        self.assertLess(recomputed, by_load_only / 10)
+        self.assertLess(overloaded, 0.03)
+
+    def test_popular_prefix_does_not_overload_engines(self):
+        """A third of all requests have the same long prefix.
+
+        They must not all go to the one engine that has cached it.
         """
-        _, over = self.play(by_prompt, hot_share=0.33)
-        self.assertLess(over, 0.03)
+        _, overloaded = self.simulate(by_prompt, popular_share=0.33)
+        self.assertLess(overloaded, 0.03)
 
 
-class TestPromptsThatWait(unittest.TestCase):
-    """Engines that have yet to read long prompts for others."""
+class TestPendingPrefill(unittest.TestCase):
+    """Engines that have yet to prefill prompts of other requests."""
 
-    def choose(self, missing, waiting):
+    def choose(self, uncached, pending):
         candidates = [
-            affinity.Candidate("e0", 1, 64, True, missing[0], waiting[0]),
-            affinity.Candidate("e1", 1, 64, True, missing[1], waiting[1]),
+            affinity.Candidate("e0", 1, 64, True, uncached[0], pending[0]),
+            affinity.Candidate("e1", 1, 64, True, uncached[1], pending[1]),
         ]
         return affinity.choose_by_prefix(candidates, "key", 10_000).id
 
-    def test_cold_prompts_spread(self):
-        """A day begins: no engine holds any of the long beginnings.
+    def test_uncached_prompts_are_spread(self):
+        """No engine has cached any of the prefixes.
 
-        Hashing sent nine of them to one engine within two seconds, and the
-        last waited for all others to be read.
+        Hashing alone may send several long prompts to one engine, where each
+        waits until those before it are prefilled.
         """
         cold = (10_000, 10_000)
         first = self.choose(cold, (0, 0))
-        waiting = (10_000, 0) if first == "e0" else (0, 10_000)
-        self.assertNotEqual(first, self.choose(cold, waiting))
+        pending = (10_000, 0) if first == "e0" else (0, 10_000)
+        self.assertNotEqual(first, self.choose(cold, pending))
 
-    def test_what_is_cached_moves_only_from_a_long_wait(self):
-        # Where targets are drawn, each draw must keep to it.
+    def test_cached_prefix_is_left_only_for_long_queues(self):
+        # Repeated, as the choice may be random.
         for _ in range(20):
             self.assertEqual("e0", self.choose((0, 2_000), (10_000, 0)))
             self.assertEqual("e1", self.choose((0, 2_000), (60_000, 0)))
             self.assertEqual("e0", self.choose((0, 10_000), (60_000, 0)))
 
 
-class TestPromptPlaces(unittest.TestCase):
-    """Which engine holds what, as routers remember it."""
+class TestPrefixIndex(unittest.TestCase):
+    """Locations of cached prefixes, as recorded by routers."""
 
     def setUp(self):
         self.now = 1000.0
-        self.places = prompts.PrefixIndex(lambda: self.now)
+        self.index = prompts.PrefixIndex(lambda: self.now)
         self.parts = (
             records.PromptPart("a", 100),
             records.PromptPart("b", 1000),
             records.PromptPart("own", 10),
         )
 
-    def test_part_counts_only_behind_all_before_it(self):
-        self.places.merge([("b", "e0")])
-        self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e0"))
-        self.places.merge([("a", "e0")])
-        self.assertEqual(10, self.places.uncached_tokens(self.parts, "e0"))
-        self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e1"))
-
-    def test_others_hear_of_shared_parts_once_in_a_while(self):
-        self.places.record_sent(self.parts, "e0")
-        self.places.record_sent(self.parts, "e0")
-        told = [("a", "e0"), ("b", "e0")]
-        self.assertEqual(told, self.places.take_updates())
+    def test_part_counts_only_after_all_parts_before_it(self):
+        self.index.merge([("b", "e0")])
+        self.assertEqual(1110, self.index.uncached_tokens(self.parts, "e0"))
+        self.index.merge([("a", "e0")])
+        self.assertEqual(10, self.index.uncached_tokens(self.parts, "e0"))
+        self.assertEqual(1110, self.index.uncached_tokens(self.parts, "e1"))
+
+    def test_locations_are_reported_at_intervals(self):
+        self.index.record_sent(self.parts, "e0")
+        self.index.record_sent(self.parts, "e0")
+        reported = [("a", "e0"), ("b", "e0")]
+        self.assertEqual(reported, self.index.take_updates())
         self.now += prompts.REPEAT_SECONDS + 1
-        self.places.record_sent(self.parts, "e0")
-        self.assertEqual(told, self.places.take_updates())
+        self.index.record_sent(self.parts, "e0")
+        self.assertEqual(reported, self.index.take_updates())
 
-    def test_part_is_as_urgent_as_the_longest_beginning_that_it_is_in(self):
-        """Routers hear of the most urgent parts first when they are behind.
+    def test_part_has_the_length_of_its_longest_prefix(self):
+        """Locations are reported in order of this length.
 
-        The short instructions that all prompts begin with came last, and no
-        long part was found behind them.
+        A short part that begins many prompts must not come last: the parts
+        after it are of no use without it.
         """
-        self.places.record_sent(self.parts, "e0")
-        self.places.record_sent([self.parts[0], self.parts[2]], "e0")
-        self.assertEqual({"a": 1100, "b": 1100}, self.places.prefix_tokens)
-        self.places.take_updates()
-        self.assertEqual({}, self.places.prefix_tokens)
-
-    def test_what_is_not_used_is_forgotten(self):
-        self.places.record_sent(self.parts, "e0")
+        self.index.record_sent(self.parts, "e0")
+        self.index.record_sent([self.parts[0], self.parts[2]], "e0")
+        self.assertEqual({"a": 1100, "b": 1100}, self.index.prefix_tokens)
+        self.index.take_updates()
+        self.assertEqual({}, self.index.prefix_tokens)
+
+    def test_unused_locations_expire(self):
+        self.index.record_sent(self.parts, "e0")
         self.now += prompts.RETENTION_SECONDS + 1
-        self.assertEqual(1110, self.places.uncached_tokens(self.parts, "e0"))
-        self.places.prune({"e0"})
-        self.assertEqual({}, dict(self.places._locations))
+        self.assertEqual(1110, self.index.uncached_tokens(self.parts, "e0"))
+        self.index.prune({"e0"})
+        self.assertEqual({}, dict(self.index._locations))
 
-    def test_number_of_parts_is_bounded(self):
+    def test_number_of_parts_is_limited(self):
         for number in range(prompts.MAX_PARTS + 10):
-            self.places.merge([(str(number), "e0")])
-        self.assertEqual(prompts.MAX_PARTS, len(self.places._locations))
+            self.index.merge([(str(number), "e0")])
+        self.assertEqual(prompts.MAX_PARTS, len(self.index._locations))
 
 
 class TestPlainRequests(unittest.TestCase):
     """Requests without a prompt."""
 
-    def test_near_target_unless_it_has_more_work(self):
-        near = affinity.Candidate("near", 1, 6, True)
-        far = affinity.Candidate("far", 0, 6, False)
-        self.assertEqual(near, affinity.least_loaded([near, far]))
-        near.load = 3
-        self.assertEqual(far, affinity.least_loaded([near, far]))
+    def test_local_target_is_preferred_unless_more_loaded(self):
+        local = affinity.Candidate("near", 1, 6, True)
+        remote = affinity.Candidate("far", 0, 6, False)
+        self.assertEqual(local, affinity.least_loaded([local, remote]))
+        local.load = 3
+        self.assertEqual(remote, affinity.least_loaded([local, remote]))
 
-    def test_nobody(self):
+    def test_no_candidates(self):
         self.assertIsNone(affinity.least_loaded([]))
         self.assertIsNone(affinity.choose_by_prefix([], "a", 1))
 
 
 class TestRetryBudget(unittest.TestCase):
-    """Repeats of all routers together in any window."""
+    """Retries of all routers together in any window."""
 
-    def test_parts_of_all_routers_stay_below_the_whole(self):
-        """Every target fails, and callers are spread unevenly.
+    def test_routers_together_stay_within_the_budget(self):
+        """All targets fail, and callers are distributed unevenly.
 
-        54 repeats and a fifth of the requests are allowed in 10 s over 7
-        routers, whichever of them gets the requests.
+        In 10 s, 7 routers together may retry a fifth of the requests plus 54,
+        whichever of them receives the requests.
         """
         now = [0.0]
-        made = [
+        budget_of = [
             budgets.WindowBudget(0.2, 54, 10.0, lambda: now[0])
             for _ in range(7)
         ]
-        draw = random.Random(4)
-        times = []
+        rng = random.Random(4)
+        retries = []
         requests = []
         while now[0] < 40:
-            now[0] += draw.expovariate(60)
-            router = min(6, int(draw.expovariate(0.7)))
-            made[router].count_request()
+            now[0] += rng.expovariate(60)
+            router = min(6, int(rng.expovariate(0.7)))
+            budget_of[router].count_request()
             requests.append(now[0])
-            if made[router].take(7):
-                times.append(now[0])
-        self.assertGreater(len(times), 0.1 * len(requests))
+            if budget_of[router].take(7):
+                retries.append(now[0])
+        self.assertGreater(len(retries), 0.1 * len(requests))
         for end in range(10, 41):
-            inside = sum(end - 10 < at <= end for at in times)
-            asked = sum(end - 10 < at <= end for at in requests)
-            self.assertLessEqual(inside, 0.2 * asked + 54)
+            retried = sum(end - 10 < at <= end for at in retries)
+            requested = sum(end - 10 < at <= end for at in requests)
+            self.assertLessEqual(retried, 0.2 * requested + 54)
 
 
-class TestAvoidedTargets(unittest.TestCase):
-    """Targets that failed, as the next request finds them."""
+class TestFailedTargets(unittest.TestCase):
+    """Placement after failures of targets."""
 
     def setUp(self):
         self.now = 100.0
@@ -308,27 +308,27 @@
             "r", "h", "/", routing.Kind.STREAM, 5.0, 0.5, 0, (),
             with_prompt=True, resumable=idempotent,
         )  # fmt: skip
-        passage = records.RequestContext(incoming, route, "", "s", 1, 200.0)
-        return self.placer.choose(passage)
+        context = records.RequestContext(incoming, route, "", "s", 1, 200.0)
+        return self.placer.choose(context)
 
-    def hear(self, unreached):
+    def report_unreachable(self, unreached):
         self.placer.update_from_others(sharing.Others({}, [], unreached))
 
-    def test_one_broken_answer_moves_no_prompt(self):
-        """Engines lose a few answers in a hundred for some seconds.
+    def test_one_broken_response_moves_no_prompt(self):
+        """Engines break off a few responses in a hundred.
 
-        Left at each of them, long prompts went round all engines.
+        If every failure moved requests, long prompts would be prefilled at
+        one engine after the other.
         """
         self.placer.record_failure(self.first, reached=True)
         self.assertEqual(self.first, self.chosen())
         self.placer.record_failure(self.first, reached=True)
         self.assertNotEqual(self.first, self.chosen())
 
-    def test_one_broken_answer_moves_what_runs_only_once(self):
-        """An engine breaks off two answers in five, its health is good.
+    def test_one_broken_response_moves_requests_that_may_run_once(self):
+        """An engine breaks off many responses while its health check passes.
 
-        Conversations that may not run twice are lost with each of them, at
-        every router until two in a row have failed there.
+        Requests that may run only once are lost with each of them.
         """
         other = self.chosen(idempotent=False)
         self.assertEqual(self.first, other)
@@ -342,52 +342,52 @@
         self.assertNotEqual(self.first, self.chosen(idempotent=False))
         self.assertEqual(self.first, self.chosen())
 
-    def test_engines_that_all_fail_share_the_load(self):
-        every = dict.fromkeys(self.placer.table.entries, 1)
-        self.placer.update_from_others(sharing.Others({}, [], failing=every))
+    def test_failing_engines_are_used_if_all_fail(self):
+        failing = dict.fromkeys(self.placer.table.entries, 1)
+        self.placer.update_from_others(sharing.Others({}, [], failing=failing))
         self.assertEqual(self.first, self.chosen(idempotent=False))
 
-    def test_target_that_is_not_there_is_left_at_once(self):
+    def test_unreachable_target_is_avoided_at_once(self):
         self.placer.record_failure(self.first, reached=False)
         self.assertNotEqual(self.first, self.chosen())
         self.now += placement.BACKOFF_SECONDS
         self.assertEqual(self.first, self.chosen())
 
-    def test_an_answer_makes_good(self):
+    def test_response_resets_failures(self):
         self.placer.record_failure(self.first, reached=True)
         self.placer.record_success(self.first)
         self.placer.record_failure(self.first, reached=True)
         self.assertEqual(self.first, self.chosen())
 
-    def test_target_that_others_cannot_reach_is_left_too(self):
-        """An engine's VM loses its power; each router has connections to it.
+    def test_target_that_other_routers_cannot_reach_is_avoided(self):
+        """An engine's VM loses power.
 
-        Without word from others every one of them loses requests to it.
+        Without reports from others, every router would lose requests to it.
         """
-        self.hear({self.first.id: 1})
+        self.report_unreachable({self.first.id: 1})
         self.assertEqual(self.first, self.chosen())
-        self.hear({self.first.id: 2})
+        self.report_unreachable({self.first.id: 2})
         self.assertNotEqual(self.first, self.chosen())
         self.assertTrue(self.placer.failed_recently(self.first))
         self.now += placement.PEER_REPORT_SECONDS
         self.assertEqual(self.first, self.chosen())
 
-    def test_word_of_others_does_not_count_against_own_answers(self):
+    def test_own_success_overrides_reports_of_others(self):
         self.placer.record_success(self.first)
-        self.hear({self.first.id: 5})
+        self.report_unreachable({self.first.id: 5})
         self.assertEqual(self.first, self.chosen())
 
-    def test_if_all_fail_one_is_tried_still(self):
+    def test_one_target_is_tried_if_all_fail(self):
         for record in list(self.placer.table.active()):
             self.placer.record_failure(record, reached=True)
             self.placer.record_failure(record, reached=True)
         self.assertIsNotNone(self.chosen())
 
-    def test_if_none_can_be_reached_the_caller_is_told_at_once(self):
-        """A data centre is cut off from all targets of a service.
+    def test_no_target_if_none_can_be_reached(self):
+        """The router's data centre is isolated from all targets.
 
-        Each request would wait for one connection after the other and be
-        refused in the end, too late to go elsewhere.
+        Otherwise each request would wait for one connect timeout after the
+        other, and be refused too late to go elsewhere.
         """
         for record in list(self.placer.table.active()):
             self.placer.record_failure(record, reached=False)
@@ -395,11 +395,10 @@
         self.now += placement.BACKOFF_SECONDS
         self.assertIsNotNone(self.chosen())
 
-    def test_silent_target_that_answers_keeps_its_prompts(self):
-        """Keepers are cut off from each other, and targets go on serving.
+    def test_silent_target_that_responds_keeps_its_prompts(self):
+        """Keepers are partitioned and miss announcements of live targets.
 
-        Taken as lost for want of announcements, all of a data centre's
-        targets would give their prompts away.
+        Targets that still respond here must not lose their prompts.
         """
         record = dataclasses.replace(self.first, silent=True)
         self.placer.record_success(self.first)
@@ -410,13 +409,10 @@
 
 
 class TestLossyNetwork(unittest.TestCase):
-    """Ninety routers lose the first packet of a connection now and then.
+    """Ninety routers on a lossy network.
 
-    At any moment each engine could not be reached by two or three of them.
-    Two are enough for all others to leave an engine out that they have not
-    used within half a second, so all went on with the same few: from the logs
-    five of 30 engines got four in five requests, answered after 3 to 8 s and
-    held over twice the mean. A trial without this doubt kept the rule.
+    At any time two or three of them fail to connect to each engine. Their
+    reports must not make all other routers use the same few engines.
     """
 
     def test_engines_that_a_few_could_not_reach_share_the_load(self):
@@ -433,30 +429,32 @@
         route = routing.Route(
             "r", "h", "/", routing.Kind.SAFE, 5.0, 0.5, 0, ()
         )  # fmt: skip
-        passage = records.RequestContext(incoming, route, "", "s", 1, 200.0)
+        context = records.RequestContext(incoming, route, "", "s", 1, 200.0)
         sent = collections.Counter()
         for _ in range(60):
-            target = placer.choose(passage)
-            placer.begin(target, passage, None)
+            target = placer.choose(context)
+            placer.begin(target, context, None)
             sent[target.id] += 1
         self.assertLessEqual(max(sent.values()), 2 * 60 / 30)
 
 
-class TestDataCentreCutOff(unittest.TestCase):
-    """A data centre that is cut off from this router's."""
+class TestPartition(unittest.TestCase):
+    """A network partition between this data centre and another."""
 
     def setUp(self):
         self.now = 100.0
         table = targets.TargetTable(lambda: self.now, 0.0)
         for number in range(6):
-            place = "there" if number < 4 else "here"
+            data_centre = "there" if number < 4 else "here"
             table.merge(
-                messages.TargetRecord(f"e{number}", "s", f"e{number}:1", place)
+                messages.TargetRecord(
+                    f"e{number}", "s", f"e{number}:1", data_centre
+                )
             )
         self.placer = placement.Placer(table, "here", lambda: self.now)
         self.records = {r.id: r for r in table.active()}
 
-    def places(self):
+    def chosen_data_centres(self):
         route = routing.Route(
             "r", "h", "/", routing.Kind.STREAM, 5.0, 0.5, 0, (),
             with_prompt=True,
@@ -467,32 +465,32 @@
                 "r", "POST", "/", "/", "h", None, self.now,
                 parts=(records.PromptPart(f"p{number}", 10),),
             )  # fmt: skip
-            passage = records.RequestContext(
+            context = records.RequestContext(
                 incoming, route, "", "s", 1, 200.0
             )
-            found.add(self.placer.choose(passage).data_centre)
+            found.add(self.placer.choose(context).data_centre)
         return found
 
-    def test_all_its_targets_are_left_after_two(self):
-        """A cut drops all packets to a data centre with four engines.
+    def test_data_centre_is_avoided_after_two_unreachable_targets(self):
+        """All packets to a data centre with four engines are dropped.
 
-        Each request would wait for a connection to one after the other.
+        Requests must not wait for a connect timeout of each engine.
         """
         self.placer.record_failure(self.records["e0"], reached=False)
-        self.assertEqual({"here", "there"}, self.places())
+        self.assertEqual({"here", "there"}, self.chosen_data_centres())
         self.placer.record_failure(self.records["e1"], reached=False)
-        self.assertEqual({"here"}, self.places())
+        self.assertEqual({"here"}, self.chosen_data_centres())
         self.now += placement.PARTITION_SECONDS
-        self.assertEqual({"here", "there"}, self.places())
+        self.assertEqual({"here", "there"}, self.chosen_data_centres())
 
-    def test_word_from_one_ends_it(self):
+    def test_contact_with_one_target_ends_it(self):
         self.placer.record_failure(self.records["e0"], reached=False)
         self.placer.record_failure(self.records["e1"], reached=False)
         self.placer.record_contact(self.records["e2"])
-        self.assertEqual({"here", "there"}, self.places())
+        self.assertEqual({"here", "there"}, self.chosen_data_centres())
 
-    def test_own_data_centre_is_never_left(self):
+    def test_own_data_centre_is_never_avoided(self):
         self.placer.record_failure(self.records["e4"], reached=False)
         self.placer.record_failure(self.records["e5"], reached=False)
         self.now += placement.BACKOFF_SECONDS
-        self.assertEqual({"here", "there"}, self.places())
+        self.assertEqual({"here", "there"}, self.chosen_data_centres())
--- a/tests/test_prompt_spread.py
+++ b/tests/test_prompt_spread.py
@@ -1,12 +1,10 @@
-"""Many routers that place by counts which are old, without a network.
-
-The load pattern is that of a large fleet at its peak: 84 routers, 34 engines,
-154 requests with a prompt a second that last 0.9 s each; 23 in 100 begin with
-one of 90 long beginnings, the rest with one of 500 short ones, wanted by
-Zipf's law. A router knows of the others' requests what was so 0.2 to 0.7 s
-ago: it reports each 0.25 s, and keepers pass sums on as often. For ten
-seconds a third of all callers may want one beginning, as on a day when a
-week of lessons is cancelled.
+"""Placement by many routers with outdated load counts, without a network.
+
+The load is that of a large fleet at its peak: 84 routers, 34 engines, and 154
+requests with a prompt per second that take 0.9 s each. 23 % of prompts begin
+with one of 90 long prefixes, the others with one of 500 short ones, with a
+Zipf distribution. A router's counts of other routers' requests are 0.2 to
+0.7 s old. For ten seconds a third of all requests may share one prefix.
 """
 
 import collections
@@ -24,18 +22,18 @@
 LONG_SHARE = 0.23
 LONG_TOKENS, SHORT_TOKENS = 10_000, 1_000
 LONG, SHORT = 90, 500
-# Seconds during which one beginning is much wanted, and after which a part
-# has been read and can be copied.
-WANTED = (10.0, 20.0)
-READ_SECONDS = 0.25
+# Time during which one prefix is popular, and time until a prefix has been
+# prefilled and can be copied.
+POPULAR_TIME = (10.0, 20.0)
+PREFILL_SECONDS = 0.25
 
 
 @dataclasses.dataclass
 class Running:
-    """A request at an engine."""
+    """A request in flight at an engine."""
 
-    began: float
-    ends: float
+    started_at: float
+    ends_at: float
     engine: str
     router: int
 
@@ -44,42 +42,42 @@
     return [1 / (rank + 1) for rank in range(number)]
 
 
-class Peak:
-    """The pattern, placed one request after the other.
+class PeakLoad:
+    """Simulation of the load, with one placement per request.
 
     Attributes
     ----------
-    above : list of bool
-        For each request whether its engine held more than twice the mean
-        and three.
-    asked : int
-        Tokens of all beginnings.
-    read_again, copied : int
-        Those of them that were read or copied though some engine had them.
+    overloaded : list of bool
+        For each request, whether its engine ran more than twice the mean
+        plus three.
+    requested_tokens : int
+        Tokens of all prefixes.
+    recomputed_tokens, copied_tokens : int
+        Those that were prefilled or copied although some engine had them.
     """
 
-    def __init__(self, seed: int, wanted_share: float):
+    def __init__(self, seed: int, popular_share: float):
         self.random = random.Random(seed)
-        self.wanted_share = wanted_share
+        self.popular_share = popular_share
         self.now = 0.0
         self.running: list[Running] = []
-        self.places: dict[str, dict[str, tuple[float, int]]] = (
+        self.locations: dict[str, dict[str, tuple[float, int]]] = (
             collections.defaultdict(dict)
         )
-        self.above: list[bool] = []
-        self.asked = self.read_again = self.copied = 0
+        self.overloaded: list[bool] = []
+        self.requested_tokens = self.recomputed_tokens = self.copied_tokens = 0
 
-    def play(self) -> None:
+    def run(self) -> None:
         """Place all requests."""
         while self.now < SECONDS:
             self.now += self.random.expovariate(RATE)
-            self.running = [r for r in self.running if r.ends > self.now]
-            self.place(*self.beginning())
+            self.running = [r for r in self.running if r.ends_at > self.now]
+            self.place(*self.next_prefix())
 
-    def beginning(self) -> tuple[str, int]:
-        """Return the name and length of the next request's beginning."""
-        wanted = WANTED[0] < self.now < WANTED[1]
-        if wanted and self.random.random() < self.wanted_share:
+    def next_prefix(self) -> tuple[str, int]:
+        """Return the id and length of the next request's prefix."""
+        popular = POPULAR_TIME[0] < self.now < POPULAR_TIME[1]
+        if popular and self.random.random() < self.popular_share:
             return "long0", LONG_TOKENS
         if self.random.random() < LONG_SHARE:
             rank = self.random.choices(range(LONG), zipf(LONG))[0]
@@ -87,77 +85,80 @@
         rank = self.random.choices(range(SHORT), zipf(SHORT))[0]
         return f"short{rank}", SHORT_TOKENS
 
-    def place(self, part: str, tokens: int) -> None:
-        """Place one request as one of the routers does."""
+    def place(self, prefix: str, tokens: int) -> None:
+        """Place one request as a random router would."""
         router = self.random.randrange(ROUTERS)
-        known_until = self.now - self.random.uniform(0.2, 0.7)
+        counts_at = self.now - self.random.uniform(0.2, 0.7)
         loads = collections.Counter(
             one.engine
             for one in self.running
-            if one.began < known_until or one.router == router
+            if one.started_at < counts_at or one.router == router
         )
-        keeping = {
+        holders = {
             engine: since
-            for engine, (since, told_by) in self.places[part].items()
-            if since < known_until or told_by == router
+            for engine, (since, reported_by) in self.locations[prefix].items()
+            if since < counts_at or reported_by == router
         }
-        copied = any(s <= self.now - READ_SECONDS for s in keeping.values())
+        copyable = any(
+            s <= self.now - PREFILL_SECONDS for s in holders.values()
+        )
         candidates = []
         for engine in ENGINES:
-            missing = 0 if engine in keeping else tokens
-            one = affinity.Candidate(engine, loads[engine], 64, True, missing)
-            one.copied_tokens = missing if copied else 0
+            uncached = 0 if engine in holders else tokens
+            one = affinity.Candidate(engine, loads[engine], 64, True, uncached)
+            one.copied_tokens = uncached if copyable else 0
             candidates.append(one)
         draw = self.random.random
-        chosen = affinity.choose_by_prefix(candidates, part, tokens, draw)
-        self.account(chosen, part, tokens, router)
+        chosen = affinity.choose_by_prefix(candidates, prefix, tokens, draw)
+        self.record(chosen, prefix, tokens, router)
 
-    def account(self, chosen, part, tokens, router) -> None:
-        """Count a request at its engine."""
-        self.asked += tokens
-        holders = self.places[part]
+    def record(self, chosen, prefix, tokens, router) -> None:
+        """Record a request at its engine."""
+        self.requested_tokens += tokens
+        holders = self.locations[prefix]
         if chosen.id not in holders:
             if holders and chosen.copied_tokens:
-                self.copied += tokens
+                self.copied_tokens += tokens
             elif holders:
-                self.read_again += tokens
+                self.recomputed_tokens += tokens
             holders[chosen.id] = (self.now, router)
-        there = sum(one.engine == chosen.id for one in self.running)
+        load = sum(one.engine == chosen.id for one in self.running)
         mean = len(self.running) / len(ENGINES)
-        self.above.append(there > 2 * mean + 3)
-        ends = self.now + self.random.expovariate(1 / REQUEST_SECONDS)
-        self.running.append(Running(self.now, ends, chosen.id, router))
+        self.overloaded.append(load > 2 * mean + 3)
+        ends_at = self.now + self.random.expovariate(1 / REQUEST_SECONDS)
+        self.running.append(Running(self.now, ends_at, chosen.id, router))
 
 
-class TestOldCounts(unittest.TestCase):
-    """All routers see the same engine as the cheapest until counts come."""
+class TestOutdatedCounts(unittest.TestCase):
+    """All routers see the same cheapest engine until counts are updated."""
 
-    def play(self, wanted_share):
+    def run_peaks(self, popular_share):
         peaks = []
         for seed in (1, 2, 3):
-            peak = Peak(seed, wanted_share)
-            peak.play()
+            peak = PeakLoad(seed, popular_share)
+            peak.run()
             peaks.append(peak)
-        above = [one for peak in peaks for one in peak.above]
-        return sum(above) / len(above), peaks
+        overloaded = [one for peak in peaks for one in peak.overloaded]
+        return sum(overloaded) / len(overloaded), peaks
 
     def test_few_requests_reach_an_overloaded_engine(self):
-        """One in 75 did when all routers took the cheapest engine."""
-        above, _ = self.play(0.0)
-        self.assertLess(above, 0.01)
+        """Routers must not all take the cheapest engine."""
+        overloaded_share, _ = self.run_peaks(0.0)
+        self.assertLess(overloaded_share, 0.01)
 
-    def test_one_beginning_wanted_by_a_third(self):
-        """A week is cancelled, and a third of all callers ask about it.
+    def test_popular_prefix_does_not_overload_engines(self):
+        """A third of all requests have the same prefix.
 
-        One in eleven requests reached an engine with more than twice the
-        mean and three: within the age of the counts all of them went to
-        whichever of the engines that keep the beginning was the cheapest.
+        Until counts are updated, they must not all go to the cheapest of the
+        engines that have cached it.
         """
-        above, _ = self.play(0.3)
-        self.assertLess(above, 0.05)
+        overloaded_share, _ = self.run_peaks(0.3)
+        self.assertLess(overloaded_share, 0.05)
 
-    def test_one_in_a_hundred_tokens_is_read_again_at_most(self):
-        _, peaks = self.play(0.0)
+    def test_few_tokens_are_recomputed(self):
+        _, peaks = self.run_peaks(0.0)
         for peak in peaks:
-            self.assertLess(peak.read_again, peak.asked / 100)
-            self.assertLess(peak.copied, peak.asked / 10)
+            self.assertLess(
+                peak.recomputed_tokens, peak.requested_tokens / 100
+            )
+            self.assertLess(peak.copied_tokens, peak.requested_tokens / 10)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing plans: look-ups and what makes a plan invalid."""
+"""Lookup in routing plans, and their validation."""
 
 import dataclasses
 import unittest
@@ -24,7 +24,7 @@
 
 
 class TestMatch(unittest.TestCase):
-    """Which route a request takes."""
+    """Route of a request."""
 
     def setUp(self):
         self.table = routing.RouteTable(
@@ -35,28 +35,28 @@
             )
         )
 
-    def name(self, host, path):
+    def route_name(self, host, path):
         found = self.table.match(host, path)
         return found.name if found else None
 
     def test_longest_prefix_wins(self):
-        self.assertEqual("short", self.name("h", "/a/x"))
-        self.assertEqual("long", self.name("h", "/a/b/x"))
-        self.assertEqual("long", self.name("h", "/a/b/"))
-        self.assertEqual("root", self.name("other", "/a/b/c"))
+        self.assertEqual("short", self.route_name("h", "/a/x"))
+        self.assertEqual("long", self.route_name("h", "/a/b/x"))
+        self.assertEqual("long", self.route_name("h", "/a/b/"))
+        self.assertEqual("root", self.route_name("other", "/a/b/c"))
 
-    def test_prefix_is_of_whole_segments(self):
-        self.assertIsNone(self.name("h", "/ab/x"))
-        self.assertIsNone(self.name("h", "/a"))
-        self.assertEqual("short", self.name("h", "/a/bc"))
+    def test_prefix_matches_whole_segments_only(self):
+        self.assertIsNone(self.route_name("h", "/ab/x"))
+        self.assertIsNone(self.route_name("h", "/a"))
+        self.assertEqual("short", self.route_name("h", "/a/bc"))
 
-    def test_host_in_any_case_and_with_a_port(self):
-        self.assertEqual("short", self.name("H:8080", "/a/x"))
-        self.assertIsNone(self.name("nobody", "/a/x"))
+    def test_host_matches_in_any_case_and_with_a_port(self):
+        self.assertEqual("short", self.route_name("H:8080", "/a/x"))
+        self.assertIsNone(self.route_name("nobody", "/a/x"))
 
 
 class TestShares(unittest.TestCase):
-    """How requests of one route are split over services."""
+    """Distribution of the requests of one route over services."""
 
     def test_split_follows_the_weights(self):
         split = route(shares=(("s", 90), ("t", 10)))
@@ -70,25 +70,31 @@
 
 
 class TestCheck(unittest.TestCase):
-    """Plans that change nothing."""
+    """Invalid plans are rejected."""
 
-    def check(self, found, expected):
+    def check_invalid(self, found, expected):
         with self.assertRaises(errors.InvalidPlanError) as caught:
             routing.check(found)
         self.assertIn(expected, str(caught.exception))
 
-    def test_good_plan_passes(self):
+    def test_valid_plan_passes(self):
         routing.check(plan(route(), route("r2", prefix="/b/")))
 
-    def test_faults(self):
-        self.check(plan(route(shares=(("x", 1),))), "service of route r")
-        self.check(plan(route(), route("r2")), "place")
-        self.check(plan(route(shares=(("s", 0),))), "weights of route r")
-        self.check(plan(route(shares=(("s", -1), ("t", 2)))), "weight")
-        self.check(plan(dataclasses.replace(route(), timeout=0.0)), "timeout")
-        self.check(plan(route(prefix="a/")), "prefix")
+    def test_invalid_fields(self):
+        self.check_invalid(
+            plan(route(shares=(("x", 1),))), "service of route r"
+        )
+        self.check_invalid(plan(route(), route("r2")), "place")
+        self.check_invalid(
+            plan(route(shares=(("s", 0),))), "weights of route r"
+        )
+        self.check_invalid(plan(route(shares=(("s", -1), ("t", 2)))), "weight")
+        self.check_invalid(
+            plan(dataclasses.replace(route(), timeout=0.0)), "timeout"
+        )
+        self.check_invalid(plan(route(prefix="a/")), "prefix")
 
-    def test_shared_key_is_refused_and_not_shown(self):
+    def test_duplicate_key_is_rejected_and_not_shown(self):
         accounts = [
             routing.Account("a", ("secret", "x")),
             routing.Account("b", ("secret",)),
