--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -163,7 +163,7 @@
             )
         if not head.signed or head.encoded:
             raise errors.UpstreamError(
-                "response not signed by the target, or re-encoded",
+                "response is unsigned or has a content coding",
                 given=head.status,
                 expected="a signed response without content coding",
             )
--- a/amaranthring/forwarding/records.py
+++ b/amaranthring/forwarding/records.py
@@ -117,7 +117,7 @@
     other_target : bool
         Whether another target has taken over the address.
     encoded : bool
-        Whether an intermediary changed the encoding of the body.
+        Whether the body has a content coding; it is then not forwarded.
     load : Load or None
         Load of the target, if reported.
     """
--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -179,7 +179,7 @@
         errors.NoTargetError
             If every target of the cell is excluded.
         errors.QueueFullError, errors.DeadlineError
-            If the queue is full, or the wait would exceed the deadline.
+            If it cannot be queued, or the wait would exceed the deadline.
         """
         self.bound = policy.bound
         if not any(name not in request.excluded for name in self.targets):
--- a/amaranthring/policy/suspects.py
+++ b/amaranthring/policy/suspects.py
@@ -2,9 +2,9 @@
 
 When a target crashes, all requests in flight there become suspects. A suspect
 is retried on a target without another suspect, and is cleared when that run
-succeeds. It is condemned only if another target crashes during such a run.
-Requests that merely ran beside the cause, or on failing hardware, are
-therefore not condemned.
+ends without a crash. It is condemned only if another target crashes during
+such a run. Requests that merely ran beside the cause, or on hardware that
+failed at the same time, are therefore not condemned.
 """
 
 import collections
