--- a/amaranthring/keepers/consensus.py
+++ b/amaranthring/keepers/consensus.py
@@ -1,8 +1,8 @@
-"""A group of keepers that agree on one durable log of commands.
+"""Consensus of a group of keepers on a durable log of commands.
 
 :class:`Group` holds the state of this keeper in one group and is what other
-packages use; the rules of the algorithm are functions that work on it, in
-:mod:`roles`, :mod:`election`, :mod:`replication`, :mod:`applying`,
+packages use; the algorithm is implemented as functions on it, in
+:mod:`roles`, :mod:`election`, :mod:`replication`, :mod:`applier`,
 :mod:`membership` and :mod:`genesis`. See ``docs/design/consensus.md``.
 """
 
@@ -30,26 +30,25 @@
 from amaranthring.keepers import status
 from amaranthring.keepers import store
 
-WAITING_MOST = 10_000
-CANCEL_SECONDS = 0.1
+MAX_PENDING_PROPOSALS = 10_000
+CANCEL_RETRY_SECONDS = 0.1
 
 
 async def cancel_tasks(tasks: list[asyncio.Task]) -> None:
     """Cancel `tasks` until all have ended.
 
-    A cancellation that comes in the very step in which a reply does is
-    swallowed by ``asyncio.wait_for``; a task that then goes round its loop
-    would hold up the end of the process for ever.
+    ``asyncio.wait_for`` swallows a cancellation that arrives in the same
+    step as the result, so a task in a loop may need to be cancelled again.
     """
     pending = set(tasks)
     while pending:
         for task in pending:
             task.cancel()
-        _, pending = await asyncio.wait(pending, timeout=CANCEL_SECONDS)
+        _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_SECONDS)
 
 
 class Group:
-    """Part of this keeper in one group.
+    """Membership of this keeper in one consensus group.
 
     Parameters
     ----------
@@ -58,47 +57,47 @@
     keeper : settings.PeerAddress
         This keeper.
     peers : list of settings.PeerAddress
-        Every keeper of the settings, this one included.
+        All keepers in the settings, including this one.
     folder : path
         Data folder of this group.
-    machine : options.Machine
-        What committed commands are applied to.
+    machine : options.StateMachine
+        State machine that committed commands are applied to.
     identity, keys, handlers
-        For the streams to other keepers.
+        For the links to other keepers.
     options, clocks, files, metrics : optional
         Timing, time sources, system calls, counters.
     pacer : pacing.Pacer, optional
-        Of the link, for snapshots and for entries that others lack.
+        Paces snapshots and catch-up entries on the link.
 
     Attributes
     ----------
     on_applied : list of callable
         Called with the index after each applied entry.
     on_leader : list of callable
-        Called with the term once this keeper leads and has applied
-        everything committed before.
+        Called with the term once this keeper is the leader and has applied
+        all entries committed in earlier terms.
     on_follower : list of callable
-        Called without arguments when it leads no more.
+        Called without arguments when this keeper stops being the leader.
     fault : errors.StorageError, optional
-        Why it stopped taking part.
+        Why this keeper stopped participating.
     recoverable : bool
-        Whether it takes part again once its disk works again; otherwise
-        only after a restart of the process.
-    heard_at, campaign_at, led_at : float
-        Monotonic times: a leader was heard; a campaign is due; this keeper
-        became the leader.
-    led_from : int
-        First entry of this keeper's leadership.
-    favoured : election.Favoured, optional
-        Candidate that it would vote for a moment ago.
-    changed_at : float
-        Monotonic time at which the members last changed: who was taken in
-        then has had no time to answer before.
+        Whether it resumes once the disk works again; otherwise only after a
+        restart of the process.
+    heard_at, election_deadline, leader_since : float
+        Monotonic times: the last message from a leader; the next campaign;
+        the start of this keeper's leadership.
+    term_start_index : int
+        Index of the first entry of this keeper's leadership.
+    pre_vote_grant : election.PreVoteGrant, optional
+        Candidate that holds this keeper's pre-vote.
+    members_changed_at : float
+        Monotonic time of the last change of members; silence before it does
+        not count against a new member.
 
     Raises
     ------
     errors.StorageError
-        If the folder is foreign, in use or damaged.
+        If the folder belongs to another keeper, is in use or is corrupt.
     """
 
     def __init__(
@@ -130,14 +129,14 @@
         self.random = random.Random()
         self.folder = folder
         self.files = files or disk.FileOps()
-        self.empty_state = machine.snapshot()
-        self._use_store(self.open_store())
+        self.initial_state = machine.snapshot()
+        self._load_store(self.open_store())
         self.leading = False
         self.leadership_announced = False
         self.leader_disk = ""
         self.leader_since = 0.0
         self.term_start_index = 0
-        self.changed_at = 0.0
+        self.members_changed_at = 0.0
         self.fault: errors.StorageError | None = None
         self.recoverable = False
         self.pending_proposals: dict[int, tuple[int, asyncio.Future]] = {}
@@ -148,27 +147,29 @@
         self.on_applied: list[t.Callable[[int], None]] = []
         self.on_leader: list[t.Callable[[int], None]] = []
         self.on_follower: list[t.Callable[[], None]] = []
-        # A promise not to vote against a heard leader is kept in memory
-        # only; counting a start as hearing one keeps it over restarts.
+        # The promise not to vote against a live leader is not persisted, so
+        # a restarted keeper acts as if it had just heard from one.
         self.heard_at = (
             self.options.process_started_at or self.clocks.monotonic()
         )
-        self.campaign_at = 0.0
-        self.favoured: election.PreVoteGrant | None = None
+        self.election_deadline = 0.0
+        self.pre_vote_grant: election.PreVoteGrant | None = None
         election.schedule_first_campaign(self)
         self.tasks: list[asyncio.Task] = []
         self.peers: dict[str, replication.Peer] = {}
-        self.configured = [peer for peer in peers if peer.name != keeper.name]
-        for peer in self.configured:
+        self.configured_peers = [
+            peer for peer in peers if peer.name != keeper.name
+        ]
+        for peer in self.configured_peers:
             self.add_peer(peer.name, peer.address, peer.data_centre)
 
     def open_store(self) -> store.Store:
-        """Return the durable state as it is in the folder.
+        """Open the durable state in the folder.
 
         Raises
         ------
         errors.StorageError
-            If the folder is foreign, in use or damaged.
+            If the folder belongs to another keeper, is in use or is corrupt.
         """
         return store.Store(
             self.folder,
@@ -180,13 +181,13 @@
             kept_entries=self.options.kept_entries,
         )
 
-    def _use_store(self, opened: store.Store) -> None:
+    def _load_store(self, opened: store.Store) -> None:
         self.store = opened
         self.log = opened.log
         self.writer = opened.writer
-        self.disk_id = opened.hard.disk
-        self.term = opened.hard.term
-        self.vote = opened.hard.vote
+        self.disk_id = opened.hard_state.disk
+        self.term = opened.hard_state.term
+        self.vote = opened.hard_state.vote
         self.receiver = snapshots.Receiver(opened.folder, opened.files)
         self.commit_index = self.applied_index = 0
         if opened.snapshot:
@@ -194,14 +195,13 @@
             opened.snapshot = None
 
     def resume(self, opened: store.Store) -> None:
-        """Take part again after the disk failed, from what it holds.
+        """Participate again after a disk failure, from the reopened store.
 
-        Everything begins as at a start of the process. Entries that were
-        applied before may be missing on the disk, so the machine is built
-        anew as well.
+        Applied entries may be missing on the disk, so the state machine is
+        reset too, as after a restart of the process.
         """
-        self.machine.restore(self.empty_state)
-        self._use_store(opened)
+        self.machine.restore(self.initial_state)
+        self._load_store(opened)
         self.leader_disk = ""
         self.heard_at = self.clocks.monotonic()
         election.reset_election_timer(self)
@@ -226,14 +226,14 @@
             self._start_peer(peer)
         self.members_changed()
 
-    def _start_tasks(self, *works: t.Coroutine) -> None:
-        for work in works:
-            task = asyncio.ensure_future(work)
+    def _start_tasks(self, *coroutines: t.Coroutine) -> None:
+        for coroutine in coroutines:
+            task = asyncio.ensure_future(coroutine)
             task.add_done_callback(self._task_ended)
             self.tasks.append(task)
 
     async def stop(self) -> None:
-        """Step down, end all tasks and close the files."""
+        """Step down, cancel all tasks and close the files."""
         roles.step_down(self, "stopping")
         for peer in self.peers.values():
             peer.stop()
@@ -242,15 +242,14 @@
 
     @property
     def members(self) -> messages.Members:
-        """Return the newest configuration, committed or not."""
+        """Return the latest configuration, committed or not."""
         return self.store.members
 
     def leader(self) -> str:
         """Return the name of the leader, or an empty string.
 
-        A keeper that is cut off hears of no election. Naming for ever the
-        leader that it last heard would send routers after it, each call for
-        its whole time, where they could be refused at once.
+        A partitioned keeper must not keep naming its last leader: routers
+        would call it until their timeout instead of being refused at once.
         """
         if not self.leading and not election.hears_leader(self):
             return ""
@@ -258,7 +257,7 @@
         return member.name if member else ""
 
     def has_lease(self) -> bool:
-        """Return whether no other keeper can lead at this moment."""
+        """Return whether this keeper holds the leader lease."""
         now = self.clocks.monotonic()
         return self.leading and now < election.lease_until(self)
 
@@ -267,25 +266,25 @@
         return status.describe(self)
 
     async def propose(self, command: t.Any, timeout: float) -> t.Any:
-        """Commit `command` and return what the machine made of it.
+        """Commit `command` and return its result from the state machine.
 
         Parameters
         ----------
         command : object
-            A registered message.
+            A message registered with ``wire.message``.
         timeout : float
             Seconds to wait for the result.
 
         Raises
         ------
         errors.NotLeaderError, errors.NoQuorumError
-            Nothing was accepted.
+            If the command was not accepted.
         errors.TooLargeError, errors.QueueFullError
-            Nothing was accepted.
+            If the command was not accepted.
         errors.CommitUnknownError
-            The command may be committed now, later or never.
+            If the command may or may not be committed, now or later.
         errors.AmaranthringError
-            The result of the command.
+            If the state machine refused the command.
         """
         await self._await_lease(timeout)
         body = wire.encode_value(command)
@@ -295,8 +294,10 @@
                 given=len(body),
                 expected=f"at most {logfile.MAX_ENTRY_BYTES} bytes",
             )
-        if len(self.pending_proposals) >= WAITING_MOST:
-            raise errors.QueueFullError("proposals waiting", retry_after=1.0)
+        if len(self.pending_proposals) >= MAX_PENDING_PROPOSALS:
+            raise errors.QueueFullError(
+                "too many pending proposals", retry_after=1.0
+            )
         entry = self.new_entry(
             wire.tag_of(type(command)), body, self.fleet_time()
         )
@@ -307,23 +308,22 @@
             return await asyncio.wait_for(future, timeout)
         except TimeoutError as error:
             raise errors.CommitUnknownError(
-                f"entry {entry.index} not committed in {timeout} s",
+                f"entry {entry.index} not committed within {timeout} s",
                 retry_after=1.0,
             ) from error
         finally:
             self.pending_proposals.pop(entry.index, None)
 
     async def read_barrier(self, timeout: float = 2.0) -> None:
-        """Return once the machine holds everything committed before the call.
+        """Wait until all entries committed before the call are applied.
 
-        The lease is checked on the monotonic clock when the wait is over: a
-        leader that was frozen finds it run out. What the machine holds from
-        then on is at least as new as the moment of that check.
+        The lease is checked after the wait, so that a leader that was
+        paused meanwhile does not serve stale reads.
 
         Raises
         ------
         errors.NotLeaderError, errors.NoQuorumError
-            This keeper cannot say.
+            If this keeper cannot confirm that it is the leader.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
@@ -335,11 +335,10 @@
         await self._await_lease(deadline - loop.time())
 
     def fleet_time(self) -> float:
-        """Return the time in seconds that the next entry gets.
+        """Return the timestamp in seconds for the next entry.
 
-        It is the lower median of the wall clocks of the voters, so that one
-        clock that jumps ahead cannot expire what the log keeps; and it is
-        never below the last entry's.
+        It is the lower median of the voters' wall clocks, so that a single
+        fast clock cannot expire entries, and never decreases.
         """
         now = self.clocks.monotonic()
         offsets = [self.clocks.wall() - now]
@@ -352,7 +351,7 @@
         return max(self.log.last_stamp, now + median)
 
     def new_entry(self, tag: str, body: bytes, stamp: float) -> logfile.Entry:
-        """Return a new last entry, on its way to the disks."""
+        """Append a new entry and start replicating it."""
         entry = logfile.make_entry(
             self.log.last_index + 1, self.term, stamp, tag, body
         )
@@ -362,7 +361,7 @@
         return entry
 
     def append(self, entries: list[logfile.Entry]) -> None:
-        """Add entries to the log and queue them for the disk."""
+        """Append entries to the log and queue them for the disk."""
         if self.store.append(entries):
             self.members_changed()
 
@@ -372,13 +371,13 @@
             self.members_changed()
 
     def commit(self, index: int) -> None:
-        """Note that everything up to `index` is committed."""
+        """Raise the commit index to `index`."""
         if index > self.commit_index:
             self.commit_index = index
             self.commit_advanced.set()
 
     def add_peer(self, name, address, data_centre) -> replication.Peer:
-        """Return the peer `name`, made and dialled if it is new."""
+        """Return the peer `name`; create and dial it if it is new."""
         if name in self.peers:
             return self.peers[name]
         dialler = links.Dialler(
@@ -390,34 +389,36 @@
             self._start_peer(peer)
         return peer
 
-    def drop_strangers(self) -> None:
-        """Forget peers that are neither members nor in the settings."""
+    def drop_unknown_peers(self) -> None:
+        """Remove peers that are neither members nor in the settings."""
         known = membership.names(self.members)
-        known |= {peer.name for peer in self.configured}
+        known |= {peer.name for peer in self.configured_peers}
         for name in set(self.peers) - known:
             self.peers.pop(name).stop()
 
     def members_changed(self) -> None:
-        """Dial who joined, forget who left."""
-        self.changed_at = self.clocks.monotonic()
-        self.store.forget_members(self.applied_index)
+        """Add peers for new members and remove those of former ones."""
+        self.members_changed_at = self.clocks.monotonic()
+        self.store.prune_member_history(self.applied_index)
         for member in self.members.voters + self.members.learners:
             if member.name != self.keeper.name:
                 self.add_peer(member.name, member.address, member.data_centre)
-        self.drop_strangers()
+        self.drop_unknown_peers()
 
     def _start_peer(self, peer: replication.Peer) -> None:
         peer.dialler.start()
-        peer.main = asyncio.ensure_future(replication.replicate(self, peer))
-        peer.main.add_done_callback(self._task_ended)
+        peer.main_task = asyncio.ensure_future(
+            replication.replicate(self, peer)
+        )
+        peer.main_task.add_done_callback(self._task_ended)
         peer.wake.set()
 
     def _task_ended(self, task: asyncio.Task) -> None:
         if task.cancelled() or task.exception() is None:
             return
-        # A keeper that goes on without one of its tasks would hold its
-        # role and do half of the work; the others can do all of it.
-        error = errors.StorageError(f"task ended: {task.exception()!r}")
+        # Without one of its tasks a leader could keep its role and still
+        # not do its work, so it leaves the group to the others.
+        error = errors.StorageError(f"task failed: {task.exception()!r}")
         roles.fail(self, error)
 
     def _require_leader(self) -> None:
@@ -435,8 +436,8 @@
 
     async def _await_lease(self, timeout: float) -> None:
         loop = asyncio.get_running_loop()
-        most = min(timeout, self.options.election_seconds)
-        deadline = loop.time() + most
+        wait = min(timeout, self.options.election_seconds)
+        deadline = loop.time() + wait
         self._require_leader()
         while not self.has_lease():
             await self._wait(self.lease_changed, deadline - loop.time())
--- a/amaranthring/keepers/disk.py
+++ b/amaranthring/keepers/disk.py
@@ -1,9 +1,9 @@
-"""Durable files of one group: identity, term and vote, atomic writes, sync.
+"""Durable files of one group: hard state, atomic replacement, disk writer.
 
-All writes of a group's log go through one :class:`Writer`: one thread off
-the event loop, so that heartbeats go on while the disk is busy, and one sync
-for everything that waited meanwhile. System calls that may fail are passed
-in as :class:`Files`, which lets tests fill the disk.
+All writes to a group's log go through one :class:`Writer`: a thread outside
+the event loop, so that heartbeats continue while the disk is busy, with one
+sync per batch. System calls that may fail are passed in as :class:`FileOps`,
+so that tests can inject write errors.
 """
 
 import asyncio
@@ -30,16 +30,16 @@
 
 @dataclasses.dataclass
 class FileOps:
-    """System calls that write; a seam for write errors.
+    """System calls that write; tests replace them to inject errors.
 
     Attributes
     ----------
     write : callable
-        As :func:`os.write`.
+        Like :func:`os.write`.
     sync : callable
-        As :func:`os.fdatasync`.
+        Like :func:`os.fdatasync`.
     replace : callable
-        As :func:`os.replace`.
+        Like :func:`os.replace`.
     """
 
     write: t.Callable[[int, bytes], int] = os.write
@@ -49,20 +49,20 @@
 
 @dataclasses.dataclass
 class HardState:
-    """What a keeper must not forget before it answers.
+    """State that a keeper must persist before it replies to a message.
 
     Attributes
     ----------
     group, keeper, disk : str
-        Whose folder this is, and its random identity.
+        Owner of the folder, and its random disk identity.
     term : int
         Highest term seen.
     vote : str
-        Disk that got this disk's vote in `term`, or empty.
+        Disk that received this disk's vote in `term`, or empty.
     begun : bool
-        Whether a log was ever begun; one that is missing then was lost.
+        Whether a log was created; if so, a missing log is data loss.
     genesis : Members, optional
-        First configuration of the group; None until the disk joined one.
+        First configuration of the group; None until the disk has joined one.
     """
 
     group: str
@@ -82,7 +82,7 @@
 
 
 def sync_folder(folder: pathlib.Path) -> None:
-    """Sync `folder` itself, so that renames and new files last."""
+    """Sync `folder` itself, so that renames and new files are durable."""
     fd = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(fd)
@@ -91,7 +91,7 @@
 
 
 def replace_file(path: pathlib.Path, data: bytes, files: FileOps) -> None:
-    """Replace the file at `path` by `data`: whole or not at all."""
+    """Atomically replace the contents of the file at `path` by `data`."""
     temporary = path.with_suffix(TEMPORARY_SUFFIX)
     fd = os.open(temporary, os.O_CREAT | os.O_TRUNC | os.O_WRONLY, 0o600)
     try:
@@ -104,17 +104,17 @@
 
 
 def with_checksum(data: bytes) -> bytes:
-    """Return `data` behind its checksum."""
+    """Return `data` prefixed with its checksum."""
     return zlib.crc32(data).to_bytes(CHECKSUM_BYTES, "big") + data
 
 
 def verify_checksum(data: bytes, path: pathlib.Path) -> bytes:
-    """Return what :func:`with_checksum` was given.
+    """Return `data` without its checksum, after verifying it.
 
     Raises
     ------
     errors.StorageError
-        If the checksum does not fit.
+        If the checksum does not match.
     """
     body = data[CHECKSUM_BYTES:]
     if with_checksum(body) != data:
@@ -123,12 +123,12 @@
 
 
 def damage_error(path: pathlib.Path, what: str) -> errors.StorageError:
-    """Return the error for a damaged file, saying what to do."""
+    """Return the error for a corrupt file, with instructions to recover."""
     return errors.StorageError(
         f"{path}: {what}",
         given="a damaged file",
         expected="an intact file; empty the folder and start again: the "
-        "keeper then returns as a learner and is voted in",
+        "keeper then rejoins as a learner and is promoted to voter",
     )
 
 
@@ -138,17 +138,17 @@
     Parameters
     ----------
     folder : path
-        Made if missing; locked against a second process.
+        Created if missing; locked against other processes.
     group, keeper : str
-        Whose folder it must be.
-    files : Files
+        Expected owner of the folder.
+    files : FileOps
         System calls.
 
     Raises
     ------
     errors.StorageError
         If the folder belongs to another keeper or group, is in use, cannot
-        be written, or is damaged.
+        be written, or is corrupt.
     """
 
     def __init__(self, folder, group: str, keeper: str, files: FileOps):
@@ -158,7 +158,7 @@
         try:
             self.folder.mkdir(parents=True, exist_ok=True)
             self._lock()
-            self.hard = self._load(group, keeper)
+            self.hard_state = self._load(group, keeper)
         except OSError as error:
             self.close()
             raise storage_error(self.folder, error) from error
@@ -167,8 +167,8 @@
             raise
 
     def _lock(self) -> None:
-        # Two processes on one folder would overwrite each other's votes;
-        # the lock ends with the process, however it dies.
+        # Two processes on one folder would overwrite each other's votes. The
+        # kernel releases the lock however the process ends.
         self.lock = os.open(
             self.folder / LOCK_FILE, os.O_CREAT | os.O_RDWR, 0o600
         )
@@ -187,14 +187,14 @@
             left = [p for p in self.folder.iterdir() if p.name != LOCK_FILE]
             if [p for p in left if p.suffix != TEMPORARY_SUFFIX]:
                 raise damage_error(path, "missing beside other files")
-            made = HardState(group, keeper, secrets.token_hex(DISK_ID_BYTES))
-            self.save(made)
-            return made
+            state = HardState(group, keeper, secrets.token_hex(DISK_ID_BYTES))
+            self.save(state)
+            return state
         data = wire.decode_value(verify_checksum(path.read_bytes(), path))
         found = fields.reader(HardState)(data)
         if (found.group, found.keeper) != (group, keeper):
-            # Another keeper's disk may have voted under that name; used
-            # here it could vote a second time in the same term.
+            # That disk may have voted under the other name and could vote a
+            # second time in the same term here.
             raise errors.StorageError(
                 f"{self.folder}: belongs to another keeper",
                 given=f"{found.keeper} of group {found.group}",
@@ -215,7 +215,7 @@
 
 
 def storage_error(where, error: OSError) -> errors.StorageError:
-    """Return the typed error for a failed system call."""
+    """Return the StorageError for a failed system call."""
     return errors.StorageError(
         f"{where}: {error.strerror or error}",
         given=f"errno {error.errno}",
@@ -224,16 +224,17 @@
 
 
 class Writer:
-    """Runs disk operations in order in one thread, with one sync for many.
+    """Runs disk operations in order in one thread, with one sync per batch.
 
     Parameters
     ----------
     sync : callable
         Called in the thread after each batch of operations.
     on_synced : callable
-        Called on the loop with the last mark of a batch, if it had one.
+        Called on the event loop with the last marker of a batch, if any.
     on_fault : callable
-        Called once on the loop with the StorageError that ended the writer.
+        Called once on the event loop with the StorageError that stopped the
+        writer.
     """
 
     def __init__(self, sync, on_synced, on_fault):
@@ -243,25 +244,25 @@
         self.fault: errors.StorageError | None = None
         self.thread = concurrent.futures.ThreadPoolExecutor(1, "disk")
         self.operations: list[t.Callable[[], None]] = []
-        self.mark: t.Any = None
+        self.marker: t.Any = None
         self.waiters: list[asyncio.Future] = []
         self.wake = asyncio.Event()
         self.batches = 0
 
-    def submit(self, operation: t.Callable[[], None], mark=None) -> None:
-        """Queue `operation`; `mark` is handed on once it is synced."""
+    def submit(self, operation: t.Callable[[], None], marker=None) -> None:
+        """Queue `operation`; `marker` goes to `on_synced` after the sync."""
         self.operations.append(operation)
-        if mark is not None:
-            self.mark = mark
+        if marker is not None:
+            self.marker = marker
         self.wake.set()
 
     async def flush(self) -> None:
-        """Return once everything submitted so far is synced.
+        """Wait until everything submitted so far is synced.
 
         Raises
         ------
         errors.StorageError
-            If the disk failed, now or earlier.
+            If the disk fails or has failed before.
         """
         if self.fault:
             raise self.fault
@@ -271,38 +272,37 @@
         await future
 
     async def run(self) -> None:
-        """Perform batches until cancelled or until the disk fails."""
+        """Run batches until cancelled or until the disk fails."""
         loop = asyncio.get_running_loop()
         while self.fault is None:
             await self.wake.wait()
             self.wake.clear()
             operations, self.operations = self.operations, []
             waiters, self.waiters = self.waiters, []
-            mark, self.mark = self.mark, None
+            marker, self.marker = self.marker, None
             try:
                 if operations:
                     await loop.run_in_executor(
-                        self.thread, self._perform, operations
+                        self.thread, self._run_batch, operations
                     )
             except (OSError, errors.StorageError) as error:
                 self._fail(error, waiters)
                 return
             self.batches += 1
-            if mark is not None:
-                self.on_synced(mark)
+            if marker is not None:
+                self.on_synced(marker)
             for future in waiters:
                 if not future.done():
                     future.set_result(None)
 
-    def _perform(self, operations) -> None:
+    def _run_batch(self, operations) -> None:
         for operation in operations:
             operation()
         self.sync()
 
     def _fail(self, error: Exception, waiters) -> None:
-        # After a failed write or sync nobody knows what is on the disk, so
-        # nothing more may be acknowledged from it until a restart has read
-        # it again.
+        # After a failed write or sync the contents of the disk are unknown:
+        # nothing more may be acknowledged until it has been read again.
         if isinstance(error, OSError):
             error = storage_error("data folder", error)
         self.fault = error
@@ -314,5 +314,5 @@
         self.on_fault(error)
 
     def close(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self.thread.shutdown(wait=True)
--- a/amaranthring/keepers/election.py
+++ b/amaranthring/keepers/election.py
@@ -2,7 +2,7 @@
 
 Sources: D. Ongaro and J. Ousterhout, "In Search of an Understandable
 Consensus Algorithm", USENIX ATC 2014; D. Ongaro, "Consensus: Bridging Theory
-and Practice", 2014, sections 4.2.3 (voters that hear a leader refuse), 6.4
+and Practice", 2014, sections 4.2.3 (voters with a live leader refuse), 6.4
 (leases and reads) and 9.6 (pre-vote); L. Lamport, "The Part-Time
 Parliament", ACM TOCS 16(2), 1998.
 """
@@ -22,21 +22,19 @@
 log = logbook.Logger(__name__)
 
 LEASE_SHARE = 0.9
-# Of the election time, around which a candidate that found no majority asks
-# again.
+# Shares of the election time. A candidate without a majority retries after
+# about this share.
 RETRY_SHARE = 0.3
-# Of the election time, for which a candidate is favoured before others: a
-# ballot takes 0.01 to 0.1 s where keepers are a millisecond apart. Shorter
-# than most waits before asking again, so that one that cannot win does not
-# keep those from voting who decide for another.
-FAVOUR_SHARE = 0.15
-# Keepers that start together campaign at random moments in this share of the
-# election time, so that mostly one of them asks first.
-FIRST_SHARE = 0.5
+# How long a pre-vote is held for a candidate: longer than a ballot, but
+# shorter than most retry waits, so that a candidate that cannot win does not
+# block the others.
+PRE_VOTE_GRANT_SHARE = 0.15
+# Keepers that start together spread their first campaigns over this share.
+FIRST_CAMPAIGN_SHARE = 0.5
 
 
 class VoteOutcome(enum.StrEnum):
-    """What became of a request for a vote."""
+    """Outcome of a vote request."""
 
     GRANTED = "granted"
     REFUSED = "refused"
@@ -48,15 +46,15 @@
 
 @dataclasses.dataclass
 class PreVoteGrant:
-    """The candidate that a keeper gave its pre-vote to, itself perhaps.
+    """A pre-vote granted to a candidate, possibly to this keeper itself.
 
     Attributes
     ----------
     rank : tuple
-        Of two candidates the lower one is favoured: who knows more, and
-        between equals the lower disk.
+        The candidate with the lower rank is preferred: the one with the
+        more complete log, then the one with the lower disk.
     until : float
-        Monotonic time in seconds.
+        Monotonic time in seconds until which the grant holds.
     """
 
     rank: tuple[int, int, str]
@@ -64,60 +62,59 @@
 
 
 async def run(group) -> None:
-    """Campaign when no leader is heard; step down when no quorum is."""
+    """Campaign when no leader is live; step down when the quorum is lost."""
     options = group.options
     shortest = options.heartbeat_seconds / 2
     while True:
         now = group.clocks.monotonic()
         if group.leading:
-            # Without this a leader behind a cut would go on taking
-            # proposals that nobody can ever commit.
+            # A partitioned leader must not keep accepting proposals that
+            # it cannot commit.
             heard = max(quorum_acked_at(group), group.leader_since)
             due = heard + options.election_seconds
             if now > due:
                 roles.step_down(group, "lost its quorum")
         else:
-            due = group.campaign_at
+            due = group.election_deadline
             if now >= due and may_campaign(group):
                 await _campaign(group)
         await asyncio.sleep(max(shortest, due - now))
 
 
 def may_campaign(group) -> bool:
-    """Return whether this keeper may ask for votes."""
+    """Return whether this keeper may request votes."""
     if group.fault is not None:
         return False
     return membership.is_voter(group.members, group.disk_id)
 
 
 def reset_election_timer(group) -> None:
-    """Put the next campaign off by a whole random election time."""
+    """Postpone the next campaign by one to two election times."""
     wait = group.options.election_seconds * group.random.uniform(1, 2)
-    group.campaign_at = group.clocks.monotonic() + wait
+    group.election_deadline = group.clocks.monotonic() + wait
 
 
 def schedule_first_campaign(group) -> None:
-    """Set the first campaign after a start.
+    """Schedule the first campaign after a start.
 
-    Once the promise of the process before this one has run out, nobody is
-    left to wait for: a leader that lives is heard by the others, who then
-    refuse. Where all processes had lost power, keepers on a quarter of a
-    core took 0.85 s to load and then sat out a whole election time, 0.45 to
-    0.9 s, in which every caller was refused.
+    It is due once the vote promise of the previous process has expired. No
+    full election timeout is added: if a leader is live, the other keepers
+    refuse, and after a power loss of all keepers the wait would only
+    prolong the outage.
     """
     options = group.options
     if options.process_started_at is None:
         reset_election_timer(group)
         return
-    spread = options.election_seconds * FIRST_SHARE
+    spread = options.election_seconds * FIRST_CAMPAIGN_SHARE
     due = max(
         group.clocks.monotonic(), group.heard_at + options.election_seconds
     )
-    group.campaign_at = due + spread * group.random.random()
+    group.election_deadline = due + spread * group.random.random()
 
 
 def quorum_acked_at(group) -> float:
-    """Return when the last message left that a quorum has answered."""
+    """Return the send time of the last message that a quorum answered."""
     times = [acked_at(group, member) for member in group.members.voters]
     times.sort(reverse=True)
     needed = membership.quorum(group.members)
@@ -125,19 +122,19 @@
 
 
 def lease_until(group) -> float:
-    """Return the monotonic time up to which no other leader can exist.
+    """Return the monotonic time until which no other leader can exist.
 
-    Every follower that answered refuses its vote for an election time after
-    it heard the leader, which is not before the message left; a keeper that
-    restarts refuses as long from its start. The share below one covers
-    clocks that run at different rates; wall clocks play no part.
+    A follower refuses its vote for an election time after it received a
+    message of the leader, so at least that long after the message was sent;
+    a restarted keeper refuses as long from its start. `LEASE_SHARE` allows
+    for clocks that run at different rates.
     """
     share = group.options.election_seconds * LEASE_SHARE
     return quorum_acked_at(group) + share
 
 
 def acked_at(group, member: messages.Member) -> float:
-    """Return when the last message left that `member` has answered."""
+    """Return the send time of the last message that `member` answered."""
     if member.disk == group.disk_id:
         return group.clocks.monotonic()
     peer = group.peers.get(member.name)
@@ -145,9 +142,9 @@
 
 
 def ack_ages(group) -> dict[str, float]:
-    """Return for each voter how old the last message is that it answered.
+    """Return the age in seconds of each voter's last answered message.
 
-    In seconds by name; -1 if it has answered none under this leader.
+    Keyed by name; -1 for a voter that has answered none under this leader.
     """
     now = group.clocks.monotonic()
     heard = {m.name: acked_at(group, m) for m in group.members.voters}
@@ -166,13 +163,13 @@
 async def _campaign(group) -> None:
     short = group.options.election_seconds * RETRY_SHARE
     wait = short * group.random.uniform(0.5, 1.5)
-    group.campaign_at = group.clocks.monotonic() + wait
+    group.election_deadline = group.clocks.monotonic() + wait
     term = group.term + 1
     rank = _rank(group.log.last_term, group.log.last_index, group.disk_id)
-    if not _favour(group, rank):
+    if not _grant_pre_vote(group, rank):
         return
-    # A keeper that was cut off finds no majority here and does not raise
-    # its term, so its return deposes nobody.
+    # A partitioned keeper gets no majority here and does not raise its term,
+    # so it does not depose the leader when it returns.
     if not await _ballot(group, term, pre=True):
         return
     if group.leading or hears_leader(group):
@@ -181,9 +178,9 @@
         # Another was voted for meanwhile: a campaign in the term after that,
         # for which nobody asked, would depose it 0.1 s after it was elected.
         return
-    if group.favoured.rank != rank:
-        # Yielded: where just as many voters are left as decide, a vote for
-        # oneself is one too few for the other, and both lose.
+    if group.pre_vote_grant.rank != rank:
+        # This keeper voted for another candidate meanwhile. When only a
+        # bare quorum of voters is left, competing with it would fail both.
         return
     roles.set_term(group, term, group.disk_id)
     reset_election_timer(group)
@@ -200,18 +197,18 @@
     return (-last_term, -last_index, disk)
 
 
-def _favour(group, rank: tuple) -> bool:
-    """Favour the candidate with `rank`, unless a better one is favoured.
+def _grant_pre_vote(group, rank: tuple) -> bool:
+    """Grant the pre-vote to `rank`, unless a better candidate holds it.
 
-    Candidates that meet settle it before anybody votes. Without it each of
-    two got the other's pre-vote and refused its vote, again and again.
+    Prevents split votes: otherwise each of two simultaneous candidates gets
+    the other's pre-vote, votes for itself and refuses the other.
     """
     now = group.clocks.monotonic()
-    held = group.favoured
+    held = group.pre_vote_grant
     if held is not None and now < held.until and held.rank < rank:
         return False
-    until = now + FAVOUR_SHARE * group.options.election_seconds
-    group.favoured = PreVoteGrant(rank, until)
+    until = now + PRE_VOTE_GRANT_SHARE * group.options.election_seconds
+    group.pre_vote_grant = PreVoteGrant(rank, until)
     return True
 
 
@@ -221,7 +218,9 @@
     voters = [m for m in group.members.voters if m.disk != group.disk_id]
     answers: dict[str, VoteOutcome] = {}
     waiting = {
-        asyncio.ensure_future(_note(answers, group, voter, term, pre))
+        asyncio.ensure_future(
+            _record_outcome(answers, group, voter, term, pre)
+        )
         for voter in voters
     }
     votes = 1
@@ -235,8 +234,8 @@
     finally:
         for task in waiting:
             task.cancel()
-        # A group without a leader says with this line whether nobody asks,
-        # nobody answers, or who answers refuses.
+        # Shows why a group has no leader: no vote requests, no replies, or
+        # refusals.
         logs.event(
             log,
             "keeper.ballot",
@@ -250,11 +249,11 @@
         )
 
 
-async def _note(answers, group, voter, term: int, pre: bool) -> None:
-    answers[voter.name] = await _ask(group, voter, term, pre)
+async def _record_outcome(answers, group, voter, term: int, pre: bool) -> None:
+    answers[voter.name] = await _request_vote(group, voter, term, pre)
 
 
-async def _ask(group, voter, term: int, pre: bool) -> VoteOutcome:
+async def _request_vote(group, voter, term: int, pre: bool) -> VoteOutcome:
     peer = group.peers.get(voter.name)
     if peer is None or peer.dialler.link is None:
         return VoteOutcome.NO_LINK
@@ -285,15 +284,15 @@
 
 
 def hears_leader(group) -> bool:
-    """Return whether a leader was heard within the election time."""
+    """Return whether a leader was heard from within the election time."""
     since = group.clocks.monotonic() - group.heard_at
     return since < group.options.election_seconds
 
 
-def _refuses(group, message: messages.Vote) -> bool:
+def _must_refuse(group, message: messages.Vote) -> bool:
     if message.to_disk != group.disk_id:
-        # The candidate counts on a disk that is no longer here: this one
-        # does not know what that one voted.
+        # The disk that the candidate means was replaced, and its votes are
+        # not known here.
         return True
     if group.leading and group.clocks.monotonic() < lease_until(group):
         return True
@@ -304,15 +303,15 @@
 
 
 async def on_vote(group, message: messages.Vote) -> messages.Voted:
-    """Answer a candidate; a granted vote is synced before the answer."""
+    """Answer a vote request; a granted vote is synced before the reply."""
     if group.fault is not None:
         raise group.fault
     no = messages.Voted(group.term, False, group.disk_id)
-    if _refuses(group, message):
+    if _must_refuse(group, message):
         return no
     if message.pre:
         rank = _rank(message.last_term, message.last_index, message.disk)
-        granted = message.term > group.term and _favour(group, rank)
+        granted = message.term > group.term and _grant_pre_vote(group, rank)
         return messages.Voted(group.term, granted, group.disk_id)
     if message.term > group.term:
         roles.set_term(group, message.term)
--- a/amaranthring/keepers/genesis.py
+++ b/amaranthring/keepers/genesis.py
@@ -1,11 +1,11 @@
-"""How a group begins, and how an empty disk finds the group that exists.
-
-A group begins once, when every keeper of the settings is up with an empty
-disk: the first by name then writes down all their disks as voters, and the
-others take that over. As soon as one keeper knows a group, an empty disk
-that isn't among its voters stays without a vote until the leader brings it
-in as a learner. So a keeper that lost its disk cannot begin a second group
-beside the first, nor vote a second time under its old name.
+"""Formation of a group, and discovery of an existing one by an empty disk.
+
+A group is formed once, when every keeper in the settings is up with an empty
+disk: the first keeper by name records all their disks as the initial voters,
+and the others adopt that configuration. Once any keeper knows a group, an
+empty disk that is not a voter gets no vote until the leader adds it as a
+learner. So a keeper that lost its disk can neither form a second group nor
+vote twice under its old name.
 """
 
 import asyncio
@@ -20,76 +20,75 @@
 
 log = logbook.Logger(__name__)
 
-GREET_SECONDS = 0.5
-RETRY_SECONDS = 0.1
-# A keeper that was taken out asks this often. Two more losses of three voters
-# end the quorum, so a voter that is missing is wanted back within seconds.
-REJOIN_SECONDS = 1.0
+GREET_TIMEOUT_SECONDS = 0.5
+RETRY_INTERVAL_SECONDS = 0.1
+# A missing voter weakens the quorum, so a removed keeper asks often.
+REJOIN_INTERVAL_SECONDS = 1.0
 
 
 async def join(group) -> None:
-    """Begin the group or find it; return once this disk knows its members."""
-    while not _settled(group):
+    """Form or find the group; return once this disk knows its members."""
+    while not _has_joined(group):
         replies = await _greet_all(group)
         known = [reply.members for reply in replies.values() if reply.members]
         for members in known:
-            # The leader, which alone can take this disk in, may be none of
-            # the keepers that the settings name.
-            _meet(group, members)
+            # Only the leader can add this disk, and it may not be among the
+            # keepers in the settings.
+            _add_voters_as_peers(group, members)
         listed = [m for m in known if membership.is_voter(m, group.disk_id)]
         if listed and not group.members.voters:
-            await _save(group, listed[0])
+            await _save_genesis(group, listed[0])
             return
         if (
             not known
             and not group.members.voters
             and _may_bootstrap(group, replies)
         ):
-            await _begin(group, replies)
+            await _bootstrap(group, replies)
             return
-        await asyncio.sleep(RETRY_SECONDS)
+        await asyncio.sleep(RETRY_INTERVAL_SECONDS)
 
 
 async def rejoin(group) -> None:
-    """Ask to be taken in again whenever no leader sends to this keeper.
+    """Ask to be added again whenever no leader sends to this keeper.
 
-    A leader takes out who is silent for a while. A keeper that comes back
-    after that is sent nothing, and has to say that it is there.
+    A leader removes silent members and then sends them nothing, so a keeper
+    that returns has to announce itself.
     """
     while True:
-        await asyncio.sleep(REJOIN_SECONDS)
-        if not group.options.auto_admit or not _settled(group):
+        await asyncio.sleep(REJOIN_INTERVAL_SECONDS)
+        if not group.options.auto_admit or not _has_joined(group):
             continue
         if group.leading or election.hears_leader(group):
             continue
         replies = await _greet_all(group)
         for reply in replies.values():
             if reply.members:
-                _meet(group, reply.members)
+                _add_voters_as_peers(group, reply.members)
 
 
-def _settled(group) -> bool:
+def _has_joined(group) -> bool:
     if not group.members.voters:
         return False
     if not group.options.auto_admit:
         return True
-    # A keeper that was taken out while it was down finds its own disk in
-    # the old list; it asks to be taken in again until a leader sends to it.
+    # A keeper that was removed while it was down still finds its disk in its
+    # own configuration, so only messages of a leader prove membership.
     return group.leading or bool(group.leader_disk)
 
 
 def _may_bootstrap(group, replies) -> bool:
     if not group.options.may_bootstrap:
-        # Others hold the group, or lost it: a disk that came later must not
-        # begin an empty one beside them.
+        # A group exists or existed: a later disk must not form an empty one
+        # beside it.
         return False
-    everyone = {peer.name for peer in group.configured}
+    everyone = {peer.name for peer in group.configured_peers}
     first = min(everyone | {group.keeper.name})
-    # Others that found this one already answer too; they join later.
+    # Other keepers that already found this one answer too; they join later.
     return everyone <= set(replies) and first == group.keeper.name
 
 
-async def _begin(group, replies) -> None:
+async def _bootstrap(group, replies) -> None:
     keeper = group.keeper
     disks = {name: reply.disk for name, reply in replies.items()}
     disks[keeper.name] = group.disk_id
@@ -97,13 +96,13 @@
         messages.Member(
             disks[peer.name], peer.name, peer.address, peer.data_centre
         )
-        for peer in [keeper, *group.configured]
+        for peer in [keeper, *group.configured_peers]
     ]
-    await _save(group, messages.Members(voters, []))
+    await _save_genesis(group, messages.Members(voters, []))
     logs.event(log, "keeper.genesis", group=group.name, voters=len(voters))
 
 
-def _meet(group, members: messages.Members) -> None:
+def _add_voters_as_peers(group, members: messages.Members) -> None:
     if not group.options.auto_admit:
         return
     for member in members.voters:
@@ -111,8 +110,8 @@
             group.add_peer(member.name, member.address, member.data_centre)
 
 
-async def _save(group, members: messages.Members) -> None:
-    group.store.save_hard(genesis=members)
+async def _save_genesis(group, members: messages.Members) -> None:
+    group.store.save_hard_state(genesis=members)
     await group.writer.flush()
     if not group.members.voters:
         group.store.member_history = [(0, members)]
@@ -132,13 +131,15 @@
         group.name, group.disk_id, keeper.address, keeper.data_centre
     )
     try:
-        return await group.peers[name].dialler.call(message, GREET_SECONDS)
+        return await group.peers[name].dialler.call(
+            message, GREET_TIMEOUT_SECONDS
+        )
     except errors.AmaranthringError:
         return None
 
 
 def on_greet(group, name: str, message: messages.Greet) -> messages.Greeted:
-    """Answer keeper `name` with this disk and the group that it knows."""
+    """Reply to keeper `name` with this disk and the group it knows, if any."""
     if group.options.auto_admit and message.address:
         group.add_peer(name, message.address, message.data_centre)
     known = group.members if group.members.voters else None
--- a/amaranthring/keepers/log.py
+++ b/amaranthring/keepers/log.py
@@ -1,10 +1,10 @@
 """The replicated log: entries in memory and segment files on disk.
 
-A record is ``length, checksum of the payload, checksum of both`` (4 bytes
-each, big-endian) and the payload. A crash can only leave the last record of
-the last file short or zero-filled: that torn tail was never acknowledged
-and is cut. Everything else that does not fit is damage to what may have
-been acknowledged, and the keeper refuses to start.
+A record is a header of three big-endian 4-byte integers (length of the
+payload, its checksum, checksum of both) and the payload. A crash can leave
+the last record of the last file short or zero-filled; such a torn tail was
+never acknowledged and is truncated. Any other invalid record is corruption
+of data that may have been acknowledged, and the keeper refuses to start.
 """
 
 import bisect
@@ -32,15 +32,15 @@
     Attributes
     ----------
     index, term : int
-        Place in the log and term of the leader that made it.
+        Position in the log and term of the leader that created it.
     stamp : float
-        Fleet time in seconds, never below an earlier entry's.
+        Fleet time in seconds; never decreases from entry to entry.
     tag : str
         Message tag of the command.
     body : bytes
-        The command's encoded fields.
+        Encoded fields of the command.
     payload : bytes
-        All of the above, as stored and sent.
+        The encoded entry, as stored and sent.
     """
 
     index: int
@@ -54,18 +54,18 @@
 def make_entry(
     index: int, term: int, stamp: float, tag: str, body: bytes
 ) -> Entry:
-    """Return a new entry with its payload."""
+    """Return a new entry, with its payload encoded."""
     payload = msgpack.packb((index, term, stamp, tag, body))
     return Entry(index, term, stamp, tag, body, payload)
 
 
 def parse_entry(payload: bytes) -> Entry:
-    """Return the entry in `payload`.
+    """Decode the entry in `payload`.
 
     Raises
     ------
     errors.FrameError
-        If it is no entry.
+        If `payload` is not a valid entry.
     """
     try:
         index, term, stamp, tag, body = msgpack.unpackb(payload)
@@ -79,13 +79,13 @@
 
 
 class Log:
-    """Entries in memory after a base, which a snapshot covers."""
+    """Entries in memory that follow a base entry covered by a snapshot."""
 
     def __init__(self, base_index=0, base_term=0, base_stamp=0.0):
         self.reset(base_index, base_term, base_stamp)
 
     def reset(self, index: int, term: int, stamp: float) -> None:
-        """Forget all entries; the next one is `index` + 1."""
+        """Drop all entries; the next one has index `index` + 1."""
         self.base_index = index
         self.base_term = term
         self.base_stamp = stamp
@@ -107,7 +107,7 @@
         return self.entries[-1].stamp if self.entries else self.base_stamp
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of entry `index`, or None if it isn't held."""
+        """Return the term of entry `index`, or None if it isn't in memory."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -115,23 +115,26 @@
         return None
 
     def get(self, index: int) -> Entry:
-        """Return entry `index`, which must be held."""
+        """Return entry `index`, which must be in memory."""
         return self.entries[index - self.base_index - 1]
 
-    def batch(self, index: int, bytes_most: int) -> list[bytes]:
-        """Return payloads from `index` on, at least one if there is one."""
+    def batch(self, index: int, max_bytes: int) -> list[bytes]:
+        """Return payloads from `index` on, up to `max_bytes`.
+
+        A first payload above `max_bytes` is returned alone.
+        """
         found = []
         size = 0
         for at in range(index - self.base_index - 1, len(self.entries)):
             payload = self.entries[at].payload
             size += len(payload)
-            if found and size > bytes_most:
+            if found and size > max_bytes:
                 break
             found.append(payload)
         return found
 
     def append(self, entries: list[Entry]) -> None:
-        """Add `entries`, which follow the last one."""
+        """Append `entries`, which must follow the last one."""
         self.entries.extend(entries)
 
     def truncate(self, index: int) -> None:
@@ -139,7 +142,7 @@
         del self.entries[index - self.base_index - 1 :]
 
     def compact(self, index: int) -> None:
-        """Drop entries up to `index`, which becomes the base."""
+        """Drop entries up to `index`, which becomes the base entry."""
         if not self.base_index < index <= self.last_index:
             return
         entry = self.get(index)
@@ -151,16 +154,16 @@
 
 @dataclasses.dataclass
 class Segment:
-    """One file of consecutive records.
+    """A file of consecutive records.
 
     Attributes
     ----------
     first : int
         Index of its first record.
     offsets : list of int
-        Where each record begins.
+        Byte offset of each record.
     size : int
-        Bytes in the file.
+        Size of the file in bytes.
     """
 
     path: pathlib.Path
@@ -175,7 +178,7 @@
 
 
 class Segments:
-    """The log's files; used by the disk thread only, after loading."""
+    """Segment files of the log; after `load`, for the disk thread only."""
 
     def __init__(self, folder: pathlib.Path, files: disk.FileOps):
         self.folder = folder
@@ -185,17 +188,19 @@
         self.dirty = False
 
     def load(self) -> list[Entry]:
-        """Return all entries on disk; cut a torn tail.
+        """Return all entries on disk, after truncating a torn tail.
 
         Raises
         ------
         errors.StorageError
-            If a record other than a torn last one does not fit.
+            If a record is invalid and is not a torn tail.
         """
         entries: list[Entry] = []
         paths = sorted(self.folder.glob(PREFIX + "*"))
         for path in paths:
-            segment, found = _read(path, torn_allowed=path == paths[-1])
+            segment, found = _read_segment(
+                path, torn_allowed=path == paths[-1]
+            )
             if entries and found and found[0].index != entries[-1].index + 1:
                 raise disk.damage_error(
                     path, "does not follow the file before it"
@@ -209,7 +214,7 @@
         return entries
 
     def start_segment(self, first: int) -> None:
-        """Start a new file whose first record is `first`."""
+        """Create a segment whose first record has index `first`."""
         if self.segments and self.segments[-1].first == first:
             return
         segment = Segment(self.folder / f"{PREFIX}{first:020d}", first)
@@ -219,7 +224,7 @@
         disk.sync_folder(self.folder)
 
     def append(self, payloads: list[bytes]) -> None:
-        """Write records; they last after :meth:`sync`."""
+        """Write records; they are durable after :meth:`sync`."""
         segment = self.segments[-1]
         records = []
         for payload in payloads:
@@ -231,7 +236,7 @@
         disk.write_all(self.fd, b"".join(records), self.files)
 
     def sync(self) -> None:
-        """Make everything written so far last."""
+        """Sync everything written so far to disk."""
         if self.dirty:
             self.files.sync(self.fd)
             self.dirty = False
@@ -251,7 +256,7 @@
         disk.sync_folder(self.folder)
 
     def compact(self, upto: int, last_index: int) -> None:
-        """Begin a new file and remove files with nothing above `upto`."""
+        """Start a new segment; remove those without records above `upto`."""
         self.sync()
         self.start_segment(last_index + 1)
         ends = [segment.last for segment in self.segments]
@@ -261,7 +266,7 @@
         del self.segments[:gone]
 
     def reset(self, first: int) -> None:
-        """Remove every record; the next one is `first`."""
+        """Remove all records; the next one has index `first`."""
         old = self.segments
         self.segments = []
         for segment in reversed(old):
@@ -269,11 +274,11 @@
         self.start_segment(first)
 
     def bytes(self) -> int:
-        """Return the size of all files."""
+        """Return the total size of all segments in bytes."""
         return sum(segment.size for segment in self.segments)
 
     def close(self) -> None:
-        """Close the open file."""
+        """Close the current segment file."""
         if self.fd >= 0:
             os.close(self.fd)
             self.fd = -1
@@ -286,46 +291,51 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """Return `payload` as a record."""
+    """Return the record that holds `payload`."""
     length = len(payload)
     checksum = zlib.crc32(payload)
     both = zlib.crc32(struct.pack(">II", length, checksum))
     return HEADER.pack(length, checksum, both) + payload
 
 
-def _read(path, torn_allowed: bool) -> tuple[Segment, list[Entry]]:
+def _read_segment(path, torn_allowed: bool) -> tuple[Segment, list[Entry]]:
     data = path.read_bytes()
     segment = Segment(path, int(path.name.removeprefix(PREFIX)))
     entries: list[Entry] = []
-    at = 0
-    while at < len(data):
-        payload = _payload(data, at)
+    offset = 0
+    while offset < len(data):
+        payload = _read_payload(data, offset)
         if payload is None:
-            if not torn_allowed or not _torn(data, at):
-                raise disk.damage_error(path, f"bad record at byte {at}")
+            if not torn_allowed or not _is_torn(data, offset):
+                raise disk.damage_error(path, f"bad record at byte {offset}")
             break
         entry = parse_entry(payload)
         if entry.index != segment.first + len(entries):
-            raise disk.damage_error(path, f"entry out of order at byte {at}")
-        segment.offsets.append(at)
+            raise disk.damage_error(
+                path, f"entry out of order at byte {offset}"
+            )
+        segment.offsets.append(offset)
         entries.append(entry)
-        at += HEADER.size + len(payload)
-    segment.size = at
+        offset += HEADER.size + len(payload)
+    segment.size = offset
     return segment, entries
 
 
-def _header(data: bytes, at: int) -> tuple[int, int] | None:
-    length, checksum, both = HEADER.unpack_from(data, at)
-    if zlib.crc32(data[at : at + 8]) != both or length > MAX_ENTRY_BYTES * 2:
+def _read_header(data: bytes, offset: int) -> tuple[int, int] | None:
+    length, checksum, both = HEADER.unpack_from(data, offset)
+    if (
+        zlib.crc32(data[offset : offset + 8]) != both
+        or length > MAX_ENTRY_BYTES * 2
+    ):
         return None
     return length, checksum
 
 
-def _payload(data: bytes, at: int) -> bytes | None:
-    begin = at + HEADER.size
+def _read_payload(data: bytes, offset: int) -> bytes | None:
+    begin = offset + HEADER.size
     if begin > len(data):
         return None
-    header = _header(data, at)
+    header = _read_header(data, offset)
     if header is None:
         return None
     payload = data[begin : begin + header[0]]
@@ -334,17 +344,17 @@
     return payload
 
 
-def _torn(data: bytes, at: int) -> bool:
-    """Return whether the bad record at `at` is what a crash leaves.
+def _is_torn(data: bytes, offset: int) -> bool:
+    """Return whether a crash explains the invalid record at `offset`.
 
-    Short: the file ends inside the record. Zero-filled: the file grew but
-    its last sectors were never written. A record that is there in full and
-    still does not fit was changed after it was written.
+    The file ends inside the record, or it grew but its last sectors were
+    never written and read as zeros. A complete record that is invalid was
+    corrupted after it was written.
     """
-    begin = at + HEADER.size
+    begin = offset + HEADER.size
     if begin > len(data):
         return True
-    header = _header(data, at)
+    header = _read_header(data, offset)
     if header is not None and begin + header[0] > len(data):
         return True
     written = len(data.rstrip(b"\0"))
--- a/amaranthring/keepers/membership.py
+++ b/amaranthring/keepers/membership.py
@@ -1,12 +1,13 @@
-"""Who takes part in a group, and how that changes one disk at a time.
+"""Membership of a group, and changes to it one disk at a time.
 
 Source: D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4
 (single-server changes; the change of a leader only after an entry of its own
 term is committed).
 
-A member is a disk, not a name. A keeper whose disk was lost comes back under
-its name with another disk: the leader adds that as a learner, lets it catch
-up, removes the lost disk, and only then makes the new one a voter.
+A member is identified by its disk, not by its name. A keeper that lost its
+disk returns under the same name with a new disk: the leader adds the new disk
+as a learner, lets it catch up, removes the lost one, and then promotes the
+new one to voter.
 """
 
 import asyncio
@@ -21,14 +22,14 @@
 
 log = logbook.Logger(__name__)
 
-REPAIR_SECONDS = 0.2
-CAUGHT_UP_ENTRIES = 64
+REPAIR_INTERVAL_SECONDS = 0.2
+MAX_CAUGHT_UP_LAG = 64
 NO_QUORUM = -1
 NOT_KNOWN = -2
 
 
 def quorum(members: messages.Members) -> int:
-    """Return how many voters decide."""
+    """Return the number of voters that form a quorum."""
     return len(members.voters) // 2 + 1
 
 
@@ -41,7 +42,7 @@
 
 
 def is_voter(members: messages.Members, disk: str) -> bool:
-    """Return whether `disk` votes."""
+    """Return whether `disk` is a voter."""
     return any(member.disk == disk for member in members.voters)
 
 
@@ -51,7 +52,7 @@
 
 
 def disk_of(members: messages.Members, name: str) -> str:
-    """Return the disk expected at keeper `name`, a voter's first."""
+    """Return the disk of keeper `name`, preferably a voter's, or ""."""
     for member in members.voters + members.learners:
         if member.name == name:
             return member.disk
@@ -59,7 +60,7 @@
 
 
 def with_learner(members, member) -> messages.Members:
-    """Return `members` with `member` as the one learner of its name."""
+    """Return `members` with `member` as the only learner of its name."""
     others = [m for m in members.learners if m.name != member.name]
     return messages.Members(list(members.voters), [*others, member])
 
@@ -73,14 +74,14 @@
 
 
 def promoted(members, disk: str) -> messages.Members:
-    """Return `members` with learner `disk` as a voter."""
+    """Return `members` with learner `disk` promoted to voter."""
     learner = find(members, disk)
     rest = without(members, disk)
     return dataclasses.replace(rest, voters=[*rest.voters, learner])
 
 
 def next_step(group) -> messages.Members | None:
-    """Return the configuration after the next repairing step, or None."""
+    """Return the configuration after the next repair step, or None."""
     members = group.members
     for peer in group.peers.values():
         known = find(members, peer.disk)
@@ -93,30 +94,30 @@
             )
             return with_learner(members, member)
     for learner in members.learners:
-        if not _caught_up(group, learner):
+        if not _is_caught_up(group, learner):
             continue
         for voter in members.voters:
             if voter.name == learner.name:
-                return _without_lost(group, voter)
+                return _without_lost_voter(group, voter)
         if not group.options.auto_admit:
             return promoted(members, learner.disk)
-        step = _take_in(group, learner)
+        step = _promotion_step(group, learner)
         if step is not None:
             return step
     return _without_silent_learner(group) if group.options.auto_admit else None
 
 
-def _take_in(group, learner) -> messages.Members | None:
-    """Return the step by which `learner` becomes a voter, if it should."""
+def _promotion_step(group, learner) -> messages.Members | None:
+    """Return the next step in promoting `learner`, or None."""
     members = group.members
     for voter in members.voters:
-        if _silent(group, voter):
-            return _without_lost(group, voter)
-    ready = sum(_caught_up(group, other) for other in members.learners)
+        if _is_silent(group, voter):
+            return _without_lost_voter(group, voter)
+    ready = sum(_is_caught_up(group, other) for other in members.learners)
     votes = len(members.voters)
-    # An even number bears no more losses than the odd one below it, and
-    # the spare learner can take a lost voter's place at once.
-    wanted = min(group.options.voters_most, (votes + ready - 1) | 1)
+    # An even number of voters tolerates no more losses than one fewer; the
+    # spare learner can replace a lost voter at once.
+    wanted = min(group.options.max_voters, (votes + ready - 1) | 1)
     return promoted(members, learner.disk) if votes < wanted else None
 
 
@@ -124,45 +125,47 @@
     for learner in group.members.learners:
         peer = group.peers.get(learner.name)
         moved = peer is None or peer.disk not in ("", learner.disk)
-        if moved or _silent(group, learner):
+        if moved or _is_silent(group, learner):
             if peer is not None:
-                # Taken in again only once it has answered again.
+                # Added again only after it has answered again.
                 peer.disk = ""
             return without(group.members, learner.disk)
     return None
 
 
-def _silent(group, member: messages.Member) -> bool:
+def _is_silent(group, member: messages.Member) -> bool:
     if member.disk == group.disk_id:
         return False
     heard = max(
-        election.acked_at(group, member), group.leader_since, group.changed_at
+        election.acked_at(group, member),
+        group.leader_since,
+        group.members_changed_at,
     )
     now = group.clocks.monotonic()
     return now - heard > group.options.replace_seconds
 
 
-def _without_lost(group, voter) -> messages.Members | None:
-    # The lost disk goes before the new one votes. Both at once would let
-    # two majorities exist that share no disk.
+def _without_lost_voter(group, voter) -> messages.Members | None:
+    # The lost disk is removed before the new one votes: changing both at
+    # once could create two majorities without a common disk.
     smaller = without(group.members, voter.disk)
     live = sum(election.is_live(group, member) for member in smaller.voters)
     return smaller if live >= quorum(smaller) else None
 
 
-def _caught_up(group, member) -> bool:
+def _is_caught_up(group, member) -> bool:
     peer = group.peers.get(member.name)
     if peer is None or peer.disk != member.disk:
         return False
     lag = group.log.last_index - peer.match_index
-    return election.is_live(group, member) and lag <= CAUGHT_UP_ENTRIES
+    return election.is_live(group, member) and lag <= MAX_CAUGHT_UP_LAG
 
 
 def safe_losses(group) -> int:
-    """Return how many more voters may be lost, as the leader knows it.
+    """Return how many more voters the quorum tolerates losing.
 
-    Learners do not count: right after a repair, while the new disk is still
-    catching up, one more loss may end the quorum.
+    Only meaningful on the leader. Learners do not count: they cannot vote
+    until they have caught up.
     """
     live = sum(
         election.is_live(group, member) for member in group.members.voters
@@ -171,11 +174,11 @@
 
 
 def may_change(group) -> bool:
-    """Return whether the next change of members may be proposed.
+    """Return whether a change of members may be proposed.
 
-    The one before must be committed, and an entry of this leader's own
-    term: two leaders with one uncommitted change each could otherwise
-    decide with majorities that share no disk.
+    The previous change and an entry of the leader's own term must be
+    committed: otherwise two leaders, each with an uncommitted change, could
+    have majorities without a common disk.
     """
     if not group.has_lease():
         return False
@@ -184,9 +187,9 @@
 
 
 async def repair(group) -> None:
-    """While leading, bring replaced disks back as voters, step by step."""
+    """While leading, replace lost disks by new voters, step by step."""
     while True:
-        await asyncio.sleep(REPAIR_SECONDS)
+        await asyncio.sleep(REPAIR_INTERVAL_SECONDS)
         if not may_change(group):
             continue
         members = next_step(group)
@@ -206,19 +209,21 @@
 
 
 async def change(group, message: messages.Change) -> messages.Members:
-    """Add a keeper as a learner to be voted in, or remove one.
+    """Add a keeper as a learner to be promoted later, or remove one.
 
     Raises
     ------
     errors.NotLeaderError, errors.NoQuorumError, errors.CommitUnknownError
         As ``propose``.
+    errors.RefusedError
+        If another change is in progress, or a new keeper does not answer.
     errors.BadRequestError
-        If the change makes no sense for the present members.
+        If the change does not apply to the current members.
     """
     await group.read_barrier(message.timeout)
     if not may_change(group):
         raise errors.RefusedError(
-            "another change of members is not committed", retry_after=1.0
+            "another change of members is in progress", retry_after=1.0
         )
     known = message.name in names(group.members)
     if known == message.add:
@@ -242,13 +247,13 @@
     deadline = loop.time() + message.timeout
     while not peer.disk:
         if loop.time() > deadline:
-            group.drop_strangers()
+            group.drop_unknown_peers()
             raise errors.RefusedError(
                 "new keeper does not answer",
                 given=message.address,
-                expected="a keeper that runs with an empty disk",
+                expected="a running keeper with an empty disk",
             )
-        await asyncio.sleep(REPAIR_SECONDS / 4)
+        await asyncio.sleep(REPAIR_INTERVAL_SECONDS / 4)
     member = messages.Member(
         peer.disk, peer.name, peer.address, peer.data_centre
     )
--- a/amaranthring/keepers/messages.py
+++ b/amaranthring/keepers/messages.py
@@ -1,9 +1,8 @@
 """Messages between keepers, and between routers and keepers.
 
-Every message names its group, so that one process can serve several. Peer
-messages also carry the disk identity of the sender and the one that the
-sender believes the receiver has: a keeper whose disk was lost or swapped
-under its old name is told apart from its predecessor at each message.
+Every message names its group, so that one process can serve several. Messages
+between keepers also carry the disk identity of the sender and the one that it
+expects at the receiver, so that a lost or swapped disk is detected at once.
 """
 
 import dataclasses
@@ -14,18 +13,18 @@
 
 @dataclasses.dataclass
 class Member:
-    """One disk that takes part in a group.
+    """A disk that participates in a group.
 
     Attributes
     ----------
     disk : str
-        Identity of the disk, drawn when its folder was first used.
+        Random identity of the disk, created when its folder was first used.
     name : str
-        Keeper that holds the disk.
+        Keeper that owns the disk.
     address : str
         ``host:port`` of the keeper's fleet listener.
     data_centre : str
-        Where the keeper runs.
+        Data centre of the keeper.
     """
 
     disk: str
@@ -44,13 +43,13 @@
 
 @wire.message("keeper-greet")
 class Greet:
-    """Asks a keeper for its disk and for the group that it knows.
+    """Asks a keeper for its disk and for the group it knows.
 
     Attributes
     ----------
     address, data_centre : str
-        Where the keeper that asks is reached; a group that admits keepers
-        by itself takes it in there.
+        Location of the sender, used by groups that admit new keepers
+        automatically.
     """
 
     group: str
@@ -69,7 +68,7 @@
 
 @wire.message("keeper-vote")
 class Vote:
-    """Asks for a vote, or with `pre` whether a vote would be given."""
+    """Requests a vote, or with `pre` a pre-vote."""
 
     group: str
     term: int
@@ -91,7 +90,7 @@
 
 @wire.message("keeper-append")
 class Append:
-    """Entries of the leader's log after `prev_index`; none is a heartbeat."""
+    """Entries of the leader's log after `prev_index`; empty as a heartbeat."""
 
     group: str
     term: int
@@ -110,15 +109,17 @@
     Attributes
     ----------
     ok : bool
-        Whether the log agrees up to `match`, all of it synced.
+        Whether the entries were accepted; the log then agrees with the
+        leader's up to `match`.
     match : int
         Highest index known to agree and to be synced.
     hint : int
-        Where to go on after a refusal.
+        Index to resume from after a rejection.
     wall : float
         Wall clock of the follower in seconds.
     held : float
-        Seconds from taking the message until this reply, for its disk.
+        Seconds from receipt of the message until this reply, including the
+        sync.
     """
 
     term: int
@@ -132,7 +133,7 @@
 
 @wire.message("keeper-chunk")
 class Chunk:
-    """One piece of a snapshot file for a follower far behind."""
+    """A chunk of a snapshot file, for a follower that lags far behind."""
 
     group: str
     term: int
@@ -146,7 +147,7 @@
 
 @wire.message("keeper-chunked")
 class Chunked:
-    """Reply to :class:`Chunk`: `offset` is the next byte wanted."""
+    """Reply to :class:`Chunk`; `offset` is the next expected byte."""
 
     term: int
     ok: bool
@@ -156,7 +157,7 @@
 
 @wire.message("keeper-propose")
 class Propose:
-    """A router's command for the log; the reply is the command's result."""
+    """A command from a router; the reply is the command's result."""
 
     group: str
     tag: str
@@ -166,7 +167,7 @@
 
 @wire.message("keeper-change")
 class Change:
-    """Adds keeper `name` as a learner to be voted in, or removes it."""
+    """Adds keeper `name` as a learner to be promoted, or removes it."""
 
     group: str
     add: bool
@@ -178,7 +179,7 @@
 
 @wire.message("keeper-ping")
 class Ping:
-    """Asks whether the link works; the reply is the same."""
+    """Checks the link; the reply is the same message."""
 
     group: str
 
@@ -192,10 +193,11 @@
 
 @dataclasses.dataclass
 class MemberStatus:
-    """What the answering keeper knows of one member.
+    """Status of one member, as seen by the replying keeper.
 
-    `lag` counts entries behind the log's end and `silent_seconds` the time
-    since its last reply under this leader; only the leader knows them.
+    `lag` is the number of entries behind the end of the log, and
+    `silent_seconds` the time since the last reply under this leader; only
+    the leader knows them.
     """
 
     name: str
@@ -218,9 +220,9 @@
         ``leader``, ``candidate``, ``follower``, ``learner`` or ``empty``.
     safe_losses : int
         Voters that may still be lost without losing the quorum; -1 without
-        a quorum. Known to the leader only, else -2.
+        a quorum, -2 on keepers other than the leader.
     fault : str
-        Why this keeper stopped taking part, or empty.
+        Why this keeper stopped participating, or empty.
     """
 
     group: str
--- a/amaranthring/keepers/options.py
+++ b/amaranthring/keepers/options.py
@@ -1,4 +1,4 @@
-"""What a group is made with: its machine, clocks, timing; and its roles."""
+"""State machine interface, clocks, timing options and roles of a group."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class StateMachine(t.Protocol):
-    """Deterministic state that the log drives."""
+    """Deterministic state machine driven by the log."""
 
     def apply(self, index: int, stamp: float, command: t.Any) -> t.Any:
         """Apply one command and return its result message or None."""
@@ -18,12 +18,12 @@
         """Return the whole state."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by one that `snapshot` returned."""
+        """Replace the state by one returned by `snapshot`."""
 
 
 @dataclasses.dataclass
 class Clocks:
-    """Sources of time, in seconds; seams for tests."""
+    """Sources of time in seconds, replaceable in tests."""
 
     wall: t.Callable[[], float] = time.time
     monotonic: t.Callable[[], float] = clocks.boottime
@@ -31,33 +31,32 @@
 
 @dataclasses.dataclass
 class Options:
-    """Timing and bounds of a group.
+    """Timing and limits of a group.
 
     Attributes
     ----------
     heartbeat_seconds : float
-        Longest silence of a leader.
+        Interval between a leader's heartbeats.
     election_seconds : float
-        Silence after which another leader may be elected.
+        Silence of a leader after which another may be elected.
     snapshot_entries : int
-        Entries after which a snapshot is taken.
+        Number of entries after which a snapshot is taken.
     kept_entries : int
-        Entries kept in memory and on disk behind a snapshot, for followers
-        that lag a little.
+        Number of entries kept in memory and on disk behind a snapshot, for
+        followers that lag slightly.
     may_bootstrap : bool
-        Whether this keeper may begin a group where it finds none.
+        Whether this keeper may form a group if it finds none.
     auto_admit : bool
-        Whether keepers that nobody named are taken in, and voters that
-        stay silent are replaced by them, without an operator.
+        Whether keepers that are not in the settings are added, and replace
+        silent voters, without an operator.
     replace_seconds : float
         Silence after which a voter is replaced if another disk is ready.
-    voters_most : int
-        Voters that a group with `auto_admit` grows to.
+    max_voters : int
+        Number of voters to which a group with `auto_admit` grows.
     process_started_at : float, optional
-        Monotonic seconds at which this process began. Given where the
-        process holds a single group for its whole life: what its
-        predecessor promised was promised before. Otherwise a group counts
-        from when it is made.
+        Monotonic seconds at which this process started, if it has one group
+        for its whole life; vote promises of the previous process were made
+        before then. Otherwise the group's creation time counts.
     """
 
     heartbeat_seconds: float = 0.1
@@ -67,17 +66,17 @@
     may_bootstrap: bool = True
     auto_admit: bool = False
     replace_seconds: float = 2.0
-    voters_most: int = 7
+    max_voters: int = 7
     process_started_at: float | None = None
 
     @property
-    def silent_seconds(self) -> float:
-        """Return how long a peer may be silent before its link is cut."""
+    def peer_timeout_seconds(self) -> float:
+        """Return how long a peer may be silent before its link is closed."""
         return 3 * self.election_seconds
 
 
 class Role(enum.StrEnum):
-    """What a keeper is in a group."""
+    """Role of a keeper in a group."""
 
     LEADER = "leader"
     CANDIDATE = "candidate"
--- a/amaranthring/keepers/recovery.py
+++ b/amaranthring/keepers/recovery.py
@@ -1,14 +1,13 @@
-"""A keeper whose disk failed for a while takes part again.
+"""Recovery of a keeper after a disk failure, without a process restart.
 
-After a failed write or sync nobody knows what the disk holds, so the group
-stops taking part at once. A full disk is freed within seconds, though, and a
-keeper that stayed away until its process was restarted would cost the group
-its quorum as soon as the disk of a second one fills up. So the folder is
-opened again, as at a start, until that works.
+After a failed write or sync the contents of the disk are unknown, so the
+keeper stops participating at once. Its folder is then reopened, as at a
+start, until that works; otherwise the quorum would be lost when a second
+keeper's disk fills up, even long after the first one was freed.
 
-What was not known to be synced before the failure is dropped: a page that
-could not be written may still be read back from memory, and be lost later.
-Nobody was told that it is there.
+Entries not known to be synced before the failure are dropped: the page cache
+may still return them although they were never written. They were never
+acknowledged.
 """
 
 import asyncio
@@ -22,25 +21,24 @@
 
 log = logbook.Logger(__name__)
 
-# How often the folder of a failed disk is tried. Opening it reads the log, a
-# few hundred kilobytes; a group that waits for this keeper's vote is without
-# a leader for so much longer.
+# Interval between attempts to reopen the folder; it can prolong an election
+# that needs this keeper's vote.
 RETRY_SECONDS = 0.5
 
 
 async def run(group) -> None:
-    """Open the folder again after each failure of the disk, for ever."""
+    """Reopen the folder after each disk failure, until cancelled."""
     while True:
         await asyncio.sleep(RETRY_SECONDS)
         if group.fault is not None and group.recoverable:
-            await _try(group)
+            await _try_reopen(group)
 
 
-async def _try(group) -> None:
+async def _try_reopen(group) -> None:
     loop = asyncio.get_running_loop()
     opening = loop.run_in_executor(None, _open, group)
     try:
-        made = await asyncio.shield(opening)
+        opened = await asyncio.shield(opening)
     except asyncio.CancelledError:
         opening.add_done_callback(_close_unused)
         raise
@@ -50,7 +48,7 @@
             log.error("keeper.fault group={} fault={}", group.name, error)
             group.fault = error
         return
-    group.resume(made)
+    group.resume(opened)
     logs.event(
         log,
         "keeper.resumed",
@@ -67,22 +65,21 @@
 
 
 def _open(group) -> store.Store:
-    """Return a new store over the folder; runs in a thread."""
-    known = group.store.durable_index
+    """Return a new store for the folder; runs in a thread."""
+    durable_index = group.store.durable_index
     group.store.close()
     try:
-        made = group.open_store()
+        opened = group.open_store()
     except OSError as error:
         raise disk.storage_error(group.folder, error) from error
     try:
-        made.drop_after(known)
-        # Opening writes little or nothing: this shows that the disk takes
-        # writes again.
-        made.disk.save(made.hard)
+        opened.drop_after(durable_index)
+        # Opening may write nothing, so check that the disk accepts writes.
+        opened.data_folder.save(opened.hard_state)
     except OSError as error:
-        made.close()
-        raise disk.storage_error(made.folder, error) from error
+        opened.close()
+        raise disk.storage_error(opened.folder, error) from error
     except errors.StorageError:
-        made.close()
+        opened.close()
         raise
-    return made
+    return opened
--- a/amaranthring/keepers/replication.py
+++ b/amaranthring/keepers/replication.py
@@ -1,7 +1,7 @@
 """Replication of the leader's log: one task per peer, bounded pipelining.
 
-Sources as in :mod:`amaranthring.keepers.election`; pipelining and writing
-the leader's disk in parallel are described in Ongaro 2014, section 10.2.
+Sources as in :mod:`amaranthring.keepers.election`. Pipelining and writing to
+the leader's disk in parallel: Ongaro 2014, section 10.2.
 """
 
 import asyncio
@@ -21,51 +21,49 @@
 log = logbook.Logger(__name__)
 
 BATCH_BYTES = 256 * 1024
-WINDOW_MESSAGES = 8
-WINDOW_BYTES = 2 * 1024 * 1024
-REPLY_SECONDS = 30.0
-# A piece of a snapshot may wait for seconds before a disk that is slow.
-CHUNK_SECONDS = 4.0
-GREET_SECONDS = 0.25
-# An answer that takes longer than so many heartbeats is logged: with four and
-# a half a leader has lost its quorum.
+MAX_IN_FLIGHT_MESSAGES = 8
+MAX_IN_FLIGHT_BYTES = 2 * 1024 * 1024
+REPLY_TIMEOUT_SECONDS = 30.0
+# Long enough for a follower with a slow disk.
+CHUNK_TIMEOUT_SECONDS = 4.0
+GREET_TIMEOUT_SECONDS = 0.25
+# Replies that take longer than this many heartbeats are logged.
 SLOW_HEARTBEATS = 2
-# A peer that cannot take a snapshot, since its disk is full or failed, is sent
-# none for so long. Sent again at once, snapshots would fill a thin link;
-# heartbeats and the routers' plans would wait behind, and the leader lose its
-# quorum in the middle of a calm time. A disk that works again is some
-# seconds behind in any case.
-REFUSED_SECONDS = 1.5
+# Wait before a snapshot is sent again to a peer that refused it, for example
+# because its disk is full. Immediate retries would saturate a slow link and
+# delay heartbeats until the leader loses its quorum.
+SNAPSHOT_RETRY_SECONDS = 1.5
 
 
 class Peer:
-    """What this keeper knows of another one; progress while it leads.
+    """State of another keeper and, on the leader, its replication progress.
 
     Attributes
     ----------
     disk : str
-        Disk last seen there, or expected there; empty if unknown.
+        Disk last seen or expected at the peer; empty if unknown.
     next_index : int
-        Next entry to send.
+        Index of the next entry to send.
     match_index : int
-        Highest entry known to be on its disk.
+        Highest index known to be on the peer's disk.
     in_flight, in_flight_bytes : int
-        Messages sent and not yet answered; bounded, so that a straggler
-        fills neither memory nor the stream.
+        Messages sent and not yet answered, and their bytes of entries;
+        bounded, so that a slow peer fills neither memory nor the link.
     epoch : int
-        Raised whenever `next_index` goes back; older replies are dropped.
+        Incremented whenever `next_index` is reset; older replies are
+        dropped.
     acked_at : float
-        Monotonic time at which the last message that it answered left.
+        Monotonic send time of the last message that the peer answered.
     replied_at : float
-        Monotonic time of its last reply.
-    flight_began_at : float
-        Monotonic time at which a message left while none was in flight.
-    snapshot_due : float
-        Monotonic time from which it may be sent a snapshot.
-    slow_at : float
-        Monotonic time at which a slow answer of it was logged.
+        Monotonic time of the last reply.
+    in_flight_since : float
+        Monotonic time at which `in_flight` last rose from zero.
+    snapshot_retry_at : float
+        Monotonic time before which no snapshot is sent.
+    slow_logged_at : float
+        Monotonic time at which a slow reply was last logged.
     wall_offset : float
-        Its wall clock minus our monotonic clock, in seconds.
+        The peer's wall clock minus our monotonic clock, in seconds.
     """
 
     def __init__(self, name, address, data_centre, dialler):
@@ -76,24 +74,24 @@
         self.disk = ""
         self.wake = asyncio.Event()
         self.tasks: set[asyncio.Task] = set()
-        self.main: asyncio.Task | None = None
+        self.main_task: asyncio.Task | None = None
         self.epoch = 0
-        self.snapshot_due = 0.0
-        self.slow_at = float("-inf")
+        self.snapshot_retry_at = 0.0
+        self.slow_logged_at = float("-inf")
         self.wall_offset: float | None = None
         self.reset(1, 0.0)
 
     def reset(self, next_index: int, now: float) -> None:
-        """Begin anew, as a new leader does."""
+        """Reset the replication progress, as for a new leader."""
         self.match_index = 0
         self.acked_at = 0.0
         self.replied_at = now
         self.sent_at = 0.0
-        self.flight_began_at = 0.0
+        self.in_flight_since = 0.0
         self.rewind(next_index)
 
     def rewind(self, next_index: int) -> None:
-        """Go back to `next_index` and forget what is in flight."""
+        """Send from `next_index` on; disregard messages in flight."""
         self.epoch += 1
         self.next_index = max(1, next_index)
         self.in_flight = 0
@@ -101,15 +99,15 @@
         self.probing = True
 
     def stop(self) -> None:
-        """End its tasks and its link."""
-        for task in [self.main, *self.tasks]:
+        """Cancel the tasks and close the link."""
+        for task in [self.main_task, *self.tasks]:
             if task:
                 task.cancel()
         self.dialler.stop()
 
 
 async def replicate(group, peer: Peer) -> None:
-    """Send `peer` what it lacks for as long as this keeper leads."""
+    """Replicate the log to `peer` whenever this keeper is the leader."""
     heartbeat = group.options.heartbeat_seconds
     while True:
         peer.wake.clear()
@@ -126,10 +124,10 @@
 
 async def _send_due(group, peer: Peer) -> None:
     now = group.clocks.monotonic()
-    heard_at = max(peer.replied_at, peer.flight_began_at)
-    if peer.in_flight and now - heard_at > group.options.silent_seconds:
-        # Packets are being dropped without the connection breaking; TCP
-        # would go on waiting for minutes after the cut has healed.
+    heard_at = max(peer.replied_at, peer.in_flight_since)
+    if peer.in_flight and now - heard_at > group.options.peer_timeout_seconds:
+        # Packets are dropped but the connection is still open; TCP would
+        # need minutes to recover after the partition has healed.
         peer.dialler.link.close()
         peer.rewind(peer.match_index + 1)
         return
@@ -137,7 +135,7 @@
         await _greet(group, peer)
         return
     if group.log.term_at(peer.next_index - 1) is None:
-        if now >= peer.snapshot_due:
+        if now >= peer.snapshot_retry_at:
             await _send_snapshot(group, peer)
         return
     while _may_send(group, peer) and (most := _batch_bytes(group, peer)):
@@ -147,37 +145,37 @@
 
 
 def _may_send(group, peer: Peer) -> bool:
-    alone = peer.probing or _lags(group, peer)
-    window = 1 if alone else WINDOW_MESSAGES
+    alone = peer.probing or _is_catching_up(group, peer)
+    window = 1 if alone else MAX_IN_FLIGHT_MESSAGES
     return (
         peer.next_index <= group.log.last_index
         and peer.in_flight < window
-        and peer.in_flight_bytes < WINDOW_BYTES
+        and peer.in_flight_bytes < MAX_IN_FLIGHT_BYTES
     )
 
 
-def _lags(group, peer: Peer) -> bool:
-    """Return whether what `peer` is sent next is committed already."""
+def _is_catching_up(group, peer: Peer) -> bool:
+    """Return whether the next entry for `peer` is already committed."""
     return group.pacer is not None and peer.next_index <= group.commit_index
 
 
 def _batch_bytes(group, peer: Peer) -> int:
-    """Return how many bytes of entries may go to `peer` now.
+    """Return how many bytes of entries may be sent to `peer` now.
 
-    What is committed already decides nothing, and goes as the link has room.
-    A leader that sends it to keepers with new disks at once loses its quorum,
-    as its heartbeats to the voters wait behind.
+    Committed entries are not urgent, so they are paced: sent unpaced to
+    lagging peers, they would delay the heartbeats to the voters until the
+    leader loses its quorum.
     """
-    if not _lags(group, peer):
+    if not _is_catching_up(group, peer):
         return BATCH_BYTES
     return min(snapshots.CHUNK_BYTES, int(group.pacer.claim()))
 
 
-def _send(group, peer: Peer, bytes_most: int) -> None:
+def _send(group, peer: Peer, max_bytes: int) -> None:
     previous = peer.next_index - 1
     entries = []
-    if bytes_most:
-        entries = group.log.batch(peer.next_index, bytes_most)
+    if max_bytes:
+        entries = group.log.batch(peer.next_index, max_bytes)
     message = messages.Append(
         group.name,
         group.term,
@@ -190,8 +188,8 @@
     )
     size = sum(map(len, entries))
     if not peer.in_flight:
-        # Silence before the first message of a new link says nothing of it.
-        peer.flight_began_at = group.clocks.monotonic()
+        # Silence counts only from the first unanswered message on.
+        peer.in_flight_since = group.clocks.monotonic()
     peer.next_index += len(entries)
     peer.in_flight += 1
     peer.in_flight_bytes += size
@@ -206,14 +204,14 @@
 async def _exchange(group, peer, message, size: int, epoch: int) -> None:
     sent_at = group.clocks.monotonic()
     try:
-        reply = await peer.dialler.call(message, REPLY_SECONDS)
+        reply = await peer.dialler.call(message, REPLY_TIMEOUT_SECONDS)
     except errors.AmaranthringError:
         if epoch == peer.epoch:
             peer.rewind(peer.match_index + 1)
         return
     now = group.clocks.monotonic()
     peer.replied_at = now
-    _note_slowness(group, peer, sent_at, reply, size)
+    _log_slow_reply(group, peer, sent_at, reply, size)
     if reply.term > group.term:
         roles.set_term(group, reply.term)
     if epoch != peer.epoch or message.term != group.term:
@@ -230,20 +228,20 @@
         peer.match_index = max(peer.match_index, reply.match)
         advance_commit_index(group)
     else:
-        _back_up(peer, reply)
+        _handle_rejection(peer, reply)
     if peer.next_index <= group.log.last_index:
         peer.wake.set()
     group.lease_changed.set()
 
 
-def _note_slowness(group, peer, sent_at: float, reply, size: int) -> None:
-    """Log whether the follower's disk or the way there and back was slow."""
+def _log_slow_reply(group, peer, sent_at: float, reply, size: int) -> None:
+    """Log a slow reply, with the part of it spent at the follower."""
     now = group.clocks.monotonic()
     options = group.options
     slow = now - sent_at > SLOW_HEARTBEATS * options.heartbeat_seconds
-    if not slow or now - peer.slow_at < options.election_seconds:
+    if not slow or now - peer.slow_logged_at < options.election_seconds:
         return
-    peer.slow_at = now
+    peer.slow_logged_at = now
     logs.event(
         log,
         "keeper.slow-answer",
@@ -254,9 +252,9 @@
     )
 
 
-def _back_up(peer: Peer, reply: messages.Appended) -> None:
+def _handle_rejection(peer: Peer, reply: messages.Appended) -> None:
     if reply.hint <= peer.match_index:
-        # It no longer has what it once synced: an old copy of its disk.
+        # The peer lost entries that it had synced: an old copy of its disk.
         log.warning("keeper.rolled-back peer={}", peer.name)
         peer.match_index = 0
     peer.rewind(max(reply.hint, peer.match_index + 1))
@@ -274,7 +272,7 @@
         group.name, group.disk_id, keeper.address, keeper.data_centre
     )
     try:
-        reply = await peer.dialler.call(message, GREET_SECONDS)
+        reply = await peer.dialler.call(message, GREET_TIMEOUT_SECONDS)
     except errors.AmaranthringError:
         return
     peer.replied_at = group.clocks.monotonic()
@@ -291,14 +289,14 @@
     ]
     matches.sort(reverse=True)
     index = matches[membership.quorum(group.members) - 1]
-    # An entry of an earlier term may be on a quorum and still be lost to
-    # another leader; it commits with the first entry of this term.
+    # An entry of an earlier term can be on a quorum and still be overwritten
+    # by another leader; it commits with the first entry of this term.
     if index > group.commit_index and group.log.term_at(index) == group.term:
         group.commit(index)
 
 
 def match_index_of(group, member: messages.Member) -> int:
-    """Return the highest entry known to be synced on `member`'s disk."""
+    """Return the highest index known to be synced on `member`'s disk."""
     if member.disk == group.disk_id:
         return group.store.durable_index
     peer = group.peers.get(member.name)
@@ -306,17 +304,17 @@
 
 
 async def on_append(group, message: messages.Append) -> messages.Appended:
-    """Take entries from the leader; answer once they are synced."""
+    """Append entries from the leader; reply once they are synced."""
     if group.fault is not None:
         roles.record_leader(group, message.term, message.disk)
         raise group.fault
     if message.to_disk != group.disk_id or message.term < group.term:
         return _appended(group, False)
-    taken_at = group.clocks.monotonic()
+    received_at = group.clocks.monotonic()
     roles.follow(group, message.term, message.disk)
     held = group.log.term_at(message.prev_index)
     if held != message.prev_term and message.prev_index > group.commit_index:
-        return _appended(group, False, hint=_conflict(group, message))
+        return _appended(group, False, hint=_conflict_hint(group, message))
     entries = [logfile.parse_entry(payload) for payload in message.entries]
     last = message.prev_index + len(entries)
     _merge(group, message.prev_index, entries)
@@ -327,7 +325,7 @@
     if group.term != message.term:
         return _appended(group, False, hint=group.store.durable_index + 1)
     reply = _appended(group, True, match=match)
-    reply.held = group.clocks.monotonic() - taken_at
+    reply.held = group.clocks.monotonic() - received_at
     return reply
 
 
@@ -337,8 +335,8 @@
     )
 
 
-def _conflict(group, message: messages.Append) -> int:
-    """Return where the leader should go on: the start of a foreign term."""
+def _conflict_hint(group, message: messages.Append) -> int:
+    """Return where the leader should resume: the conflicting term's start."""
     index = min(message.prev_index, group.log.last_index + 1)
     term = group.log.term_at(index)
     while (
@@ -351,11 +349,11 @@
 
 
 def _merge(group, previous: int, entries: list[logfile.Entry]) -> None:
-    """Add `entries` after `previous`, replacing what conflicts."""
+    """Append `entries` after `previous`, replacing conflicting ones."""
     for at, entry in enumerate(entries):
         if entry.index != previous + at + 1:
             raise errors.FrameError(
-                "entries of an append",
+                "entry index in append",
                 given=entry.index,
                 expected=previous + at + 1,
             )
@@ -371,7 +369,7 @@
 
 
 async def _send_snapshot(group, peer: Peer) -> None:
-    """Send the newest snapshot file in pieces, one at a time."""
+    """Send the latest snapshot file in chunks, one at a time."""
     if group.store.snapshot_index == 0:
         return
     epoch = peer.epoch
@@ -381,7 +379,7 @@
             group.store.folder, group.store.snapshot_index
         )
     except FileNotFoundError:
-        # A newer one has just taken its place; its index follows at once.
+        # Replaced by a newer snapshot; retried with its index.
         return
     logs.event(log, "keeper.snapshot-sent", peer=peer.name, index=reader.index)
     offset = 0
@@ -415,15 +413,17 @@
     )
     sent_at = group.clocks.monotonic()
     try:
-        reply = await peer.dialler.call(message, CHUNK_SECONDS)
+        reply = await peer.dialler.call(message, CHUNK_TIMEOUT_SECONDS)
     except errors.LinkTimeoutError:
-        # The feed waits here, so nobody else finds out that the connection
-        # has gone silent.
+        # The peer's replication task waits here, so no other code detects
+        # that the link is silent.
         if peer.dialler.link is not None:
             peer.dialler.link.close()
         return None
     except errors.AmaranthringError:
-        peer.snapshot_due = group.clocks.monotonic() + REFUSED_SECONDS
+        peer.snapshot_retry_at = (
+            group.clocks.monotonic() + SNAPSHOT_RETRY_SECONDS
+        )
         return None
     peer.replied_at = group.clocks.monotonic()
     if reply.term > group.term:
@@ -438,7 +438,7 @@
 
 
 async def on_chunk(group, message: messages.Chunk) -> messages.Chunked:
-    """Take one piece of a snapshot; install it after the last."""
+    """Store one chunk of a snapshot; install it after the last chunk."""
     if group.fault is not None:
         raise group.fault
     no = messages.Chunked(group.term, False, group.disk_id)
@@ -451,7 +451,7 @@
     try:
         offset = await asyncio.get_running_loop().run_in_executor(
             group.store.snapshot_thread,
-            group.receiver.take,
+            group.receiver.write_chunk,
             message.index,
             message.offset,
             message.data,
--- a/amaranthring/keepers/roles.py
+++ b/amaranthring/keepers/roles.py
@@ -1,4 +1,4 @@
-"""How a keeper enters terms, leads, follows, steps down and fails."""
+"""Role changes of a keeper: new term, leader, follower, step-down, fault."""
 
 import logbook
 
@@ -16,8 +16,8 @@
 def set_term(group, term: int, vote: str = "") -> None:
     """Enter `term`, with a vote for disk `vote` if one is given.
 
-    The change waits for the disk in the writer's queue; whoever answers a
-    message on its strength flushes the writer first.
+    The change is only queued for the disk: flush the writer before replying
+    to a message that relies on it.
     """
     if term < group.term or (term == group.term and not vote):
         return
@@ -26,11 +26,11 @@
         group.leader_disk = ""
     group.term = term
     group.vote = vote
-    group.store.save_hard(term=term, vote=vote)
+    group.store.save_hard_state(term=term, vote=vote)
 
 
 def become_leader(group) -> None:
-    """Become the leader of the present term."""
+    """Become the leader of the current term."""
     now = group.clocks.monotonic()
     group.leading = True
     group.leader_disk = group.disk_id
@@ -46,8 +46,8 @@
         term=group.term,
     )
     group.metrics.count("keeper.elected")
-    # Entries of earlier terms commit only with one of this term, and reads
-    # must wait for it.
+    # Entries of earlier terms commit only together with one of this term,
+    # and reads wait for it.
     entry = group.new_entry(
         store.MEMBERS_TAG,
         wire.encode_value(group.members),
@@ -57,7 +57,7 @@
 
 
 def follow(group, term: int, leader_disk: str) -> None:
-    """Take the sender of a valid message of `term` as the leader."""
+    """Accept the sender of a valid message of `term` as the leader."""
     set_term(group, term)
     if group.leader_disk != leader_disk:
         group.leader_disk = leader_disk
@@ -74,10 +74,10 @@
 
 
 def record_leader(group, term: int, leader_disk: str) -> None:
-    """Remember who leads while this keeper takes no part itself.
+    """Record the leader while this keeper's disk has failed.
 
-    A keeper with a failed disk still passes operators' orders and reads on
-    to the leader, which it can only name if it goes on listening.
+    Such a keeper still forwards commands and reads of operators to the
+    leader.
     """
     if term >= group.term:
         group.leader_disk = leader_disk
@@ -85,7 +85,7 @@
 
 
 def step_down(group, reason: str) -> None:
-    """Stop leading; proposals in flight wait on for their fate."""
+    """Stop being the leader; proposals in flight stay pending."""
     if not group.leading:
         return
     group.leading = False
@@ -109,14 +109,14 @@
 
 
 def fail_disk(group, error: Exception) -> None:
-    """Stop taking part until the disk can be opened again."""
+    """Stop participating until the disk can be opened again."""
     if group.fault is None:
         group.recoverable = True
         fail(group, error)
 
 
 def fail(group, error: Exception) -> None:
-    """Stop taking part: the disk can no longer be trusted to keep."""
+    """Stop participating in the group because of `error`."""
     if group.fault is not None:
         return
     if isinstance(error, OSError):
--- a/amaranthring/keepers/snapshots.py
+++ b/amaranthring/keepers/snapshots.py
@@ -1,7 +1,7 @@
-"""Snapshot files: the machine's state up to one index, whole or not at all.
+"""Snapshot files: the state of the state machine at one log index.
 
-A file is a checksum, then one msgpack array of what the snapshot covers and
-the machine's bytes. It is written beside its place, synced and renamed.
+A file holds a checksum and a msgpack array of the snapshot's fields. It is
+replaced atomically: written to a temporary file, synced and renamed.
 """
 
 import dataclasses
@@ -16,24 +16,23 @@
 
 PREFIX = "snapshot-"
 INCOMING_FILE = "incoming-snapshot.tmp"
-# 0.04 s over the thinnest links (6 Mbit/s): a heartbeat that waits behind a
-# piece is not late. One of 256 KB took 0.35 s, and with the next one a leader
-# lost its quorum while it brought an emptied disk back.
+# 0.04 s on the slowest links (6 Mbit/s), so that a heartbeat queued behind a
+# chunk is not late.
 CHUNK_BYTES = 32 * 1024
 
 
 @dataclasses.dataclass
 class Snapshot:
-    """State of the machine after entry `index`.
+    """State of the state machine after entry `index`.
 
     Attributes
     ----------
     index, term, stamp : int, int, float
-        Of the last entry that it covers.
+        Those of the last entry that the snapshot covers.
     members : Members
         Configuration at that entry.
     data : bytes
-        What the machine's ``snapshot`` returned.
+        Result of the state machine's ``snapshot``.
     """
 
     index: int
@@ -44,7 +43,7 @@
 
 
 def path_of(folder: pathlib.Path, index: int) -> pathlib.Path:
-    """Return the place of the snapshot at `index`."""
+    """Return the path of the snapshot at `index`."""
     return folder / f"{PREFIX}{index:020d}"
 
 
@@ -71,7 +70,7 @@
     Raises
     ------
     errors.StorageError
-        If it is damaged.
+        If the file is corrupt.
     """
     body = disk.verify_checksum(path.read_bytes(), path)
     try:
@@ -83,21 +82,20 @@
 def load_newest(folder: pathlib.Path) -> Snapshot | None:
     """Return the newest snapshot in `folder`, or None.
 
-    An older one is no substitute for a damaged newest: the log before it is
-    gone, so the keeper refuses to start.
+    There is no fallback to an older one if the newest is corrupt: the log
+    entries between them have been removed, so the keeper refuses to start.
     """
     for path in folder.glob(PREFIX + "*" + disk.TEMPORARY_SUFFIX):
-        # Left by a process that ended while it wrote: never renamed, so
-        # never the newest, though its name says so.
+        # Left by a process that died before the rename; incomplete.
         path.unlink()
     paths = sorted(folder.glob(PREFIX + "*"))
     return load(paths[-1]) if paths else None
 
 
 class Reader:
-    """An open snapshot file, sent piece by piece.
+    """An open snapshot file, read chunk by chunk.
 
-    It stays readable when a newer snapshot replaces it meanwhile.
+    It stays readable after a newer snapshot has replaced it.
     """
 
     def __init__(self, folder: pathlib.Path, index: int):
@@ -106,7 +104,7 @@
         self.total = os.fstat(self.fd).st_size
 
     def read(self, offset: int) -> bytes:
-        """Return the piece at `offset`."""
+        """Return the chunk at `offset`."""
         return os.pread(self.fd, CHUNK_BYTES, offset)
 
     def close(self) -> None:
@@ -117,8 +115,8 @@
 class Receiver:
     """A snapshot file that is being received, in order.
 
-    Used in the snapshot thread only: a piece whose sender gave up may still
-    be on its way to the disk when the next sender begins anew.
+    For the snapshot thread only, which serializes writes: a chunk of an
+    abandoned transfer may still be pending when a new transfer begins.
     """
 
     def __init__(self, folder: pathlib.Path, files: disk.FileOps):
@@ -129,13 +127,13 @@
         self.offset = 0
         self.fd = -1
 
-    def take(self, index: int, offset: int, data: bytes) -> int | None:
-        """Write one piece of the snapshot at `index`.
+    def write_chunk(self, index: int, offset: int, data: bytes) -> int | None:
+        """Write a chunk of the snapshot at `index`.
 
         Returns
         -------
         int or None
-            The next offset wanted, or None if this piece is not the next.
+            The next expected offset, or None if this chunk is out of order.
         """
         if offset == 0:
             self._begin(index)
@@ -146,12 +144,12 @@
         return self.offset
 
     def finish(self) -> Snapshot:
-        """Check the whole file, put it in its place and return it.
+        """Verify the received file, move it into place and return it.
 
         Raises
         ------
         errors.StorageError
-            If what arrived is not an intact snapshot.
+            If the received snapshot is corrupt.
         """
         self.files.sync(self.fd)
         self.close()
--- a/amaranthring/keepers/store.py
+++ b/amaranthring/keepers/store.py
@@ -1,8 +1,8 @@
-"""Durable state of one group on this keeper: files, and the log over them.
+"""Durable state of one group on this keeper: log, hard state and snapshots.
 
-Everything that must be on disk before an answer goes through the one
-:class:`disk.Writer`, in order. Snapshots are written and read in a second
-thread, so that a large one does not hold up the log.
+Everything that must be on disk before a reply is written in order by one
+:class:`disk.Writer`. Snapshots use a second thread, so that a large one does
+not delay the log.
 """
 
 import asyncio
@@ -29,30 +29,30 @@
     folder : path
         Data folder of the group.
     group, keeper : str
-        Whose folder it must be.
-    files : disk.Files
+        Expected owner of the folder.
+    files : disk.FileOps
         System calls.
     on_durable : callable
-        Called when `durable_index` has risen.
+        Called when `durable_index` has increased.
     on_fault : callable
         Called with the StorageError after which nothing more is written.
     kept_entries : int
-        Entries kept behind a snapshot.
+        Number of entries kept behind a snapshot.
 
     Attributes
     ----------
     durable_index : int
-        Highest entry of the present log that is synced.
+        Highest index of the current log that is synced.
     saved_term : int
         Term of the hard state on disk.
     member_history : list
-        Configurations by the index of their entry, oldest first; the last
-        is in force, earlier ones come back when the log is truncated.
+        Configurations with the index of their entry, oldest first. The last
+        is in force; earlier ones are restored when the log is truncated.
 
     Raises
     ------
     errors.StorageError
-        If the folder is foreign, in use or damaged.
+        If the folder belongs to another keeper, is in use or is corrupt.
     """
 
     def __init__(
@@ -69,51 +69,53 @@
         self.files = files
         self.kept_entries = kept_entries
         self.on_durable = on_durable
-        self.disk = disk.DataFolder(self.folder, group, keeper, files)
+        self.data_folder = disk.DataFolder(self.folder, group, keeper, files)
         self.segments = logfile.Segments(self.folder, files)
         self.log = logfile.Log()
         self.member_history: list[tuple[int, messages.Members]] = []
         self.durable_index = self.snapshot_index = 0
-        self.saved_term = self.hard.term
+        self.saved_term = self.hard_state.term
         try:
             self.snapshot = self._recover()
         except errors.StorageError:
-            self.disk.close()
+            self.data_folder.close()
             raise
-        self.writer = disk.Writer(self.segments.sync, self._synced, on_fault)
+        self.writer = disk.Writer(
+            self.segments.sync, self._on_synced, on_fault
+        )
         self.snapshot_thread = concurrent.futures.ThreadPoolExecutor(
             1, "snapshot"
         )
 
     @property
-    def hard(self) -> disk.HardState:
-        """Return the hard state, which may still wait for the disk."""
-        return self.disk.hard
+    def hard_state(self) -> disk.HardState:
+        """Return the hard state, which may not be on disk yet."""
+        return self.data_folder.hard_state
 
     @property
     def members(self) -> messages.Members:
-        """Return the newest configuration, committed or not."""
+        """Return the latest configuration, committed or not."""
         if not self.member_history:
             return messages.Members()
         return self.member_history[-1][1]
 
     def close(self) -> None:
-        """End the threads and close the files."""
+        """Stop the threads and close the files."""
         self.writer.close()
         self.snapshot_thread.shutdown(wait=True)
         self.segments.close()
-        self.disk.close()
+        self.data_folder.close()
 
     # -- recovery ----------------------------------------------------
 
     def _recover(self) -> snapshots.Snapshot | None:
         snapshot = snapshots.load_newest(self.folder)
         entries = self.segments.load()
-        if self.hard.genesis:
-            self.member_history = [(0, self.hard.genesis)]
+        if self.hard_state.genesis:
+            self.member_history = [(0, self.hard_state.genesis)]
         if snapshot:
-            self._restart_from(snapshot)
-            entries = self._after_snapshot(snapshot, entries)
+            self._rebase_on(snapshot)
+            entries = self._entries_after(snapshot, entries)
         if entries and entries[0].index != self.log.base_index + 1:
             raise disk.damage_error(
                 self.folder, "the log's first file is missing"
@@ -121,46 +123,46 @@
         if not self.segments.segments:
             self._begin_log(snapshot)
         self.log.append(entries)
-        self._note_members(entries)
+        self._record_members(entries)
         self.durable_index = self.log.last_index
         return snapshot
 
     def _begin_log(self, snapshot) -> None:
-        if self.hard.begun and not snapshot:
+        if self.hard_state.begun and not snapshot:
             raise disk.damage_error(self.folder, "the log is missing")
         self.segments.start_segment(self.log.last_index + 1)
-        self.hard.begun = True
-        self.disk.save(self.hard)
+        self.hard_state.begun = True
+        self.data_folder.save(self.hard_state)
 
-    def _after_snapshot(self, snapshot, entries) -> list[logfile.Entry]:
-        """Return entries that follow the log's base; set the base."""
+    def _entries_after(self, snapshot, entries) -> list[logfile.Entry]:
+        """Set the log's base; return the entries that follow it."""
         held = {entry.index: entry for entry in entries}
         at = held.get(snapshot.index)
         if at is None and snapshot.index + 1 in held:
             return entries
         if at is None or at.term != snapshot.term:
-            # The snapshot came from a leader and the process ended before
-            # the older log was removed.
+            # The process ended between installing a snapshot from the leader
+            # and removing the older log.
             self.segments.reset(snapshot.index + 1)
             return []
         first = entries[0]
         self.log.reset(first.index, first.term, first.stamp)
         return entries[1:]
 
-    def _restart_from(self, snapshot: snapshots.Snapshot) -> None:
+    def _rebase_on(self, snapshot: snapshots.Snapshot) -> None:
         self.log.reset(snapshot.index, snapshot.term, snapshot.stamp)
         self.member_history = [(snapshot.index, snapshot.members)]
         self.snapshot_index = snapshot.index
 
     # -- term and vote -----------------------------------------------
 
-    def save_hard(self, **changes: t.Any) -> None:
-        """Queue `changes` to the hard state for the disk."""
-        state = dataclasses.replace(self.hard, **changes)
-        self.disk.hard = state
+    def save_hard_state(self, **changes: t.Any) -> None:
+        """Apply `changes` to the hard state and queue it for the disk."""
+        state = dataclasses.replace(self.hard_state, **changes)
+        self.data_folder.hard_state = state
 
         def save():
-            self.disk.save(state)
+            self.data_folder.save(state)
             self.saved_term = state.term
 
         self.writer.submit(save)
@@ -168,12 +170,12 @@
     # -- log ---------------------------------------------------------
 
     def append(self, entries: list[logfile.Entry]) -> bool:
-        """Add entries; return whether the configuration changed."""
+        """Append entries; return whether the configuration changed."""
         self.log.append(entries)
         payloads = [entry.payload for entry in entries]
-        mark = (entries[-1].index, entries[-1].term)
-        self.writer.submit(lambda: self.segments.append(payloads), mark)
-        return self._note_members(entries)
+        marker = (entries[-1].index, entries[-1].term)
+        self.writer.submit(lambda: self.segments.append(payloads), marker)
+        return self._record_members(entries)
 
     def truncate(self, index: int) -> bool:
         """Drop entry `index` and all after it.
@@ -181,12 +183,12 @@
         Returns
         -------
         bool
-            Whether an earlier configuration came back.
+            Whether an earlier configuration was restored.
         """
         self.log.truncate(index)
         self.durable_index = min(self.durable_index, index - 1)
         self.writer.submit(lambda: self.segments.truncate(index))
-        return self._forget_members_from(index)
+        return self._truncate_member_history(index)
 
     def drop_after(self, index: int) -> None:
         """Drop all entries after `index`, before the writer runs.
@@ -194,10 +196,9 @@
         Raises
         ------
         OSError
-            If the disk refused it.
+            If the write failed.
         errors.StorageError
-            If the entries up to `index` are not there, although they were
-            synced once.
+            If entries up to `index`, which were synced, are missing.
         """
         if self.log.last_index < index:
             raise disk.damage_error(self.folder, "synced entries are missing")
@@ -207,21 +208,21 @@
         self.log.truncate(first)
         self.segments.truncate(first)
         self.durable_index = self.log.last_index
-        self._forget_members_from(first)
+        self._truncate_member_history(first)
 
-    def _forget_members_from(self, index: int) -> bool:
+    def _truncate_member_history(self, index: int) -> bool:
         kept = [known for known in self.member_history if known[0] < index]
         changed = len(kept) != len(self.member_history)
         self.member_history = kept
         return changed
 
-    def forget_members(self, applied: int) -> None:
-        """Drop configurations that no truncation can bring back."""
+    def prune_member_history(self, applied: int) -> None:
+        """Drop configurations that no truncation can restore."""
         old = [known for known in self.member_history if known[0] <= applied]
         if len(old) > 1:
             del self.member_history[: len(old) - 1]
 
-    def _note_members(self, entries: list[logfile.Entry]) -> bool:
+    def _record_members(self, entries: list[logfile.Entry]) -> bool:
         changes = [entry for entry in entries if entry.tag == MEMBERS_TAG]
         for entry in changes:
             body = wire.decode_value(entry.body)
@@ -229,10 +230,10 @@
             self.member_history.append((entry.index, members))
         return bool(changes)
 
-    def _synced(self, mark: tuple[int, int]) -> None:
-        # The term tells an entry that was replaced while it was written
-        # from the one that took its place.
-        index, term = mark
+    def _on_synced(self, marker: tuple[int, int]) -> None:
+        # The term check skips an entry that was replaced while it was being
+        # written.
+        index, term = marker
         if index > self.durable_index and self.log.term_at(index) == term:
             self.durable_index = index
             self.on_durable()
@@ -240,12 +241,12 @@
     # -- snapshots ---------------------------------------------------
 
     async def save_snapshot(self, index: int, data: bytes) -> None:
-        """Write the machine's state at `index`, then compact the log.
+        """Write the state at `index` as a snapshot, then compact the log.
 
         Raises
         ------
         OSError
-            If the disk refused it.
+            If the write failed.
         """
         entry = self.log.get(index)
         known = [at[1] for at in self.member_history if at[0] <= index]
@@ -268,8 +269,8 @@
         self.log.compact(upto)
 
     def install(self, snapshot: snapshots.Snapshot) -> None:
-        """Let the log begin after `snapshot`, whose file is in place."""
-        self._restart_from(snapshot)
+        """Restart the log after `snapshot`, whose file is in place."""
+        self._rebase_on(snapshot)
         self.durable_index = snapshot.index
         first = snapshot.index + 1
         self.writer.submit(lambda: self.segments.reset(first))
--- a/tests/keepers_case.py
+++ b/tests/keepers_case.py
@@ -1,4 +1,4 @@
-"""Base of the tests that run keepers of a plan in this process."""
+"""Base class of tests that run plan keepers in this process."""
 
 import asyncio
 import os
@@ -8,26 +8,26 @@
 
 from amaranthring.testing import plan_keepers
 
-# Votes wait for a sync. Where the machine's disk stalled, syncs took longer
-# than an election, in all processes at one moment, and three keepers had no
-# leader for seconds: the tests of these cases are not about disks.
+# Votes wait for a sync; on a stalled disk that can take longer than an
+# election, which these tests are not about.
 SHARED_MEMORY = pathlib.Path("/dev/shm")
 MEMORY = SHARED_MEMORY if os.access(SHARED_MEMORY, os.W_OK) else None
 
 
 class KeepersCase(unittest.IsolatedAsyncioTestCase):
-    """Three keepers that have begun a group.
+    """Three keepers that have formed a group.
 
     Attributes
     ----------
     snapshot_entries : int or None
-        Entries after which a keeper takes a snapshot, where not the usual.
+        Number of entries after which a keeper takes a snapshot, if not the
+        default.
     """
 
     snapshot_entries = None
 
     async def asyncSetUp(self):
-        # The debug mode of this test case makes calls ten times as slow.
+        # asyncio's debug mode, which this test case enables, is slow.
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory(dir=MEMORY)
         self.addCleanup(folder.cleanup)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Consensus between keeper processes under kills, freezes, cuts and loss."""
+"""Consensus among keeper processes with crashes, pauses and partitions."""
 
 import asyncio
 import random
@@ -20,14 +20,14 @@
 
 
 class FleetCase(unittest.IsolatedAsyncioTestCase):
-    """Base: a fleet in a folder of its own, ended with the test."""
+    """Base class: a fleet in a temporary folder, stopped with the test."""
 
     async def begin(self, **options):
         self.fleet = await self.new_fleet(**options)
         return await self.fleet.wait_leader()
 
     async def new_fleet(self, **options):
-        # The debug mode of this test case makes calls ten times as slow.
+        # asyncio's debug mode, which this test case enables, is slow.
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory(dir=keepers_case.MEMORY)
         self.addCleanup(folder.cleanup)
@@ -43,17 +43,17 @@
         return (await self.fleet.client.query(keeper.Get(key), 15)).value
 
     async def add(self, begin, end):
-        """Make the changes c`begin` to before c`end`, 64 at a time."""
-        gate = asyncio.Semaphore(64)
+        """Propose `Add` for c`begin` up to but not c`end`, 64 at a time."""
+        semaphore = asyncio.Semaphore(64)
 
         async def one(number):
-            async with gate:
+            async with semaphore:
                 await self.fleet.client.propose(keeper.Add(f"c{number}"), 15)
 
         await asyncio.gather(*(one(number) for number in range(begin, end)))
 
     async def status_where(self, condition, name=None, what="status"):
-        """Return the status of `name`, or the leader, once it is so."""
+        """Return the status of `name`, or the leader, once it matches."""
 
         async def look():
             asked = name or await self.fleet.leader()
@@ -71,7 +71,7 @@
 
 
 class TestGroup(FleetCase):
-    """What the group does while nothing fails."""
+    """A group without failures."""
 
     async def test_proposal_is_applied_once_and_read_back(self):
         await self.begin()
@@ -83,11 +83,10 @@
 
 
 class TestSeededFaults(FleetCase):
-    """Kills, freezes and cuts at seeded moments under a steady load.
+    """Kills, pauses and partitions at seeded times under a steady load.
 
-    An operator's accepted change is gone, a claim is granted twice, or what
-    was told not to have run has run: each would show as a contradiction
-    between what clients were told and what the keepers hold.
+    Lost commands, double execution and false "not run" replies show as
+    contradictions between the replies to clients and the keepers' state.
     """
 
     async def check(self, seed, count, kinds):
@@ -103,15 +102,14 @@
 
 
 class TestLeader(FleetCase):
-    """A leader that is killed, frozen or cut off."""
+    """A leader that is killed, paused or partitioned."""
 
     async def test_frozen_leader_answers_nothing_stale_when_it_wakes(self):
-        # The leader's VM freezes; another keeper leads and takes a change.
-        # A read that was sent to the frozen one is the first thing it sees
-        # when it wakes: it must not answer from its old state.
+        # A paused leader finds a pending read when it resumes, after another
+        # leader has committed a change: it must not reply with stale state.
         old = await self.begin()
         await self.set("a", "old")
-        # A client of its own: the fleet's closes a link that does not answer.
+        # The fleet's own client closes links that do not reply.
         dialler = self.fleet.new_client().diallers[old]
         await processes.until(lambda: dialler.link)
         self.fleet.keepers[old].freeze()
@@ -135,9 +133,8 @@
         self.assertEqual(await self.get("a"), "new")
 
     async def test_leader_that_hears_nobody_steps_down(self):
-        # A switch drops what goes to the leader, but its heartbeats still
-        # arrive: the others would wait for ever for a leader that can
-        # commit nothing.
+        # One-way partition: the leader's heartbeats still arrive, but it
+        # receives nothing and cannot commit. It must step down.
         old = await self.begin()
         self.fleet.isolate(old, inwards=True, outwards=False)
         new = await self.fleet.wait_leader(but=old)
@@ -148,8 +145,8 @@
         self.assertEqual(await self.fleet.leader(), new)
 
     async def test_cut_data_centre_is_refused_in_time_and_catches_up(self):
-        # The leader's data centre is cut off. A router there is told within
-        # its timeout that nothing was accepted; outside, changes go on.
+        # The leader's data centre is partitioned. A router in it is refused
+        # within its timeout; the others elect a leader and go on.
         old = await self.begin()
         inside = self.fleet.new_client()
         await inside.propose(keeper.Set("a", "1"), 15)
@@ -170,9 +167,8 @@
         self.assertEqual(await self.get("a"), "2")
 
     async def test_return_of_an_isolated_keeper_deposes_nobody(self):
-        # A keeper is silently cut off for many election times. When it
-        # returns, a term raised meanwhile would depose the leader and
-        # stop all changes for an election.
+        # A keeper that is partitioned for many election times must not raise
+        # its term, or it deposes the leader when it returns.
         leader = await self.begin()
         before = await self.fleet.status(leader)
         lost = self.others(leader)[0]
@@ -187,12 +183,11 @@
 
 
 class TestDisk(FleetCase):
-    """Disks that are lost, foreign, damaged or full."""
+    """Disks that are lost, swapped, corrupt or full."""
 
     async def test_lost_disk_is_voted_in_again_and_losses_counted(self):
-        # A keeper's disk is lost; it comes back empty. Until it is a voter
-        # again, one more loss ends the quorum and status must say so;
-        # after that, the loss of another keeper is survived.
+        # Until a keeper with a lost disk is a voter again, the status must
+        # not report that another loss is safe; afterwards it is.
         leader = await self.begin(snapshot_entries=50)
         await self.add(0, 200)
         await self.status_where(lambda s: s.safe_losses == 1)
@@ -220,9 +215,9 @@
         self.assertEqual(len(dump.seen), 210)
 
     async def test_empty_disk_does_not_vote_under_its_old_name(self):
-        # A change is on the disks of two keepers, one of them the leader.
-        # The other one's disk is lost and the leader freezes: an empty
-        # disk that voted would elect the third, and lose the change.
+        # A change is on two disks. One is lost and the leader, with the
+        # other one, is paused: if the empty disk voted, the third keeper
+        # would be elected and the change lost.
         leader = await self.begin()
         lost, behind = self.others(leader)
         self.fleet.isolate(behind)
@@ -241,8 +236,8 @@
         self.assertEqual(await self.get("a"), "accepted")
 
     async def test_foreign_disk_is_refused(self):
-        # After a repair, disks of two keepers were swapped. A keeper that
-        # voted with the other one's disk could vote twice in one term.
+        # A keeper that voted with another keeper's disk could vote twice in
+        # one term.
         leader = await self.begin()
         one, two = self.others(leader)
         for name in (one, two):
@@ -260,8 +255,8 @@
         self.assertNotIn("Traceback", said)
 
     async def test_flipped_byte_refuses_to_start_and_says_what_to_do(self):
-        # A disk flips a bit in the middle of the log. Cutting there would
-        # silently forget what this keeper has acknowledged.
+        # Truncating the log at a corrupt record would silently drop
+        # acknowledged entries.
         leader = await self.begin()
         await self.add(0, 20)
         name = self.others(leader)[0]
@@ -279,9 +274,9 @@
         await self.status_where(lambda s: s.safe_losses == 1)
 
     async def test_full_disk_of_the_leader_loses_nothing(self):
-        # The leader's disk fills up under load. Nobody may be told that a
-        # change was accepted which is on no quorum, and the others go on;
-        # with space again, a restart brings the keeper back.
+        # The leader's disk fills up under load: no change may be acknowledged
+        # without a quorum, and the other keepers must go on. With free space,
+        # a restart brings the keeper back.
         leader = await self.begin()
         await self.add(0, 20)
         full = self.fleet.keepers[leader].control / "full"
@@ -297,9 +292,8 @@
         self.assertEqual([len(dump.seen) for dump in dumps], [40] * 3)
 
     async def test_change_on_one_disk_only_is_not_acknowledged(self):
-        # One keeper is cut off, and the disk of a second one is full: a
-        # change is synced by the third alone. If that one is lost next, a
-        # change that was acknowledged is gone.
+        # With one keeper partitioned and another's disk full, only the third
+        # syncs the change; acknowledged, it would be lost with that disk.
         leader = await self.begin()
         for full_leader in (False, True):
             full, cut = self.others(leader)
@@ -322,9 +316,8 @@
     """Wall clocks that jump."""
 
     async def test_jumping_clock_of_the_leader_moves_no_stamp(self):
-        # The leader's clock jumps a year ahead, later a year back. Stamps
-        # decide when claims expire: a year ahead, every claim would be
-        # forgotten and its booking could run again.
+        # Claims expire by the entries' timestamps: if these followed a clock
+        # that jumps ahead, claims would be dropped and bookings could rerun.
         leader = await self.begin()
         first = (await self.set("a", "1")).stamp
         clock = self.fleet.keepers[leader].control / "clock"
@@ -346,9 +339,8 @@
     """Every keeper is killed at once and started again."""
 
     async def test_state_survives_560_and_10000_changes(self):
-        # Power is lost in all data centres after a day's changes, and
-        # again after many days. Every change must be there, and the disk
-        # must hold snapshots and a short log, not the whole history.
+        # After a power loss of all keepers no change may be missing, and the
+        # disk must hold snapshots and a short log, not the whole history.
         await self.begin(snapshot_entries=1000)
         done = 0
         for changes in (560, 10_000):
@@ -371,7 +363,7 @@
 
 
 class TestMembers(FleetCase):
-    """Keepers that join and leave by an operator's order."""
+    """Keepers that are added and removed by an operator."""
 
     async def test_added_keeper_catches_up_and_votes(self):
         leader = await self.begin(snapshot_entries=50)
@@ -394,8 +386,8 @@
 
     async def test_removed_keeper_is_no_member(self):
         leader = await self.begin()
-        # A leader refuses while one of those that would be left has not
-        # answered it yet, which on a busy machine is so at first.
+        # The leader refuses until the remaining keepers have replied to it,
+        # which takes a moment on a busy machine.
         await self.status_where(lambda s: all(m.live for m in s.members))
         gone = self.others(leader)[0]
         remove = messages.Change("fleet", False, gone)
@@ -412,36 +404,30 @@
 
     NOW = 100.0
 
-    def group(self, began_at):
+    def group(self, started_at):
         made = mock.Mock()
         made.options = options.Options(
-            election_seconds=0.45, process_started_at=began_at
+            election_seconds=0.45, process_started_at=started_at
         )
         made.clocks.monotonic.return_value = self.NOW
-        made.heard_at = began_at or self.NOW
+        made.heard_at = started_at or self.NOW
         made.random = random.Random(1)
         return made
 
-    def due(self, began_at):
-        group = self.group(began_at)
+    def due(self, started_at):
+        group = self.group(started_at)
         election.schedule_first_campaign(group)
-        return group.campaign_at - self.NOW
+        return group.election_deadline - self.NOW
 
     def test_all_keepers_lost_power_and_took_long_to_start(self):
-        """Three keepers are back after 0.85 s, and nobody leads.
-
-        Each waited 0.45 to 0.9 s more for a leader that could not be there.
-        """
+        """Keepers that load slowly must not wait for a leader on top."""
         self.assertLessEqual(self.due(self.NOW - 0.85), 0.45 / 2)
 
     def test_promise_of_the_process_before_is_kept(self):
-        """A keeper answers its leader, is killed and starts within 0.2 s.
-
-        The leader reads without asking for 0.4 s, counting on that answer.
-        """
-        for began_at in (self.NOW - 0.2, None):
-            with self.subTest(began_at=began_at):
-                self.assertGreaterEqual(self.due(began_at), 0.45 - 0.2)
-                group = self.group(began_at)
+        """A restarted keeper must not vote while the leader's lease holds."""
+        for started_at in (self.NOW - 0.2, None):
+            with self.subTest(started_at=started_at):
+                self.assertGreaterEqual(self.due(started_at), 0.45 - 0.2)
+                group = self.group(started_at)
                 group.leading = False
                 self.assertTrue(election.hears_leader(group))
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Elections among keepers that all campaign at the same moment."""
+"""Elections with simultaneous candidates."""
 
 import asyncio
 from unittest import mock
@@ -10,7 +10,7 @@
 
 
 class TestCandidates(keepers_case.KeepersCase):
-    """Keepers that have all lost their power and start together."""
+    """Two keepers that campaign after they have lost their leader."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
@@ -19,19 +19,15 @@
         others = [k for k in self.keepers.running.values() if k is not leader]
         self.group, self.other = others[0].group, others[1].group
         for one in (self.group, self.other):
-            # Only the campaign of the test.
-            one.campaign_at = float("inf")
+            # Only campaigns that the test starts.
+            one.election_deadline = float("inf")
         await self.keepers.stop(leader.config.address)
 
-    async def test_who_voted_meanwhile_does_not_campaign(self):
-        """Two keepers ask for pre-votes at once, and both may campaign.
+    async def test_candidate_that_voted_for_another_does_not_campaign(self):
+        """A candidate that votes for another must not campaign.
 
-        The first is elected with the second one's vote. The second, whose
-        own pre-vote ends a moment later, went on in the term after that: the
-        leader saw a higher term 0.1 s after it had begun to lead, and the
-        group was without one again. Ballots of two keepers 20 ms apart in
-        the logs, the later one in a term that nobody had asked about, showed
-        it.
+        Otherwise it continues in the next term once its own pre-vote ends,
+        and deposes the leader that it has just elected.
         """
         rival = messages.Vote(
             self.group.name,
@@ -60,18 +56,16 @@
         self.assertEqual(self.other.disk_id, self.group.vote)
 
     async def test_two_candidates_settle_it_in_their_first_ballot(self):
-        """Two of three keepers are left and campaign at the same moment.
+        """Two simultaneous candidates of three keepers must not split votes.
 
-        Each granted the other's pre-vote, voted for itself and refused the
-        other: just as many voters were left as decide, so a vote for oneself
-        was a vote too few. Three rounds, 1.9 s, went by so in which all
-        keepers answered within 0.03 s.
+        Otherwise each grants the other's pre-vote, votes for itself and
+        refuses the other, round after round.
         """
         for _ in range(5):
             for group in (self.group, self.other):
                 group.heard_at = 0.0
                 roles.step_down(group, "the test")
-                group.campaign_at = float("inf")
+                group.election_deadline = float("inf")
             await asyncio.gather(
                 election._campaign(self.group), election._campaign(self.other)
             )
--- a/tests/test_initial.py
+++ b/tests/test_initial.py
@@ -1,4 +1,4 @@
-"""The first configuration, from JSON and INI."""
+"""Loading of the initial configuration from JSON and INI."""
 
 import pathlib
 import tempfile
@@ -24,7 +24,7 @@
 
 
 class TestInitial(unittest.TestCase):
-    """Files good and bad."""
+    """Valid and invalid files."""
 
     def load(self, text):
         with tempfile.TemporaryDirectory() as folder:
@@ -42,13 +42,13 @@
         self.assertEqual(methods, ["GET", "HEAD"])
         self.assertEqual(made.accounts[0].token_hashes, ["ab" * 32])
 
-    def test_example_of_the_fleet(self):
+    def test_example_file(self):
         root = pathlib.Path(__file__).resolve().parent.parent
         path = root / "examples" / "fleet" / "initial.json"
         made = initial_config.load(str(path))
         self.assertEqual(made.in_force, "ordinary")
 
-    def test_faults_are_told_with_the_file(self):
+    def test_errors_name_the_file(self):
         cases = {
             "{": "malformed",
             "x": "malformed",
@@ -57,10 +57,10 @@
             '{"presets": {"ordinary": {"load_bound": 0}}}': "load_bound",
             "[preset.ordinary]\nretry = 1": "retry",
         }
-        for text, told in cases.items():
+        for text, expected in cases.items():
             with self.assertRaises(errors.SettingsError) as caught:
                 self.load(text)
-            self.assertIn(told, str(caught.exception))
+            self.assertIn(expected, str(caught.exception))
             self.assertIn("/initial", str(caught.exception))
         with self.assertRaises(errors.SettingsError):
             initial_config.load("/none/such")
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -1,4 +1,4 @@
-"""What keepers hand to their links while all routers come back to them."""
+"""Load on the links of keepers, for example when all routers reconnect."""
 
 import asyncio
 import collections
@@ -26,18 +26,18 @@
 ROUTERS = 84
 KEEPERS = 6
 TARGETS = 63
-PLACES = 1557
-LINKING_SECONDS = 0.4
-WATCHED_SECONDS = 2.0
+PROMPT_LOCATIONS = 1557
+CONNECT_SECONDS = 0.4
+OBSERVED_SECONDS = 2.0
 
 
-class Wire:
-    """A VM's link, as the queue that bytes wait in.
+class LinkModel:
+    """A VM's link, modelled as a queue with a fixed rate.
 
     Attributes
     ----------
     worst : float
-        Longest that anything waited, in seconds.
+        Longest queueing delay in seconds.
     """
 
     def __init__(self, rate):
@@ -47,7 +47,7 @@
         self.worst = 0.0
 
     def carry(self, size):
-        """Take `size` bytes behind those that wait."""
+        """Queue `size` bytes."""
         now = time.monotonic()
         gone = (now - self.at) * self.rate
         self.waiting = max(0.0, self.waiting - gone) + size
@@ -55,8 +55,8 @@
         self.worst = max(self.worst, self.waiting / self.rate)
 
 
-class WireStream:
-    """A stream whose bytes go over a :class:`Wire`."""
+class ModelStream:
+    """A stream that writes to a :class:`LinkModel`."""
 
     def __init__(self, wire):
         self.wire = wire
@@ -66,15 +66,15 @@
         self.wire.carry(len(data))
 
     def writing(self):
-        """Return whether bytes wait in the process."""
+        """Return whether bytes are buffered in the process."""
         return False
 
     def close(self):
-        """Close nothing."""
+        """Do nothing."""
 
 
-def carried_by(wire, handlers):
-    """Return a context in which `wire` carries what `handlers`' links send."""
+def sending_over(wire, handlers):
+    """Patch links with `handlers` to send over `wire` as well."""
     write = links.Link._write
 
     def carried(link, data, tag):
@@ -85,22 +85,16 @@
     return mock.patch.object(links.Link, "_write", carried)
 
 
-class TestReturnOfAllRouters(unittest.IsolatedAsyncioTestCase):
-    """All VMs lose power, and 84 routers link to a keeper that has no leader.
+class TestReconnectOfAllRouters(unittest.IsolatedAsyncioTestCase):
+    """After a power loss, all routers connect to a keeper without a leader.
 
-    An operator's read of the plan failed for 16 s after all six keepers ran.
-    Each keeper answered the first reports of routers with all prompt places
-    at once, told every target that it learned of to each router by itself,
-    and notified all of every plan that its log brought back. That filled a
-    link of 6 Mbit/s for half a second and more: votes were late, and leaders
-    that had been elected lost their quorum one election time later, before a
-    single append of theirs had been answered. Ballots and bytes by kind, as
-    keepers log them, showed it; the processor was idle enough.
+    Its replies to the routers must not saturate the link: votes and
+    heartbeats that are queued behind them come too late.
     """
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
-        self.wire = Wire(LINK_RATE)
+        self.wire = LinkModel(LINK_RATE)
         self.handlers = links.Handlers()
         self.machine = plans.PlanStateMachine()
         self.group = types.SimpleNamespace(
@@ -127,7 +121,7 @@
 
     def link(self, name, role):
         identity = links.Identity(name, role, "here")
-        return links.Link(WireStream(self.wire), identity, self.handlers)
+        return links.Link(ModelStream(self.wire), identity, self.handlers)
 
     def add_keeper(self, address):
         identity = links.Identity("k0:1", "keeper", "here")
@@ -138,14 +132,14 @@
             dialler=dialler, address=address
         )
 
-    async def return_of_routers(self, count=ROUTERS):
-        """Link and report as routers do that have all just started."""
+    async def reconnect_routers(self, count=ROUTERS):
+        """Connect and report like routers that have just started."""
         report = self.handlers.by_class[sharing.Report]
         for number in range(count):
             link = self.link(f"router-{number}", messages.ROUTER_ROLE)
             self.hub.on_link(link)
             report(link, sharing.Report({}, []))
-            await asyncio.sleep(LINKING_SECONDS / count)
+            await asyncio.sleep(CONNECT_SECONDS / count)
 
     def record(self, number):
         return messages.TargetRecord(
@@ -159,56 +153,61 @@
         )
 
     def assert_votes_in_time(self):
-        # A vote or heartbeat and its answer each queue on one such link;
-        # both have to be through within an election time.
+        # A message and its reply each queue on such a link; both must arrive
+        # within an election time.
         self.assertLess(self.wire.worst, keepers.ELECTION_SECONDS / 2)
 
-    async def test_known_places_leave_room_for_votes(self):
-        """The keeper has kept places and targets on its disk."""
-        pairs = [[f"p{n:014x}", f"i-{n % 60:010x}"] for n in range(PLACES)]
+    async def test_known_locations_leave_room_for_votes(self):
+        """The keeper has stored prompt locations and targets."""
+        pairs = [
+            [f"p{n:014x}", f"i-{n % 60:010x}"] for n in range(PROMPT_LOCATIONS)
+        ]
         self.hub.exchange.store_locations(pairs)
         for number in range(TARGETS):
             self.hub.table.merge(self.record(number))
         self.hub.start()
-        await self.return_of_routers()
-        await asyncio.sleep(WATCHED_SECONDS)
+        await self.reconnect_routers()
+        await asyncio.sleep(OBSERVED_SECONDS)
         self.assert_votes_in_time()
 
-    async def test_places_of_a_long_day_leave_room_for_votes(self):
-        """Four times the places, as 87 routers and 66 engines had them."""
-        pairs = [[f"p{n:014x}", f"i-{n % 60:010x}"] for n in range(4 * PLACES)]
+    async def test_many_locations_leave_room_for_votes(self):
+        """The keeper has stored four times as many prompt locations."""
+        pairs = [
+            [f"p{n:014x}", f"i-{n % 60:010x}"]
+            for n in range(4 * PROMPT_LOCATIONS)
+        ]
         self.hub.exchange.store_locations(pairs)
         self.hub.start()
-        await self.return_of_routers()
-        await asyncio.sleep(WATCHED_SECONDS)
+        await self.reconnect_routers()
+        await asyncio.sleep(OBSERVED_SECONDS)
         self.assert_votes_in_time()
 
     async def test_table_of_a_full_fleet_leaves_room_for_votes(self):
-        """370 routers return, and 630 targets are known from the disk."""
+        """370 routers reconnect, and 630 targets are stored."""
         for number in range(630):
             self.hub.table.merge(self.record(number))
         self.hub.start()
-        await self.return_of_routers(370)
-        await asyncio.sleep(WATCHED_SECONDS)
+        await self.reconnect_routers(370)
+        await asyncio.sleep(OBSERVED_SECONDS)
         self.assert_votes_in_time()
 
-    async def test_targets_heard_one_by_one_leave_room_for_votes(self):
-        """The keeper's disk was lost: each announcement is news to it."""
+    async def test_single_announcements_leave_room_for_votes(self):
+        """The keeper's disk was lost, so each announcement is new."""
         self.hub.start()
-        await self.return_of_routers()
+        await self.reconnect_routers()
         for number in range(TARGETS):
             self.hub.announce(self.record(number))
             await asyncio.sleep(0.5 / TARGETS)
-        await asyncio.sleep(WATCHED_SECONDS)
+        await asyncio.sleep(OBSERVED_SECONDS)
         self.assert_votes_in_time()
         told = self.hub.table.records()
         self.assertEqual(TARGETS, len(told))
 
-    async def test_plans_from_the_log_are_told_of_once(self):
-        """A follower applies a dozen plans of its log in one go."""
+    async def test_plans_from_the_log_are_announced_once(self):
+        """A follower applies a dozen plans from its log at once."""
         self.hub.start()
-        await self.return_of_routers()
-        await asyncio.sleep(WATCHED_SECONDS)
+        await self.reconnect_routers()
+        await asyncio.sleep(OBSERVED_SECONDS)
         before = self.handlers.sent.copy()
         for version in range(12):
             put = plans.PutPlan(version, plans.compress(b"plan"))
@@ -223,24 +222,22 @@
 
 
 class TestLaggingKeeper(keepers_case.KeepersCase):
-    """A keeper comes back and lacks several large plans.
+    """A keeper that returns and lacks several large plans.
 
-    The leader sent it all of them at once, and its heartbeats to the voters
-    waited behind for longer than an election time: it lost its quorum 0.4 to
-    0.8 s after it had been elected, with 270 and 500 KB of entries handed to
-    its link in half a second.
+    Sent at once, they would delay the leader's heartbeats to the voters for
+    longer than an election time, and it would lose its quorum.
     """
 
     snapshot_entries = 100
 
-    async def test_heartbeats_do_not_wait_for_what_it_lacks(self):
+    async def test_catch_up_does_not_delay_heartbeats(self):
         lost = next(a for a in self.keepers.seeds if a != self.address())
         await self.keepers.stop(lost)
         for version in range(1, 13):
             await self.keepers.put(version, os.urandom(40_000), self.address())
         await asyncio.sleep(0.5)
-        wire = Wire(LINK_RATE)
-        with carried_by(wire, self.leader.handlers):
+        wire = LinkModel(LINK_RATE)
+        with sending_over(wire, self.leader.handlers):
             back = self.keepers.start(lost)
             await plan_keepers.until(lambda: back.machine.version == 12)
         self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
@@ -252,11 +249,8 @@
 class TestChangesInQuickSuccession(keepers_case.KeepersCase):
     """An operator changes one route of 1,400 after the other.
 
-    A change in a calm time was acknowledged after 2.8 s, and leaders lost
-    their quorum in the middle of a day. Each change went to the five other
-    keepers as a whole plan of 20 KB; a few of them filled the leader's link
-    for longer than an election time, and its heartbeats waited behind them:
-    answers took 0.2 to 0.6 s, of which the followers held them for 3 ms.
+    Replicated as whole plans, the changes would saturate the leader's link
+    and delay its heartbeats until it loses its quorum.
     """
 
     async def asyncSetUp(self):
@@ -272,13 +266,13 @@
             }
         ).encode()
 
-    async def test_heartbeats_do_not_wait_for_changes(self):
+    async def test_changes_do_not_delay_heartbeats(self):
         address = self.leader.config.address
         follower = next(a for a in self.keepers.running if a != address)
         await self.keepers.put(1, self.document(1), address)
         await asyncio.sleep(0.5)
-        wire = Wire(LINK_RATE)
-        with carried_by(wire, self.leader.handlers):
+        wire = LinkModel(LINK_RATE)
+        with sending_over(wire, self.leader.handlers):
             for version in range(2, 14):
                 at = address if version % 2 else follower
                 newest = self.document(version)
@@ -293,9 +287,8 @@
 class TestPlansInTurn(unittest.IsolatedAsyncioTestCase):
     """Routers that lost their plan ask one keeper after the other.
 
-    Each keeper sends it when its link has room. Asked again elsewhere after
-    0.8 s, 87 routers were sent it 300 times, and as the same bytes took the
-    room of those that still waited, the last had it after 6 s.
+    A plan that a router has received from one keeper must not be sent to it
+    by the others: the duplicates delay routers that are still waiting.
     """
 
     async def test_plan_that_came_from_another_keeper_is_not_sent(self):
@@ -316,12 +309,7 @@
         self.assertEqual(b"plan", plans.decompress(second.body))
 
     async def test_keeper_is_asked_once_while_it_has_not_answered(self):
-        """Keepers offer their plan with each answer, twice a second.
-
-        A router that had asked them all began anew with each offer, and was
-        sent the plan as often; 87 routers were served 4 s after there was a
-        leader.
-        """
+        """Repeated offers of a plan must not start new requests for it."""
         asked = [FakeKeeper(f"k{n}") for n in range(3)]
         fetcher = fetching.PlanFetcher(
             "router", lambda: -1, lambda: -1, lambda: asked, lambda plan: None
@@ -334,7 +322,7 @@
         fetcher.stop()
         self.assertEqual([1, 1, 1], [link.calls for link in asked])
 
-    async def test_router_says_what_it_holds_to_all_it_asked(self):
+    async def test_router_reports_its_plan_to_all_keepers_asked(self):
         held = []
         asked = [FakeKeeper(f"k{n}") for n in range(3)]
         fetcher = fetching.PlanFetcher(
@@ -357,7 +345,7 @@
 
 
 class FakeKeeper:
-    """A link to a keeper that answers when it is told to."""
+    """A link to a keeper that replies once `answer` is set."""
 
     def __init__(self, name):
         self.peer = links.Identity(name, "keeper", "here")
@@ -367,10 +355,10 @@
         self.answer = asyncio.get_running_loop().create_future()
 
     async def call(self, _message, _timeout):
-        """Return the answer once it is there."""
+        """Return the answer once it is set."""
         self.calls += 1
         return await asyncio.shield(self.answer)
 
     def send(self, message):
-        """Keep `message`."""
+        """Record `message`."""
         self.sent.append(message)
--- a/tests/test_keeper_store.py
+++ b/tests/test_keeper_store.py
@@ -1,4 +1,4 @@
-"""Files of a keeper: torn tails, damage, identity, snapshots, write errors."""
+"""Files of a keeper: torn tails, corruption, identity, write errors."""
 
 import asyncio
 import errno
@@ -25,7 +25,7 @@
 
 
 class FolderCase(unittest.TestCase):
-    """Base: a folder for one keeper's files."""
+    """Base class: a temporary folder for one keeper's files."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -50,13 +50,13 @@
 
 
 class TestTornTail(FolderCase):
-    """The process or VM ends in the middle of a write.
+    """A crash in the middle of a write.
 
-    What was being written was acknowledged to nobody; the keeper must start
-    with everything before it.
+    The torn record was never acknowledged; the keeper must start with all
+    records before it.
     """
 
-    def test_every_short_last_record_is_cut(self):
+    def test_every_short_last_record_is_truncated(self):
         path = self.write(3)
         whole = path.read_bytes()
         size = len(whole) // 3
@@ -65,7 +65,7 @@
             self.assertEqual(self.read(), [1, 2], cut)
             self.assertEqual(path.stat().st_size, 2 * size)
 
-    def test_unwritten_sectors_are_cut(self):
+    def test_zero_filled_sectors_are_truncated(self):
         path = self.write(3)
         whole = path.read_bytes()
         path.write_bytes(whole + bytes(2000))
@@ -74,7 +74,7 @@
         path.write_bytes(whole + big[:900] + bytes(len(big) - 900))
         self.assertEqual(self.read(), [1, 2, 3])
 
-    def test_writing_goes_on_after_the_cut(self):
+    def test_append_after_truncation(self):
         path = self.write(3)
         path.write_bytes(path.read_bytes()[:-1])
         segments = log.Segments(self.folder, disk.FileOps())
@@ -85,8 +85,8 @@
         self.assertEqual(self.read(), [1, 2, 3, 4])
 
 
-class TestDamage(FolderCase):
-    """A disk changes what it was given; nothing is forgotten silently."""
+class TestCorruption(FolderCase):
+    """Corrupt or missing records; no entry may be dropped silently."""
 
     def test_every_flipped_byte_refuses_to_start(self):
         path = self.write(3)
@@ -117,7 +117,7 @@
 
 
 class TestSegments(FolderCase):
-    """Truncation and compaction over several files."""
+    """Truncation and compaction across several files."""
 
     def open(self):
         self.write(3)
@@ -127,7 +127,7 @@
         self.addCleanup(segments.close)
         return segments
 
-    def test_truncate_goes_back_over_files(self):
+    def test_truncate_spans_files(self):
         segments = self.open()
         segments.truncate(3)
         made = entries(3, 5, term=2)
@@ -145,7 +145,7 @@
 
 
 class TestStore(FolderCase):
-    """What a keeper finds in its folder when it starts."""
+    """State of the folder when a keeper starts."""
 
     def open(self, keeper="k", group="g", files=None):
         made = store.Store(
@@ -174,14 +174,16 @@
         made = self.open()
 
         async def work():
-            made.save_hard(term=4, vote="d")
+            made.save_hard_state(term=4, vote="d")
             made.append(entries(1, 4))
 
         self.run_writer(made, work)
         self.assertEqual(made.durable_index, 3)
         made.close()
         again = self.open()
-        self.assertEqual((again.hard.term, again.hard.vote), (4, "d"))
+        self.assertEqual(
+            (again.hard_state.term, again.hard_state.vote), (4, "d")
+        )
         self.assertEqual(again.log.last_index, 3)
 
     def test_folder_of_another_keeper_group_or_process_refuses(self):
@@ -194,7 +196,7 @@
                 self.open(**names)
             self.assertIn("belongs to another", str(caught.exception))
 
-    def test_lost_files_and_damage_refuse(self):
+    def test_missing_and_corrupt_files_refuse(self):
         self.open().close()
         hard = self.folder / disk.HARD_STATE_FILE
         saved = hard.read_bytes()
@@ -211,9 +213,9 @@
             self.open()
 
     def test_snapshot_that_arrived_before_the_log_was_reset(self):
-        # The process ends between the rename of a received snapshot and
-        # the removal of the older log: the log must not be taken for what
-        # follows the snapshot.
+        # After a crash between the rename of a received snapshot and the
+        # removal of the older log, the log must not be appended to the
+        # snapshot.
         made = self.open()
 
         async def work():
@@ -229,13 +231,8 @@
         self.assertEqual(again.snapshot.data, b"state")
         self.assertEqual(again.members, MEMBERS)
 
-    def test_kill_in_the_middle_of_writing_a_snapshot(self):
-        """A keeper is killed while it writes a snapshot.
-
-        The half-written file stays beside the good one. Taken for the
-        newest snapshot, the keeper refused to start until an operator had
-        emptied its folder.
-        """
+    def test_partial_snapshot_is_ignored(self):
+        """A partly written snapshot must not be taken for the newest one."""
         self.open().close()
         good = snapshots.Snapshot(9, 2, 5.0, MEMBERS, b"state")
         snapshots.save(self.folder, good, disk.FileOps())
@@ -246,7 +243,7 @@
         self.assertEqual(again.snapshot.data, b"state")
         self.assertEqual([], list(self.folder.glob("snapshot-*.tmp")))
 
-    def test_damaged_snapshot_refuses(self):
+    def test_corrupt_snapshot_refuses(self):
         self.open().close()
         snapshot = snapshots.Snapshot(9, 2, 5.0, MEMBERS, b"state")
         snapshots.save(self.folder, snapshot, disk.FileOps())
@@ -257,7 +254,7 @@
         with self.assertRaises(errors.StorageError):
             self.open()
 
-    def test_truncated_members_come_back(self):
+    def test_truncation_restores_members(self):
         made = self.open()
         tag = wire.tag_of(messages.Members)
         body = wire.encode_value(MEMBERS)
@@ -272,9 +269,9 @@
 
         self.run_writer(made, work)
 
-    def test_failed_write_acknowledges_nothing_any_more(self):
-        # The disk is full for one write. A later write that succeeds would
-        # leave a hole in the log, and must not be acknowledged either.
+    def test_nothing_is_acknowledged_after_a_failed_write(self):
+        # After a failed write, a later one that succeeds leaves a gap in the
+        # log and must not be acknowledged either.
         full = []
 
         def write(fd, data):
@@ -301,11 +298,11 @@
         asyncio.run(run())
         self.assertEqual(made.durable_index, 1)
 
-    def test_what_was_not_synced_is_dropped_when_the_disk_is_back(self):
-        """A sync fails; what was written can still be read from memory.
+    def test_unsynced_entries_are_dropped_after_a_disk_failure(self):
+        """Entries read from the page cache after a failed sync are dropped.
 
-        Kept in the log, entry 2 would count as synced, and be gone after
-        the next loss of power although the leader was told that it lasts.
+        If they were kept, entry 2 would count as synced and be lost with the
+        next power failure.
         """
         failing = []
 
--- a/tests/test_plan_keepers.py
+++ b/tests/test_plan_keepers.py
@@ -1,4 +1,4 @@
-"""Keepers of a routing plan: orders, losses of disks, routers that follow."""
+"""Keepers of a routing plan: updates, disk failures, subscribed routers."""
 
 import asyncio
 import collections
@@ -21,7 +21,7 @@
 
 
 class KeepersCase(keepers_case.KeepersCase):
-    """Three keepers, with routers that follow them."""
+    """Three keepers, with routers that subscribe to them."""
 
     def follower(self, name="router-1"):
         taken = []
@@ -38,8 +38,8 @@
         return others[0]
 
 
-class TestOrders(KeepersCase):
-    """The highest version is in force, whoever sends what in which order."""
+class TestUpdates(KeepersCase):
+    """The highest version is in force, whatever the order of the updates."""
 
     async def test_highest_version_wins_and_resends_are_acknowledged(self):
         self.assertEqual(3, await self.keepers.put(3, b"three"))
@@ -51,10 +51,9 @@
             self.assertEqual(b"three", plans.decompress(found.body))
 
     async def test_two_operators_send_one_version_to_two_keepers(self):
-        """Two operators use the same number for different plans.
+        """Two plans have the same version.
 
-        Each is acknowledged; only one of them may ever be read back, by
-        whichever keeper.
+        Both are acknowledged, but all keepers must return the same one.
         """
         addresses = list(self.keepers.running)
         await asyncio.gather(
@@ -68,11 +67,7 @@
         self.assertEqual(1, len(found))
 
     async def test_keeper_without_quorum_answers_no_read(self):
-        """A keeper is alone; the others may have taken a newer plan.
-
-        An answer from its own state could be older than what an operator
-        was told is in force.
-        """
+        """A keeper without a quorum must not reply from stale state."""
         await self.keepers.put(1, b"one")
         last = self.a_follower_keeper()
         for address in list(self.keepers.running):
@@ -85,21 +80,19 @@
 
 
 class TestFullDisk(KeepersCase):
-    """Keepers whose disks refuse writes for a while."""
+    """Keepers whose disks refuse writes temporarily."""
 
     async def fill(self, keeper):
-        """Fill the disk of `keeper` until it has noticed."""
+        """Fill the disk of `keeper` and wait for its fault."""
         self.keepers.full.add(keeper.config.address)
         version = self.version = getattr(self, "version", 1) + 1
         await self.keepers.put(version, b"while full")
         await self.until(lambda: keeper.group.fault)
 
-    async def test_two_disks_fill_up_one_after_the_other(self):
-        """A full disk is freed soon; hours later that of a second fills up.
+    async def test_two_full_disks_in_succession(self):
+        """A keeper whose full disk was freed must participate again.
 
-        The first one had stopped taking part for good, so the second took
-        the quorum along: no order was taken and no plan could be read until
-        somebody restarted the processes.
+        Otherwise the next full disk ends the quorum.
         """
         leader = self.keepers.leader()
         others = [k for k in self.keepers.running.values() if k is not leader]
@@ -112,7 +105,7 @@
         found = await self.keepers.read()
         self.assertEqual(b"nine", plans.decompress(found.body))
 
-    async def test_it_comes_back_with_all_that_was_acknowledged(self):
+    async def test_recovered_keeper_has_all_acknowledged_plans(self):
         keeper = self.a_follower_keeper()
         await self.keepers.put(1, b"one")
         await self.fill(keeper)
@@ -121,12 +114,8 @@
         await self.until(lambda: keeper.machine.version == 7)
         self.assertEqual(b"seven", plans.decompress(keeper.machine.body))
 
-    async def test_it_passes_orders_and_reads_on_meanwhile(self):
-        """A leader's disk fills up, and an operator asks that very keeper.
-
-        It knew of no leader while its disk was full, so whoever asked it was
-        sent away although the two others could answer.
-        """
+    async def test_keeper_with_full_disk_forwards_requests(self):
+        """A keeper with a full disk must forward requests to the leader."""
         leader = self.keepers.leader()
         address = leader.config.address
         await self.fill(leader)
@@ -136,11 +125,10 @@
         self.assertIsNotNone(leader.group.fault)
 
     async def test_leader_does_not_fill_its_link_with_refused_snapshots(self):
-        """A keeper's disk is full while hundreds of routes are added.
+        """A refused snapshot must not be sent again at once.
 
-        It falls behind what the leader's log keeps, and was sent the whole
-        snapshot three times a second, over a link of 6 Mbit/s that also
-        carries the heartbeats of the leader, which lost its quorum.
+        Repeated snapshots delay the leader's heartbeats until it loses its
+        quorum.
         """
         keeper = self.a_follower_keeper()
         await self.fill(keeper)
@@ -160,7 +148,7 @@
             self.keepers.full.clear()
             await self.until(lambda: keeper.machine.version == 29)
 
-    async def test_full_disk_is_tried_until_it_is_freed(self):
+    async def test_full_disk_is_retried_until_it_is_freed(self):
         keeper = self.a_follower_keeper()
         await self.fill(keeper)
         tries = "keeper.disk-tries"
@@ -169,14 +157,13 @@
 
 
 class TestMembership(KeepersCase):
-    """Keepers that lose their disk, are replaced, or are added."""
+    """Keepers that lose their disk, are replaced or are added."""
 
-    async def test_wiped_keeper_comes_back_as_another_disk(self):
-        """A keeper loses its disk right after an acknowledgement.
+    async def test_wiped_keeper_rejoins_with_a_new_disk(self):
+        """A keeper with a lost disk must not vote under its old identity.
 
-        It may have been one of the two that held the plan. Voting again
-        under its old identity, it and the one that missed the plan would
-        be a majority that knows nothing of it.
+        With a keeper that missed an acknowledged plan, it would form a
+        majority without that plan.
         """
         await self.keepers.put(1, b"one")
         lost = self.a_follower_keeper().config.address
@@ -194,7 +181,7 @@
         voters = leader.group.members.voters if leader else []
         return [member.name for member in voters if member.disk == disk]
 
-    async def test_replaced_keeper_is_taken_in_at_its_new_address(self):
+    async def test_replacement_joins_at_its_new_address(self):
         await self.keepers.put(1, b"one")
         gone = self.a_follower_keeper().config.address
         await self.keepers.stop(gone)
@@ -217,10 +204,10 @@
         learners = leader.group.members.learners if leader else []
         return {member.name for member in learners}
 
-    async def test_keeper_that_comes_late_begins_no_second_group(self):
-        """All keepers were lost but one that is new and has nothing.
+    async def test_late_keeper_forms_no_second_group(self):
+        """A new keeper that is alone must not form an empty group.
 
-        Beginning an empty group, it would answer that there is no plan.
+        It would reply that there is no plan.
         """
         await self.keepers.put(1, b"one")
         for address in list(self.keepers.running):
@@ -231,7 +218,7 @@
         with self.assertRaises(errors.AmaranthringError):
             await late.hub.read()
 
-    async def test_plan_outlives_a_kill_of_all_keepers(self):
+    async def test_plan_survives_a_restart_of_all_keepers(self):
         for version in range(1, 14):
             await self.keepers.put(version, b"plan %d" % version)
         for address in list(self.keepers.running):
@@ -242,7 +229,7 @@
 
 
 class TestLearners(KeepersCase):
-    """Keepers that are taken in beside three voters."""
+    """Learners beside three voters."""
 
     def learners(self):
         leader = self.keepers.leader()
@@ -250,12 +237,10 @@
         return {member.name for member in members}
 
     async def test_new_learner_is_given_time_to_answer(self):
-        """A VM is replaced: the new one comes before the old one stops.
+        """A new learner that has not replied yet must not count as silent.
 
-        The leader had led for longer than the silence after which a keeper
-        is taken out. The new one had answered nothing yet, was taken for
-        silent 0.2 s later and never came back; with the old one stopped,
-        the next lost disk ended the quorum.
+        Otherwise the leader removes it at once, and a replaced VM leaves the
+        group without a spare.
         """
         leader = self.keepers.leader()
         await asyncio.sleep(leader.group.options.replace_seconds + 0.1)
@@ -267,37 +252,31 @@
         step = membership.next_step(leader.group)
         self.assertTrue(step is None or step.learners)
 
-    async def test_learner_that_was_taken_out_asks_again(self):
-        """A leader takes out a keeper that was silent for a while.
-
-        It had heard a leader once and asked nobody again, so it stayed out
-        for as long as it ran.
-        """
+    async def test_removed_learner_rejoins(self):
+        """A learner that was removed for its silence must ask to rejoin."""
         new = self.keepers.new_address()
         self.keepers.start(new)
         await self.until(lambda: new in self.learners())
         joined = self.keepers.running[new].group
         await self.until(lambda: joined.leader_disk)
-        # Its search for a group has ended.
+        # By then its discovery of the group has ended.
         await asyncio.sleep(0.3)
         leader = self.keepers.leader()
         disk = joined.disk_id
         smaller = membership.without(leader.group.members, disk)
         await leader.group.propose(smaller, 2.0)
-        leader.group.drop_strangers()
+        leader.group.drop_unknown_peers()
         self.assertEqual(set(), self.learners())
         await self.until(lambda: new in self.learners(), 5.0)
 
 
 class TestFirstStart(unittest.IsolatedAsyncioTestCase):
-    """More keepers than seeds, all started at once."""
+    """More keepers than seeds, all started together."""
 
-    async def test_keepers_that_are_no_seeds_do_not_hold_up_the_others(self):
-        """Six keepers start for the first time and know three seeds.
+    async def test_other_keepers_do_not_block_the_seeds(self):
+        """Three seeds must form a group although other keepers ask them too.
 
-        Those that are no seeds greet the seeds before these have begun a
-        group. Waiting for exactly the seeds' answers, nobody ever did, and
-        no plan was accepted.
+        A seed that waits for replies of exactly the seeds never forms one.
         """
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory()
@@ -316,10 +295,10 @@
             self.assertEqual(1, (await keepers.read(address)).version)
 
 
-class TestFollowing(KeepersCase):
-    """What a router knows, and how sure it is of that."""
+class TestSubscription(KeepersCase):
+    """A router's plan and targets, and when it counts as confirmed."""
 
-    async def test_router_takes_each_plan_and_is_confirmed(self):
+    async def test_router_receives_each_plan_and_is_confirmed(self):
         follower, taken = self.follower()
         await self.keepers.put(1, b"one")
         await self.until(lambda: follower.version == 1)
@@ -329,10 +308,9 @@
         self.assertEqual([b"one", b"two"], taken)
 
     async def test_new_leader_confirms_at_once(self):
-        """All keepers have lost power, and a leader is elected again.
+        """A new leader must confirm routers without their next poll.
 
-        Routers that had asked a moment before asked again half a second
-        later, and refused every caller until then.
+        Until they are confirmed, routers refuse every caller.
         """
         with mock.patch.object(subscriber, "RENEW_SECONDS", 30.0):
             follower, _ = self.follower()
@@ -347,10 +325,9 @@
             await self.until(lambda: follower.is_fresh(1.0))
 
     async def test_notice_during_a_question_is_not_lost(self):
-        """A new leader's notice comes while a question is under way.
+        """A notice during a pending request must trigger another request.
 
-        The question was answered before the leader could confirm; the notice
-        was passed over, and the router asked again half a second later.
+        The pending one may be answered before the leader can confirm.
         """
         patched = mock.patch.object(subscriber, "RENEW_SECONDS", 30.0)
         patched.start()
@@ -378,9 +355,9 @@
         self.assertEqual(2, asked.count(address))
 
     async def test_router_is_not_confirmed_without_a_quorum(self):
-        """A router still reaches one keeper, which has lost the others.
+        """A keeper without a quorum must not confirm a router's plan.
 
-        A key may be withdrawn on the other side; the keeper cannot know.
+        It cannot know of a key that the other keepers have revoked.
         """
         follower, _ = self.follower()
         await self.keepers.put(1, b"one")
@@ -389,12 +366,12 @@
             await self.keepers.stop(address)
         await asyncio.sleep(1.5)
         self.assertFalse(follower.is_fresh(1.0))
-        # The one that is left answers: the others have the same trouble.
+        # One keeper still replies, so the router itself is not cut off.
         self.assertFalse(follower.is_cut_off())
         await self.keepers.stop(next(iter(self.keepers.running)))
         await self.until(follower.is_cut_off)
 
-    async def test_refused_plan_leaves_the_old_one(self):
+    async def test_refused_plan_keeps_the_old_one(self):
         follower, taken = self.follower()
         await self.keepers.put(1, b"one")
         await self.until(lambda: follower.version == 1)
@@ -408,12 +385,10 @@
         self.assertEqual(1, follower.version)
         self.assertEqual([b"one"], taken)
 
-    async def test_keeper_that_dies_while_it_sends_holds_nobody_up(self):
-        """A keeper tells of a new plan and loses its power.
+    async def test_keeper_that_dies_does_not_delay_the_fetch(self):
+        """A router must not wait for a keeper that announced a plan and died.
 
-        The router asked it, waited three seconds for the answer, and asked
-        nobody else meanwhile: it went on by a plan that an acknowledged one
-        had replaced, and refused the keys that the new one added.
+        Otherwise it keeps using the replaced plan until the timeout.
         """
         follower, _ = self.follower()
         await self.keepers.put(1, b"one")
@@ -436,10 +411,9 @@
         self.assertTrue(asked)
 
     async def test_routers_fetch_from_all_keepers(self):
-        """A hundred routers fetch a large plan over the keepers' thin links.
+        """Routers must spread their fetches of a plan over all keepers.
 
-        All of them asked the leader, which tells first; its link took two
-        seconds for that.
+        The leader announces it first; its link alone is too slow for all.
         """
         served = collections.Counter()
 
@@ -464,7 +438,7 @@
         for one in followers:
             await self.until(lambda o=one: o.version == 2)
         names = [f"router-{n}" for n in range(18)]
-        # Which keeper that is depends on addresses drawn anew each time.
+        # The addresses, and so the choices, differ from run to run.
         chosen = [hashing.first(name, self.keepers.seeds) for name in names]
         self.assertEqual(collections.Counter(chosen), served)
 
@@ -481,10 +455,10 @@
         await self.until(lambda: new in follower.diallers)
 
     async def test_router_reports_in_its_own_data_centre(self):
-        """A data centre with a keeper and two routers is cut off.
+        """Routers must report to the keeper in their own data centre.
 
-        Both reported to keepers beyond the cut, sent each new prompt to an
-        engine of its own, and did not hear of the other's for 1.7 s.
+        Otherwise routers in a partitioned data centre do not learn of each
+        other's prompts.
         """
         for name in ("router-1", "router-2", "router-3"):
             follower, _ = self.follower(name)
@@ -525,11 +499,10 @@
         await self.until(lambda: "a" in follower.table.entries)
         await self.until(lambda: follower.table.entries["a"].record.silent)
 
-    async def test_cut_off_keeper_takes_no_announcement(self):
-        """A target says that it leaves, to a keeper that reaches nobody.
+    async def test_partitioned_keeper_accepts_no_announcement(self):
+        """A partitioned keeper must not acknowledge that a target leaves.
 
-        Acknowledged, it would wait for its end while every router goes on
-        sending to it.
+        The target would shut down while routers still send to it.
         """
         last = self.a_follower_keeper()
         for address in list(self.keepers.running):
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""When a leader gives a silent follower's link up."""
+"""Task cancellation, and the link of a silent follower."""
 
 import asyncio
 import types
@@ -14,15 +14,11 @@
 MEMBER = messages.Member("old-disk", "k2", "h:2", "dc")
 
 
-class TestEndOfTasks(unittest.IsolatedAsyncioTestCase):
+class TestCancelTasks(unittest.IsolatedAsyncioTestCase):
     """Tasks of a group that is stopped."""
 
     async def test_task_that_swallows_a_cancellation_ends(self):
-        """A keeper is stopped in the step in which a reply comes.
-
-        The task that waited for it goes on with its loop, and the keeper
-        waits for the task until it is killed.
-        """
+        """A swallowed cancellation must not block the stop forever."""
         swallowed = []
 
         async def work():
@@ -42,7 +38,7 @@
 
 
 class SlowDialler:
-    """A link on which every answer takes long; it notes its end."""
+    """A link that never replies in time; it counts calls and closes."""
 
     def __init__(self):
         self.link = self
@@ -58,7 +54,7 @@
 
 
 class TestSilentFollower(unittest.IsolatedAsyncioTestCase):
-    """A follower that answers late, or not at all."""
+    """A follower that replies late, or not at all."""
 
     async def asyncSetUp(self):
         self.now = 100.0
@@ -85,28 +81,26 @@
         for task in self.peer.tasks:
             task.cancel()
 
-    async def due(self):
+    async def send_due(self):
         await replication._send_due(self.group, self.peer)
 
-    async def test_one_that_comes_back_gets_time_for_its_first_answer(self):
-        """A keeper was without power and comes back with an empty disk.
+    async def test_returning_follower_gets_time_for_its_first_reply(self):
+        """Silence before a new link must not count against that link.
 
-        The leader had heard nothing for seconds, and so closed each new
-        link a heartbeat after its first message. With plans of many routes
-        the answer takes longer than that: the keeper was never taken in,
-        and the next lost disk was one too many.
+        Otherwise the leader closes each new link before its first reply, and
+        the keeper never rejoins.
         """
-        self.now += 10 * self.group.options.silent_seconds
-        await self.due()
+        self.now += 10 * self.group.options.peer_timeout_seconds
+        await self.send_due()
         self.assertEqual(1, self.peer.in_flight)
         self.now += self.group.options.heartbeat_seconds
-        await self.due()
+        await self.send_due()
         self.assertEqual(0, self.dialler.closed)
 
     async def test_snapshot_does_not_wait_on_a_silent_link(self):
-        """A link goes silent while a snapshot is sent over it.
+        """A link that goes silent during a snapshot must be closed.
 
-        The task that would notice is the one that waits.
+        The task that detects silent links is the one that waits.
         """
 
         async def call(_message, _timeout):
@@ -120,9 +114,9 @@
         self.assertIsNone(sent)
         self.assertEqual(1, self.dialler.closed)
 
-    async def test_link_on_which_nothing_is_answered_is_closed(self):
-        await self.due()
-        self.now += self.group.options.silent_seconds * 1.1
-        await self.due()
+    async def test_link_without_replies_is_closed(self):
+        await self.send_due()
+        self.now += self.group.options.peer_timeout_seconds * 1.1
+        await self.send_due()
         self.assertEqual(1, self.dialler.closed)
         self.assertEqual(0, self.peer.in_flight)
