--- a/amaranthring/keepers/__init__.py
+++ b/amaranthring/keepers/__init__.py
@@ -1,1 +1,1 @@
-"""Keepers: consensus, durable log, presets, claims, orders."""
+"""Keeper processes: consensus, durable log, presets, claims and orders."""
--- a/amaranthring/keepers/consensus.py
+++ b/amaranthring/keepers/consensus.py
@@ -48,7 +48,7 @@
 
 
 class Group:
-    """Membership of this keeper in one consensus group.
+    """Participation of this keeper in one consensus group.
 
     Parameters
     ----------
@@ -257,7 +257,7 @@
         return member.name if member else ""
 
     def has_lease(self) -> bool:
-        """Return whether this keeper holds the leader lease."""
+        """Return whether this keeper leads and no other one can now."""
         now = self.clocks.monotonic()
         return self.leading and now < election.lease_until(self)
 
--- a/amaranthring/keepers/disk.py
+++ b/amaranthring/keepers/disk.py
@@ -184,8 +184,8 @@
     def _load(self, group: str, keeper: str) -> HardState:
         path = self.folder / HARD_STATE_FILE
         if not path.exists():
-            left = [p for p in self.folder.iterdir() if p.name != LOCK_FILE]
-            if [p for p in left if p.suffix != TEMPORARY_SUFFIX]:
+            others = [p for p in self.folder.iterdir() if p.name != LOCK_FILE]
+            if [p for p in others if p.suffix != TEMPORARY_SUFFIX]:
                 raise damage_error(path, "missing beside other files")
             state = HardState(group, keeper, secrets.token_hex(DISK_ID_BYTES))
             self.save(state)
--- a/amaranthring/keepers/election.py
+++ b/amaranthring/keepers/election.py
@@ -21,15 +21,15 @@
 
 log = logbook.Logger(__name__)
 
+# Shares of the election time.
 LEASE_SHARE = 0.9
-# Shares of the election time. A candidate without a majority retries after
-# about this share.
+# Average wait of a candidate without a majority before it retries.
 RETRY_SHARE = 0.3
-# How long a pre-vote is held for a candidate: longer than a ballot, but
+# How long a pre-vote is reserved for a candidate: longer than a ballot, but
 # shorter than most retry waits, so that a candidate that cannot win does not
 # block the others.
 PRE_VOTE_GRANT_SHARE = 0.15
-# Keepers that start together spread their first campaigns over this share.
+# Spread of the first campaigns of keepers that start together.
 FIRST_CAMPAIGN_SHARE = 0.5
 
 
@@ -161,8 +161,8 @@
 
 
 async def _campaign(group) -> None:
-    short = group.options.election_seconds * RETRY_SHARE
-    wait = short * group.random.uniform(0.5, 1.5)
+    retry = group.options.election_seconds * RETRY_SHARE
+    wait = retry * group.random.uniform(0.5, 1.5)
     group.election_deadline = group.clocks.monotonic() + wait
     term = group.term + 1
     rank = _rank(group.log.last_term, group.log.last_index, group.disk_id)
@@ -175,12 +175,12 @@
     if group.leading or hears_leader(group):
         return
     if group.term + 1 != term:
-        # Another was voted for meanwhile: a campaign in the term after that,
-        # for which nobody asked, would depose it 0.1 s after it was elected.
+        # The pre-vote was for an older term: this keeper has voted for another
+        # candidate meanwhile, and would depose it by campaigning on.
         return
     if group.pre_vote_grant.rank != rank:
-        # This keeper voted for another candidate meanwhile. When only a
-        # bare quorum of voters is left, competing with it would fail both.
+        # A better candidate got this keeper's pre-vote meanwhile. If only a
+        # quorum of voters is left, competing would make both lose.
         return
     roles.set_term(group, term, group.disk_id)
     reset_election_timer(group)
@@ -298,25 +298,25 @@
         return True
     if not group.leading and hears_leader(group):
         return True
-    ours = (group.log.last_term, group.log.last_index)
-    return (message.last_term, message.last_index) < ours
+    own = (group.log.last_term, group.log.last_index)
+    return (message.last_term, message.last_index) < own
 
 
 async def on_vote(group, message: messages.Vote) -> messages.Voted:
     """Answer a vote request; a granted vote is synced before the reply."""
     if group.fault is not None:
         raise group.fault
-    no = messages.Voted(group.term, False, group.disk_id)
+    refusal = messages.Voted(group.term, False, group.disk_id)
     if _must_refuse(group, message):
-        return no
+        return refusal
     if message.pre:
         rank = _rank(message.last_term, message.last_index, message.disk)
         granted = message.term > group.term and _grant_pre_vote(group, rank)
         return messages.Voted(group.term, granted, group.disk_id)
     if message.term > group.term:
         roles.set_term(group, message.term)
-    taken = group.vote not in ("", message.disk)
-    if message.term < group.term or taken:
+    voted_for_other = group.vote not in ("", message.disk)
+    if message.term < group.term or voted_for_other:
         return messages.Voted(group.term, False, group.disk_id)
     roles.set_term(group, message.term, message.disk)
     reset_election_timer(group)
--- a/amaranthring/keepers/log.py
+++ b/amaranthring/keepers/log.py
@@ -103,7 +103,7 @@
 
     @property
     def last_stamp(self) -> float:
-        """Return the stamp of the last entry."""
+        """Return the timestamp of the last entry."""
         return self.entries[-1].stamp if self.entries else self.base_stamp
 
     def term_at(self, index: int) -> int | None:
@@ -123,15 +123,15 @@
 
         A first payload above `max_bytes` is returned alone.
         """
-        found = []
+        payloads = []
         size = 0
-        for at in range(index - self.base_index - 1, len(self.entries)):
-            payload = self.entries[at].payload
+        for position in range(index - self.base_index - 1, len(self.entries)):
+            payload = self.entries[position].payload
             size += len(payload)
-            if found and size > max_bytes:
+            if payloads and size > max_bytes:
                 break
-            found.append(payload)
-        return found
+            payloads.append(payload)
+        return payloads
 
     def append(self, entries: list[Entry]) -> None:
         """Append `entries`, which must follow the last one."""
@@ -159,7 +159,7 @@
     Attributes
     ----------
     first : int
-        Index of its first record.
+        Index of the first record.
     offsets : list of int
         Byte offset of each record.
     size : int
@@ -173,7 +173,7 @@
 
     @property
     def last(self) -> int:
-        """Return the index of its last record."""
+        """Return the index of the last record."""
         return self.first + len(self.offsets) - 1
 
 
@@ -260,10 +260,10 @@
         self.sync()
         self.start_segment(last_index + 1)
         ends = [segment.last for segment in self.segments]
-        gone = min(bisect.bisect_right(ends, upto), len(ends) - 1)
-        for segment in self.segments[:gone]:
+        obsolete = min(bisect.bisect_right(ends, upto), len(ends) - 1)
+        for segment in self.segments[:obsolete]:
             segment.path.unlink()
-        del self.segments[:gone]
+        del self.segments[:obsolete]
 
     def reset(self, first: int) -> None:
         """Remove all records; the next one has index `first`."""
--- a/amaranthring/keepers/membership.py
+++ b/amaranthring/keepers/membership.py
@@ -148,9 +148,9 @@
 def _without_lost_voter(group, voter) -> messages.Members | None:
     # The lost disk is removed before the new one votes: changing both at
     # once could create two majorities without a common disk.
-    smaller = without(group.members, voter.disk)
-    live = sum(election.is_live(group, member) for member in smaller.voters)
-    return smaller if live >= quorum(smaller) else None
+    remaining = without(group.members, voter.disk)
+    live = sum(election.is_live(group, member) for member in remaining.voters)
+    return remaining if live >= quorum(remaining) else None
 
 
 def _is_caught_up(group, member) -> bool:
@@ -266,17 +266,17 @@
     members = group.members
     voters = [m for m in members.voters if m.name == message.name]
     if voters:
-        smaller = without(members, voters[0].disk)
+        remaining = without(members, voters[0].disk)
         live = sum(
-            election.is_live(group, member) for member in smaller.voters
+            election.is_live(group, member) for member in remaining.voters
         )
-        if live < quorum(smaller):
+        if live < quorum(remaining):
             raise errors.BadRequestError(
                 "the rest would have no quorum",
-                given=f"{live} live of {len(smaller.voters)}",
-                expected=f"{quorum(smaller)} live voters",
+                given=f"{live} live of {len(remaining.voters)}",
+                expected=f"{quorum(remaining)} live voters",
             )
-        members = smaller
+        members = remaining
     else:
         gone = [m for m in members.learners if m.name == message.name]
         members = without(members, gone[0].disk)
--- a/amaranthring/keepers/recovery.py
+++ b/amaranthring/keepers/recovery.py
@@ -23,13 +23,13 @@
 
 # Interval between attempts to reopen the folder; it can prolong an election
 # that needs this keeper's vote.
-RETRY_SECONDS = 0.5
+RETRY_INTERVAL_SECONDS = 0.5
 
 
 async def run(group) -> None:
     """Reopen the folder after each disk failure, until cancelled."""
     while True:
-        await asyncio.sleep(RETRY_SECONDS)
+        await asyncio.sleep(RETRY_INTERVAL_SECONDS)
         if group.fault is not None and group.recoverable:
             await _try_reopen(group)
 
--- a/amaranthring/keepers/replication.py
+++ b/amaranthring/keepers/replication.py
@@ -138,15 +138,15 @@
         if now >= peer.snapshot_retry_at:
             await _send_snapshot(group, peer)
         return
-    while _may_send(group, peer) and (most := _batch_bytes(group, peer)):
-        _send(group, peer, most)
+    while _may_send(group, peer) and (max_bytes := _batch_bytes(group, peer)):
+        _send(group, peer, max_bytes)
     if now - peer.sent_at >= group.options.heartbeat_seconds * 0.9:
         _send(group, peer, 0)
 
 
 def _may_send(group, peer: Peer) -> bool:
-    alone = peer.probing or _is_catching_up(group, peer)
-    window = 1 if alone else MAX_IN_FLIGHT_MESSAGES
+    one_by_one = peer.probing or _is_catching_up(group, peer)
+    window = 1 if one_by_one else MAX_IN_FLIGHT_MESSAGES
     return (
         peer.next_index <= group.log.last_index
         and peer.in_flight < window
@@ -312,8 +312,11 @@
         return _appended(group, False)
     received_at = group.clocks.monotonic()
     roles.follow(group, message.term, message.disk)
-    held = group.log.term_at(message.prev_index)
-    if held != message.prev_term and message.prev_index > group.commit_index:
+    prev_term = group.log.term_at(message.prev_index)
+    if (
+        prev_term != message.prev_term
+        and message.prev_index > group.commit_index
+    ):
         return _appended(group, False, hint=_conflict_hint(group, message))
     entries = [logfile.parse_entry(payload) for payload in message.entries]
     last = message.prev_index + len(entries)
@@ -350,21 +353,21 @@
 
 def _merge(group, previous: int, entries: list[logfile.Entry]) -> None:
     """Append `entries` after `previous`, replacing conflicting ones."""
-    for at, entry in enumerate(entries):
-        if entry.index != previous + at + 1:
+    for position, entry in enumerate(entries):
+        if entry.index != previous + position + 1:
             raise errors.FrameError(
                 "entry index in append",
                 given=entry.index,
-                expected=previous + at + 1,
+                expected=previous + position + 1,
             )
     new = [e for e in entries if e.index > group.commit_index]
-    for at, entry in enumerate(new):
-        held = group.log.term_at(entry.index)
-        if held == entry.term:
+    for position, entry in enumerate(new):
+        term = group.log.term_at(entry.index)
+        if term == entry.term:
             continue
-        if held is not None:
+        if term is not None:
             group.truncate(entry.index)
-        group.append(new[at:])
+        group.append(new[position:])
         return
 
 
@@ -441,13 +444,13 @@
     """Store one chunk of a snapshot; install it after the last chunk."""
     if group.fault is not None:
         raise group.fault
-    no = messages.Chunked(group.term, False, group.disk_id)
+    refusal = messages.Chunked(group.term, False, group.disk_id)
     if message.to_disk != group.disk_id or message.term < group.term:
-        return no
+        return refusal
     roles.follow(group, message.term, message.disk)
-    done = messages.Chunked(group.term, True, group.disk_id, message.total)
+    accepted = messages.Chunked(group.term, True, group.disk_id, message.total)
     if message.index <= group.commit_index:
-        return done
+        return accepted
     try:
         offset = await asyncio.get_running_loop().run_in_executor(
             group.store.snapshot_thread,
@@ -462,6 +465,6 @@
         roles.fail_disk(group, error)
         raise group.fault from error
     if offset is None or group.term != message.term:
-        return no
-    done.offset = offset
-    return done
+        return refusal
+    accepted.offset = offset
+    return accepted
--- a/amaranthring/keepers/store.py
+++ b/amaranthring/keepers/store.py
@@ -136,11 +136,11 @@
 
     def _entries_after(self, snapshot, entries) -> list[logfile.Entry]:
         """Set the log's base; return the entries that follow it."""
-        held = {entry.index: entry for entry in entries}
-        at = held.get(snapshot.index)
-        if at is None and snapshot.index + 1 in held:
+        by_index = {entry.index: entry for entry in entries}
+        last_covered = by_index.get(snapshot.index)
+        if last_covered is None and snapshot.index + 1 in by_index:
             return entries
-        if at is None or at.term != snapshot.term:
+        if last_covered is None or last_covered.term != snapshot.term:
             # The process ended between installing a snapshot from the leader
             # and removing the older log.
             self.segments.reset(snapshot.index + 1)
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -215,9 +215,9 @@
         self.assertEqual(len(dump.seen), 210)
 
     async def test_empty_disk_does_not_vote_under_its_old_name(self):
-        # A change is on two disks. One is lost and the leader, with the
-        # other one, is paused: if the empty disk voted, the third keeper
-        # would be elected and the change lost.
+        # A change is on two disks; one is lost, and the leader, which has the
+        # other, is paused. If the empty disk voted, the third keeper would be
+        # elected and the change lost.
         leader = await self.begin()
         lost, behind = self.others(leader)
         self.fleet.isolate(behind)
@@ -420,7 +420,7 @@
         return group.election_deadline - self.NOW
 
     def test_all_keepers_lost_power_and_took_long_to_start(self):
-        """Keepers that load slowly must not wait for a leader on top."""
+        """Keepers that start slowly must not wait a full election time."""
         self.assertLessEqual(self.due(self.NOW - 0.85), 0.45 / 2)
 
     def test_promise_of_the_process_before_is_kept(self):
--- a/tests/test_keeper_store.py
+++ b/tests/test_keeper_store.py
@@ -214,8 +214,8 @@
 
     def test_snapshot_that_arrived_before_the_log_was_reset(self):
         # After a crash between the rename of a received snapshot and the
-        # removal of the older log, the log must not be appended to the
-        # snapshot.
+        # removal of the older log, that log must not be taken for the entries
+        # that follow the snapshot.
         made = self.open()
 
         async def work():
