--- a/amaranthring/app.py
+++ b/amaranthring/app.py
@@ -84,12 +84,12 @@
     router = router_parts.Router(settings, identity_of("router", settings))
     internal = listen_internal(settings, router.internal_routes())
     callers = listen_callers(settings, router)
-    router.start(listeners.listening(settings.listen.fleet))
-    collection.freeze()
+    router.start(listeners.bind_sockets(settings.listen.fleet))
+    collection.freeze_startup_objects()
     logs.event(log, "router.started", callers=settings.listen.callers)
     await stop.wait()
     await router.shut_down(callers, internal)
-    logs.event(log, "router.stopped", running=router.drain.running)
+    logs.event(log, "router.stopped", running=router.drain.in_flight)
 
 
 def listen_callers(
@@ -103,7 +103,7 @@
     context = files.tls_context(
         listen.certificate_file, listen.certificate_key_file
     )
-    sockets = listeners.listening(listen.callers)
+    sockets = listeners.bind_sockets(listen.callers)
     served = server.listen(app, sockets, settings.callers, context)
     return listeners.Listener(served, sockets)
 
@@ -116,8 +116,8 @@
         ("/metrics", figures.FiguresHandler, {"figures": keeper.metrics})
     ]
     internal = listen_internal(settings, routes)
-    keeper.start(listeners.listening(settings.listen.fleet))
-    collection.freeze()
+    keeper.start(listeners.bind_sockets(settings.listen.fleet))
+    collection.freeze_startup_objects()
     logs.event(log, "keeper.started", folder=settings.process.data_folder)
     await stop.wait()
     served.stop()
--- a/amaranthring/bench/cache.py
+++ b/amaranthring/bench/cache.py
@@ -117,7 +117,7 @@
             if name not in self.dead:
                 break
             excluded.add(name)
-            self.fleet.release(grant, records.End.UNREACHABLE)
+            self.fleet.release(grant, records.AttemptEnd.UNREACHABLE)
         self.truth[name] += 1
         self.running.setdefault(name, set()).add(grant.grant_id)
         self._check(name)
@@ -207,7 +207,7 @@
             if self.plain:
                 at.placer.held.running[name] -= 1
             else:
-                at.placer.release(grant, records.End.TARGET_LOST)
+                at.placer.release(grant, records.AttemptEnd.TARGET_LOST)
         lost = records.TargetState.LOST
         self.after(LEASE, lambda: self.fleet.set_state(name, lost))
 
--- a/amaranthring/bench/memory.py
+++ b/amaranthring/bench/memory.py
@@ -92,15 +92,15 @@
     return config, made
 
 
-def explained(count: int) -> decisions.Decisions:
+def explained(count: int) -> decisions.DecisionLog:
     """Return a ring that explains `count` requests."""
-    ring = decisions.Decisions()
+    ring = decisions.DecisionLog()
     for number in range(count):
         name = f"router-1.{number:020x}"
         loads = {f"engine-{n}": n for n in range(8)}
-        ring.note(name, "candidates", eligible=15, reported=loads)
-        ring.note(name, "granted", target="engine-1", owner="router-2")
-        ring.note(name, "attempt-ended", target="engine-1", end="done")
+        ring.record(name, "candidates", eligible=15, reported=loads)
+        ring.record(name, "granted", target="engine-1", owner="router-2")
+        ring.record(name, "attempt-ended", target="engine-1", end="done")
     return ring
 
 
--- a/amaranthring/bench/model.py
+++ b/amaranthring/bench/model.py
@@ -234,7 +234,7 @@
     def _deliver(self, state) -> None:
         sequence = int(self.fleet.clock.now * 10)
         for name, running in state.items():
-            report = records.Report(name, 1, sequence, running, 0)
+            report = records.LoadReport(name, 1, sequence, running, 0)
             for router in self.fleet.live():
                 router.table.reports[name] = report
 
--- a/amaranthring/bench/retries.py
+++ b/amaranthring/bench/retries.py
@@ -43,7 +43,7 @@
         Whether the budget is asked, or every failure is retried.
     """
 
-    def __init__(self, seed: int, end: records.End, budget: bool = True):
+    def __init__(self, seed: int, end: records.AttemptEnd, budget: bool = True):
         self.random = random.Random(seed)
         self.end = end
         self.now = 0.0
@@ -127,9 +127,9 @@
     """
     made = report.Report(f"retries at half of the targets failing, {seed}")
     cases = {
-        "unreachable": (records.End.UNREACHABLE, True),
-        "failing": (records.End.FAILED, True),
-        "failing, no budget": (records.End.FAILED, False),
+        "unreachable": (records.AttemptEnd.UNREACHABLE, True),
+        "failing": (records.AttemptEnd.FAILED, True),
+        "failing, no budget": (records.AttemptEnd.FAILED, False),
     }
     for name, (end, budget) in cases.items():
         done = Retrying(seed, end, budget).run()
--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -258,7 +258,7 @@
     while True:
         data = await exchange.read()
         if not data:
-            raise errors.TruncatedAnswerError(
+            raise errors.TruncatedResponseError(
                 "the stream ended without its end mark",
                 given=f"{events.expected} events",
                 expected="data: [DONE]",
@@ -430,7 +430,7 @@
                 body = await exchange.read_all(way.ANSWER_BYTES_MOST)
             finally:
                 attempt.sent = exchange.sent
-    except errors.TruncatedAnswerError:
+    except errors.TruncatedResponseError:
         await way.note_death(attempt)
         raise
     except asyncio.CancelledError:
--- a/amaranthring/callers/handlers.py
+++ b/amaranthring/callers/handlers.py
@@ -52,7 +52,7 @@
 
     def prepare(self):
         """Check all but the body before the body is read."""
-        self.needs.drain.enter()
+        self.needs.drain.request_started()
         self.entered = True
         self.needs.metrics.count("callers.requests")
         loop = asyncio.get_running_loop()
@@ -115,7 +115,7 @@
         if self._finished:
             return
         self.set_header("Connection", "close")
-        late = errors.BodyLateError(
+        late = errors.BodyTimeoutError(
             "the body came too slowly",
             given=f"{self.size} bytes in {self.bounds.body_seconds:g} s",
             expected="the whole body",
@@ -148,7 +148,7 @@
 
     def answer_error(self, error: errors.AmaranthringError) -> None:
         """Write `error` in the one form and end the answer."""
-        if isinstance(error, errors.CallerGoneError):
+        if isinstance(error, errors.CallerDisconnectedError):
             self.needs.metrics.count(f"callers.{error.code}")
             return
         self.needs.metrics.count(f"callers.refused.{error.code}")
@@ -199,7 +199,7 @@
         if self.entered and self.work is None:
             self.entered = False
             connection = self.request.connection
-            connections.when_sent(connection, self.needs.drain.leave)
+            connections.call_when_sent(connection, self.needs.drain.request_finished)
 
     def on_connection_close(self):
         """Cancel the work of a caller that left.
--- a/amaranthring/callers/output.py
+++ b/amaranthring/callers/output.py
@@ -53,7 +53,7 @@
         try:
             pending = stream.write(data)
         except tornado.iostream.StreamClosedError:
-            raise errors.CallerGoneError("the caller left") from None
+            raise errors.CallerDisconnectedError("the caller left") from None
         return None if pending.done() else self._drained(pending)
 
     def _try(self, data: bytes) -> int:
@@ -75,4 +75,4 @@
                 expected="a reader; it may resume with Last-Event-ID",
             )
         if pending.exception():
-            raise errors.CallerGoneError("the caller left")
+            raise errors.CallerDisconnectedError("the caller left")
--- a/amaranthring/callers/server.py
+++ b/amaranthring/callers/server.py
@@ -69,7 +69,7 @@
 
 
 def _late_answer(seconds: float) -> bytes:
-    error = errors.HeadersLateError(
+    error = errors.HeadersTimeoutError(
         "the headers came too slowly",
         given=f"no end after {seconds:g} s",
         expected="whole headers",
@@ -99,7 +99,7 @@
     def initialize(self, *args, **kwargs):
         """Keep account of the connections that wait for a request."""
         super().initialize(*args, **kwargs)
-        self.waiting = connections.Waiting()
+        self.waiting = connections.IdleConnections()
 
     def start_request(self, server_conn, request_conn):
         """Watch the headers of the request."""
--- a/amaranthring/callers/services.py
+++ b/amaranthring/callers/services.py
@@ -82,7 +82,7 @@
                 body = await exchange.read_all(way.ANSWER_BYTES_MOST)
             finally:
                 attempt.sent = attempt.sent or exchange.sent
-    except errors.TruncatedAnswerError:
+    except errors.TruncatedResponseError:
         await way.note_death(attempt)
         raise
     _check_own(exchange, name)
@@ -280,7 +280,7 @@
     if claim.outcome is not errors.Outcome.RAN or claim.answer is None:
         raise _unknown(request)
     if not claim.answer.kept:
-        raise errors.AnswerNotKeptError(
+        raise errors.ResponseNotStoredError(
             "the call ran; its answer was too large to be kept",
             given=request.key,
             expected="a look at the service itself",
--- a/amaranthring/callers/way.py
+++ b/amaranthring/callers/way.py
@@ -61,7 +61,7 @@
     config: t.Callable[[], fleet.FleetConfig]
     check_limits: t.Callable[[records.Request], t.Awaitable[None]]
     admit: t.Callable[[records.Request, set[str]], t.Awaitable[records.Grant]]
-    release: t.Callable[[records.Grant, records.End], None]
+    release: t.Callable[[records.Grant, records.AttemptEnd], None]
     claim: t.Callable[[records.Request, str, str], t.Awaitable[records.Claim]]
     settle: t.Callable[
         [records.Request, str, errors.Outcome, records.StoredAnswer | None],
@@ -216,7 +216,7 @@
             made = await _released(needs, request, attempt, once)
             needs.succeeded(request.account)
             return made
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             # No fault of the target, and nobody waits for another attempt.
             raise
         except errors.AmaranthringError as error:
@@ -251,7 +251,7 @@
 
 async def _released(needs, request, attempt, once):
     """Run one attempt and give its grant back, however it ends."""
-    end = records.End.FAILED
+    end = records.AttemptEnd.FAILED
     broken = needs.when_lost(attempt.target.name)
 
     def note_lost(_) -> None:
@@ -260,18 +260,18 @@
     broken.add_done_callback(note_lost)
     try:
         made = await once(attempt)
-        end = records.End.DONE
+        end = records.AttemptEnd.DONE
         return made
-    except (asyncio.CancelledError, errors.CallerGoneError):
-        end = records.End.CANCELLED
+    except (asyncio.CancelledError, errors.CallerDisconnectedError):
+        end = records.AttemptEnd.CANCELLED
         raise
     except errors.AmaranthringError as error:
         if attempt.lost:
-            end = records.End.TARGET_LOST
+            end = records.AttemptEnd.TARGET_LOST
         elif not attempt.sent and isinstance(error, errors.UpstreamError):
-            end = records.End.UNREACHABLE
+            end = records.AttemptEnd.UNREACHABLE
         elif not attempt.sent:
-            end = records.End.NOT_SENT
+            end = records.AttemptEnd.NOT_SENT
         raise
     finally:
         broken.remove_done_callback(note_lost)
--- a/amaranthring/core/collection.py
+++ b/amaranthring/core/collection.py
@@ -3,7 +3,7 @@
 import gc
 
 
-def freeze() -> None:
+def freeze_startup_objects() -> None:
     """Leave what was loaded at the start out of garbage collection.
 
     A full collection would else walk all modules again and again, a pause
--- a/amaranthring/core/connections.py
+++ b/amaranthring/core/connections.py
@@ -7,11 +7,11 @@
 
 # A caller that has just connected sends its request within this time, also
 # on a slow line; one that was answered has read by then that it shall close.
-IDLE_LEAST_SECONDS = 1.0
-LOOK_SECONDS = 0.1
+MIN_IDLE_SECONDS = 1.0
+POLL_SECONDS = 0.1
 
 
-class Waiting:
+class IdleConnections:
     """Connections of one HTTP server on which the next request is awaited.
 
     Attributes
@@ -22,21 +22,21 @@
     """
 
     def __init__(self):
-        self.since: dict[t.Any, float] = {}
+        self.idle_since: dict[t.Any, float] = {}
 
     def __len__(self) -> int:
-        return len(self.since)
+        return len(self.idle_since)
 
     def __iter__(self) -> t.Iterator[t.Any]:
-        return iter(self.since)
+        return iter(self.idle_since)
 
     def add(self, server_conn: t.Any) -> None:
         """Take in a connection that is new, or whose request has ended."""
-        self.since[server_conn] = time.monotonic()
+        self.idle_since[server_conn] = time.monotonic()
 
     def discard(self, server_conn: t.Any) -> None:
         """Forget a connection whose request has come or that has closed."""
-        self.since.pop(server_conn, None)
+        self.idle_since.pop(server_conn, None)
 
     def close_idle(self) -> None:
         """Close the connections that have waited for long.
@@ -45,13 +45,13 @@
         end of the process. One whose request has come already is left to be
         read: closed now, it would be reset without an answer.
         """
-        longest = time.monotonic() - IDLE_LEAST_SECONDS
-        for server_conn, since in list(self.since.items()):
+        longest = time.monotonic() - MIN_IDLE_SECONDS
+        for server_conn, since in list(self.idle_since.items()):
             stream = server_conn.stream
             if since <= longest and not _has_input(stream):
                 stream.close()
 
-    async def end(
+    async def drain(
         self, until: float, running: t.Callable[[], int] = lambda: 0
     ) -> None:
         """Close them as they get idle, until none has a request.
@@ -65,9 +65,9 @@
         """
         while time.monotonic() < until:
             self.close_idle()
-            if not self.since and not running():
+            if not self.idle_since and not running():
                 return
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
 
 def _has_input(stream) -> bool:
@@ -85,7 +85,7 @@
         return False
 
 
-def when_sent(connection: t.Any, call: t.Callable[[], None]) -> None:
+def call_when_sent(connection: t.Any, call: t.Callable[[], None]) -> None:
     """Call `call` once all that was written to a caller has been sent.
 
     At once if nothing waits to be sent; also when the connection breaks. An
--- a/amaranthring/core/decisions.py
+++ b/amaranthring/core/decisions.py
@@ -11,8 +11,8 @@
 import typing as t
 import uuid
 
-REQUESTS_MOST = 4096
-DECISIONS_PER_REQUEST = 64
+MAX_REQUESTS = 4096
+MAX_DECISIONS_PER_REQUEST = 64
 
 
 @dataclasses.dataclass
@@ -34,18 +34,18 @@
     fields: dict[str, t.Any]
 
 
-class Decisions:
+class DecisionLog:
     """The ring of one router, oldest request dropped first."""
 
-    def __init__(self, requests_most: int = REQUESTS_MOST, clock=time.time):
-        self.requests_most = requests_most
+    def __init__(self, max_requests: int = MAX_REQUESTS, clock=time.time):
+        self.max_requests = max_requests
         self.clock = clock
-        self.begun: dict[str, float] = {}
+        self.started_at: dict[str, float] = {}
         self.by_request: collections.OrderedDict[str, list[Decision]] = (
             collections.OrderedDict()
         )
 
-    def note(self, request_id: str, event: str, **fields: t.Any) -> None:
+    def record(self, request_id: str, event: str, **fields: t.Any) -> None:
         """Add a decision to a request.
 
         A request that loops through retries keeps its first decisions; the
@@ -54,12 +54,12 @@
         decisions = self.by_request.get(request_id)
         if decisions is None:
             decisions = self.by_request[request_id] = []
-            self.begun[request_id] = self.clock()
-            if len(self.by_request) > self.requests_most:
+            self.started_at[request_id] = self.clock()
+            if len(self.by_request) > self.max_requests:
                 oldest, _ = self.by_request.popitem(last=False)
-                del self.begun[oldest]
-        if len(decisions) < DECISIONS_PER_REQUEST:
-            passed = self.clock() - self.begun[request_id]
+                del self.started_at[oldest]
+        if len(decisions) < MAX_DECISIONS_PER_REQUEST:
+            passed = self.clock() - self.started_at[request_id]
             decisions.append(Decision(round(passed, 6), event, fields))
 
     def explain(self, request_id: str) -> dict[str, t.Any] | None:
@@ -69,7 +69,7 @@
             return None
         return {
             "request_id": request_id,
-            "begun": self.begun[request_id],
+            "begun": self.started_at[request_id],
             "decisions": [vars(decision) for decision in decisions],
         }
 
@@ -79,6 +79,6 @@
     return f"{router}.{uuid.uuid4().hex[:20]}"
 
 
-def router_of(request_id: str) -> str:
+def router_name(request_id: str) -> str:
     """Return the name of the router in a request id, or an empty string."""
     return request_id.rpartition(".")[0]
--- a/amaranthring/core/drain.py
+++ b/amaranthring/core/drain.py
@@ -22,24 +22,24 @@
     def __init__(self):
         self.leaving = False
         self.closing = False
-        self.running = 0
-        self.entered_at = time.monotonic()
+        self.in_flight = 0
+        self.last_request_at = time.monotonic()
         self._idle = asyncio.Event()
         self._idle.set()
 
-    def enter(self) -> None:
+    def request_started(self) -> None:
         """Count a request in."""
-        self.running += 1
-        self.entered_at = time.monotonic()
+        self.in_flight += 1
+        self.last_request_at = time.monotonic()
         self._idle.clear()
 
-    def leave(self) -> None:
+    def request_finished(self) -> None:
         """Count a request out."""
-        self.running -= 1
-        if not self.running:
+        self.in_flight -= 1
+        if not self.in_flight:
             self._idle.set()
 
-    async def wait_quiet(self, seconds: float, most: float) -> bool:
+    async def wait_for_quiet_period(self, seconds: float, most: float) -> bool:
         """Tell callers to close; wait until none has come for `seconds`.
 
         Returns
@@ -51,7 +51,7 @@
         began = time.monotonic()
         while True:
             now = time.monotonic()
-            quiet_at = max(self.entered_at, began) + seconds
+            quiet_at = max(self.last_request_at, began) + seconds
             if quiet_at <= now:
                 return True
             if began + most <= now:
--- a/amaranthring/core/endpoints.py
+++ b/amaranthring/core/endpoints.py
@@ -22,13 +22,13 @@
 
 log = logbook.Logger(__name__)
 
-BODY_BYTES_MOST = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 BODY_SECONDS = 20.0
 IDLE_SECONDS = 60.0
 
 
 @dataclasses.dataclass
-class Call:
+class Request:
     """One call, read whole."""
 
     method: str
@@ -37,19 +37,19 @@
 
 
 @dataclasses.dataclass
-class Result:
+class Response:
     """The answer to one call."""
 
     status: int = 200
     body: bytes = b""
-    kind: str = "application/json"
+    content_type: str = "application/json"
     retry_after: float | None = None
 
 
-Answer = t.Callable[[Call], t.Awaitable[Result]]
+Handler = t.Callable[[Request], t.Awaitable[Response]]
 
 
-class Endpoints(tornado.httputil.HTTPServerConnectionDelegate):
+class Server(tornado.httputil.HTTPServerConnectionDelegate):
     """Answers every call with what `answer` returns.
 
     Parameters
@@ -59,13 +59,13 @@
         whose status is then the answer's.
     """
 
-    def __init__(self, answer: Answer):
-        self.answer = answer
+    def __init__(self, answer: Handler):
+        self.handler = answer
         self.drain = drains.Drain()
         self.listener: listeners.Listener | None = None
         self.server = tornado.httpserver.HTTPServer(
             self,
-            max_body_size=BODY_BYTES_MOST,
+            max_body_size=MAX_BODY_BYTES,
             body_timeout=BODY_SECONDS,
             idle_connection_timeout=IDLE_SECONDS,
         )
@@ -78,7 +78,7 @@
     def start_request(self, server_conn, request_conn):
         """Return what takes in one call."""
         del server_conn
-        return _Reading(self.answer, request_conn, self.drain)
+        return _Reading(self.handler, request_conn, self.drain)
 
     async def close(self, seconds: float) -> None:
         """Take no more calls; end those in progress within `seconds`."""
@@ -89,25 +89,25 @@
 class _Reading(tornado.httputil.HTTPMessageDelegate):
     """One call while it is read and answered."""
 
-    def __init__(self, answer: Answer, connection, drain: drains.Drain):
+    def __init__(self, answer: Handler, connection, drain: drains.Drain):
         self.answer = answer
         self.connection = connection
         self.drain = drain
-        self.call: Call | None = None
+        self.call: Request | None = None
         self.parts: list[bytes] = []
         self.task: asyncio.Task | None = None
 
     def headers_received(self, start_line, headers):
         del headers
         path = start_line.path.partition("?")[0]
-        self.call = Call(start_line.method, path)
+        self.call = Request(start_line.method, path)
 
     def data_received(self, chunk):
         self.parts.append(chunk)
 
     def finish(self):
         self.call.body = b"".join(self.parts)
-        self.drain.enter()
+        self.drain.request_started()
         self.task = asyncio.ensure_future(self._run())
 
     def on_connection_close(self):
@@ -119,13 +119,13 @@
         try:
             await self._write(await self._result())
         finally:
-            connections.when_sent(self.connection, self.drain.leave)
+            connections.call_when_sent(self.connection, self.drain.request_finished)
 
-    async def _result(self) -> Result:
+    async def _result(self) -> Response:
         try:
             return await self.answer(self.call)
         except errors.AmaranthringError as error:
-            return Result(
+            return Response(
                 error.status,
                 str(error).encode(),
                 "text/plain",
@@ -133,15 +133,15 @@
             )
         except Exception:
             log.exception("call.failed path={}", self.call.path)
-            return Result(500)
+            return Response(500)
 
-    async def _write(self, result: Result) -> None:
+    async def _write(self, result: Response) -> None:
         headers = tornado.httputil.HTTPHeaders()
-        headers["Content-Type"] = result.kind
+        headers["Content-Type"] = result.content_type
         headers["Content-Length"] = str(len(result.body))
         if result.retry_after is not None:
             headers["Retry-After"] = f"{result.retry_after:g}"
-        line = start_line(result.status)
+        line = status_line(result.status)
         try:
             await self.connection.write_headers(line, headers, result.body)
             self.connection.finish()
@@ -150,24 +150,24 @@
             return
 
 
-def start_line(status: int) -> tornado.httputil.ResponseStartLine:
+def status_line(status: int) -> tornado.httputil.ResponseStartLine:
     """Return the first line of an answer with `status`."""
     reason = http.client.responses.get(status, "Unknown")
     return tornado.httputil.ResponseStartLine("HTTP/1.1", status, reason)
 
 
-def serve(address: str, answer: Answer) -> Endpoints:
+def serve(address: str, answer: Handler) -> Server:
     """Serve small calls on `address`."""
-    server = Endpoints(answer)
-    server.listen(listeners.listening(address))
+    server = Server(answer)
+    server.listen(listeners.bind_sockets(address))
     return server
 
 
-def figures(metrics: metrics_module.Metrics) -> Answer:
+def metrics_handler(metrics: metrics_module.Metrics) -> Handler:
     """Return the function that shows counters and histograms as text."""
 
-    async def answer(_call: Call) -> Result:
-        text = "".join(f"{line}\n" for line in metrics.lines())
-        return Result(body=text.encode(), kind="text/plain")
+    async def answer(_call: Request) -> Response:
+        text = "".join(f"{line}\n" for line in metrics.text_lines())
+        return Response(body=text.encode(), content_type="text/plain")
 
     return answer
--- a/amaranthring/core/fields.py
+++ b/amaranthring/core/fields.py
@@ -17,7 +17,7 @@
 
 from amaranthring import errors
 
-Reader = t.Callable[[t.Any], t.Any]
+Validator = t.Callable[[t.Any], t.Any]
 
 SHOWN_CHARACTERS = 80
 _ABSENT = object()
@@ -29,7 +29,7 @@
 
 
 @functools.cache
-def reader(hint: t.Any) -> Reader:
+def validator(hint: t.Any) -> Validator:
     """Return a function that checks a plain value against `hint`.
 
     Parameters
@@ -79,7 +79,7 @@
     raise TypeError(f"no reader for {hint!r}")
 
 
-def _scalar(kind: t.Any) -> Reader:
+def _scalar(kind: t.Any) -> Validator:
     if kind in (None, type(None)):
         return _none
     if kind is float:
@@ -115,8 +115,8 @@
     raise _fault(value, "int")
 
 
-def _union(hints: tuple) -> Reader:
-    readers = [reader(hint) for hint in hints]
+def _union(hints: tuple) -> Validator:
+    readers = [validator(hint) for hint in hints]
     if type(None) in hints:
         readers.insert(0, readers.pop(hints.index(type(None))))
 
@@ -131,7 +131,7 @@
     return read
 
 
-def _literal(allowed: tuple) -> Reader:
+def _literal(allowed: tuple) -> Validator:
     def read(value):
         if value in allowed:
             return value
@@ -140,8 +140,8 @@
     return read
 
 
-def _collection(kind: type, hint: t.Any) -> Reader:
-    item = reader(hint)
+def _collection(kind: type, hint: t.Any) -> Validator:
+    item = validator(hint)
 
     def read(value):
         if not isinstance(value, list | tuple | set | frozenset):
@@ -151,10 +151,10 @@
     return read
 
 
-def _tuple(hints: tuple) -> Reader:
+def _tuple(hints: tuple) -> Validator:
     if len(hints) == 2 and hints[1] is Ellipsis:
         return _collection(tuple, hints[0])
-    items = [reader(hint) for hint in hints]
+    items = [validator(hint) for hint in hints]
 
     def read(value):
         if not isinstance(value, list | tuple) or len(value) != len(items):
@@ -165,9 +165,9 @@
     return read
 
 
-def _named_tuple(kind: t.Any) -> Reader:
+def _named_tuple(kind: t.Any) -> Validator:
     hints = t.get_type_hints(kind)
-    items = [reader(hints[name]) for name in kind._fields]
+    items = [validator(hints[name]) for name in kind._fields]
     least = len(items) - len(kind._field_defaults)
 
     def read(value):
@@ -182,9 +182,9 @@
     return read
 
 
-def _mapping(key_hint: t.Any, value_hint: t.Any) -> Reader:
-    read_key = reader(key_hint)
-    read_value = reader(value_hint)
+def _mapping(key_hint: t.Any, value_hint: t.Any) -> Validator:
+    read_key = validator(key_hint)
+    read_value = validator(value_hint)
 
     def read(value):
         if not isinstance(value, dict):
@@ -194,7 +194,7 @@
     return read
 
 
-def _enumeration(kind: type[enum.Enum]) -> Reader:
+def _enumeration(kind: type[enum.Enum]) -> Validator:
     def read(value):
         try:
             return kind(value)
@@ -204,13 +204,13 @@
     return read
 
 
-def _record(kind: type) -> Reader:
+def _record(kind: type) -> Validator:
     # Built at its first use: a data class may hold itself.
     @functools.cache
-    def fields() -> list[tuple[str, Reader, bool]]:
+    def fields() -> list[tuple[str, Validator, bool]]:
         hints = t.get_type_hints(kind)
         return [
-            (field.name, reader(hints[field.name]), _is_required(field))
+            (field.name, validator(hints[field.name]), _is_required(field))
             for field in dataclasses.fields(kind)
             if field.init
         ]
--- a/amaranthring/core/handshake.py
+++ b/amaranthring/core/handshake.py
@@ -88,7 +88,7 @@
         unpacker.feed(await stream.read_bytes(READ_BYTES, partial=True))
 
 
-async def prove(
+async def authenticate(
     stream, identity: Identity, keys: Keys, side: str, unpacker
 ) -> Identity:
     """Authenticate both ends of `stream` and return who the other is.
--- a/amaranthring/core/links.py
+++ b/amaranthring/core/links.py
@@ -28,14 +28,14 @@
 
 HANDSHAKE_SECONDS = 2.0
 SEND_BUFFER_BYTES = 4 * 1024 * 1024
-BACKOFF_FIRST_SECONDS = 0.05
+INITIAL_BACKOFF_SECONDS = 0.05
 # Where all have lost power, routers are back 0.9 s before the keepers: each
 # dials on at this pace, and who dials seldom is linked late. An attempt costs
 # a packet and, while nobody listens, its refusal.
-BACKOFF_MOST_SECONDS = 0.4
+MAX_BACKOFF_SECONDS = 0.4
 STABLE_SECONDS = 1.0
 
-STREAM_FAULTS = (
+STREAM_ERRORS = (
     tornado.iostream.StreamClosedError,
     tornado.iostream.UnsatisfiableReadError,
     OSError,
@@ -186,14 +186,14 @@
                 self.received_bytes += len(data)
                 self.handlers.received_bytes += len(data)
                 unpacker.feed(data)
-        except STREAM_FAULTS:
+        except STREAM_ERRORS:
             pass
         except (errors.FrameError, msgpack.UnpackException, ValueError) as e:
             log.warning("link.bad-frame peer={} fault={}", self.peer.name, e)
         finally:
             self.close()
 
-    def is_writing(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Return whether bytes wait that the system has not taken yet."""
         return not self.closed and self.stream.writing()
 
@@ -284,7 +284,7 @@
             future.set_result(frame.message)
 
 
-async def shake(stream, identity, keys, side, handlers) -> tuple[Link, t.Any]:
+async def open_link(stream, identity, keys, side, handlers) -> tuple[Link, t.Any]:
     """Authenticate both ends and return the link with its unpacker.
 
     Raises
@@ -295,13 +295,13 @@
     unpacker = wire.unpacker()
     try:
         peer = await asyncio.wait_for(
-            handshake.prove(stream, identity, keys, side, unpacker),
+            handshake.authenticate(stream, identity, keys, side, unpacker),
             HANDSHAKE_SECONDS,
         )
     except errors.AmaranthringError:
         stream.close()
         raise
-    except (*STREAM_FAULTS, msgpack.UnpackException, ValueError) as error:
+    except (*STREAM_ERRORS, msgpack.UnpackException, ValueError) as error:
         stream.close()
         raise errors.HandshakeError("handshake broke off") from error
     return Link(stream, peer, handlers), unpacker
@@ -322,13 +322,13 @@
         Called with each link after its handshake and after its end.
     """
 
-    def __init__(self, identity, keys, handlers, on_link=None, on_gone=None):
+    def __init__(self, identity, keys, handlers, on_link=None, on_close=None):
         super().__init__(max_buffer_size=wire.MAX_FRAME_BYTES * 2)
         self.identity = identity
         self.keys = keys
         self.handlers = handlers
         self.on_link = on_link
-        self.on_gone = on_gone
+        self.on_close = on_close
         self.links: set[Link] = set()
         self.closed = False
 
@@ -337,7 +337,7 @@
         stream.set_nodelay(True)
         stream.max_write_buffer_size = SEND_BUFFER_BYTES
         try:
-            link, unpacker = await shake(
+            link, unpacker = await open_link(
                 stream, self.identity, self.keys, "server", self.handlers
             )
         except errors.HandshakeError as error:
@@ -357,8 +357,8 @@
         finally:
             link.close()
             self.links.discard(link)
-            if self.on_gone:
-                self.on_gone(link)
+            if self.on_close:
+                self.on_close(link)
 
     def close_all(self) -> None:
         """Stop listening and close every link."""
@@ -381,14 +381,14 @@
     """
 
     def __init__(
-        self, address, identity, keys, handlers, on_link=None, on_gone=None
+        self, address, identity, keys, handlers, on_link=None, on_close=None
     ):
         self.address = address
         self.identity = identity
         self.keys = keys
         self.handlers = handlers
         self.on_link = on_link
-        self.on_gone = on_gone
+        self.on_close = on_close
         self.link: Link | None = None
         self.client = tornado.tcpclient.TCPClient()
         self.task: asyncio.Task | None = None
@@ -410,15 +410,15 @@
 
     async def run(self) -> None:
         """Connect, serve, and connect again until stopped."""
-        wait = BACKOFF_FIRST_SECONDS
+        wait = INITIAL_BACKOFF_SECONDS
         while not self.stopped:
             try:
                 link, unpacker = await self._connect()
-            except (errors.HandshakeError, *STREAM_FAULTS):
+            except (errors.HandshakeError, *STREAM_ERRORS):
                 # Jitter, so that all routers do not return at one instant
                 # to a peer that restarted.
                 await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-                wait = min(wait * 2, BACKOFF_MOST_SECONDS)
+                wait = min(wait * 2, MAX_BACKOFF_SECONDS)
                 continue
             if self.stopped:
                 link.close()
@@ -431,14 +431,14 @@
                 await link.serve(unpacker)
             finally:
                 self.link = None
-                if self.on_gone:
-                    self.on_gone(link)
+                if self.on_close:
+                    self.on_close(link)
             if time.monotonic() - began > STABLE_SECONDS:
-                wait = BACKOFF_FIRST_SECONDS
+                wait = INITIAL_BACKOFF_SECONDS
             # A peer that accepts and closes at once must not be dialled in
             # a tight loop; only a link that lasted resets the backoff.
             await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-            wait = min(wait * 2, BACKOFF_MOST_SECONDS)
+            wait = min(wait * 2, MAX_BACKOFF_SECONDS)
 
     def send(self, message: t.Any) -> bool:
         """Send one-way if the link is up; return whether it was handed on."""
@@ -474,6 +474,6 @@
         )
         stream.set_nodelay(True)
         stream.max_write_buffer_size = SEND_BUFFER_BYTES
-        return await shake(
+        return await open_link(
             stream, self.identity, self.keys, "client", self.handlers
         )
--- a/amaranthring/core/listeners.py
+++ b/amaranthring/core/listeners.py
@@ -20,14 +20,14 @@
 SETTLE_SECONDS = 0.1
 
 # ``SO_ATTACH_FILTER`` of Linux, which Python has no name for.
-ATTACH_FILTER = 26
+SO_ATTACH_FILTER = 26
 # A filter in the kernel's packet filter language (code, jump if true, jump
 # if false, operand) on a TCP header: a packet that opens a connection has
 # SYN and not ACK in its flags; it is dropped and all others pass.
-FLAGS_AT = 13
+TCP_FLAGS_OFFSET = 13
 SYN, ACK = 0x02, 0x10
-IGNORE_OPENING = (
-    (0x30, 0, 0, FLAGS_AT),  # load the byte with the flags
+DROP_SYN_FILTER = (
+    (0x30, 0, 0, TCP_FLAGS_OFFSET),  # load the byte with the flags
     (0x54, 0, 0, SYN | ACK),  # keep these two
     (0x15, 0, 1, SYN),  # if it is SYN alone:
     (0x06, 0, 0, 0),  # drop the packet
@@ -69,18 +69,18 @@
 
 def _ignore_opening(sock: socket.socket) -> None:
     """Let the kernel open no more connections on `sock`."""
-    codes = b"".join(struct.pack("HBBI", *code) for code in IGNORE_OPENING)
+    codes = b"".join(struct.pack("HBBI", *code) for code in DROP_SYN_FILTER)
     held = array.array("B", codes)
     address, _ = held.buffer_info()
-    program = struct.pack("HP", len(IGNORE_OPENING), address)
+    program = struct.pack("HP", len(DROP_SYN_FILTER), address)
     try:
-        sock.setsockopt(socket.SOL_SOCKET, ATTACH_FILTER, program)
+        sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     except OSError as error:
         # Connections opened within the last step of the loop may be lost.
         logs.event(log, "listener.unfiltered", fault=error.strerror)
 
 
-def listening(address: str) -> list[socket.socket]:
+def bind_sockets(address: str) -> list[socket.socket]:
     """Return listening sockets on ``host:port``.
 
     Raises
@@ -107,6 +107,6 @@
     errors.ListenError
         As in :func:`listening`.
     """
-    sockets = listening(address)
+    sockets = bind_sockets(address)
     server.add_sockets(sockets)
     return Listener(server, sockets)
--- a/amaranthring/core/metrics.py
+++ b/amaranthring/core/metrics.py
@@ -17,8 +17,8 @@
 # 2 digits cost 20 KB a histogram and 1 digit 4 KB. With 910 accounts, two
 # classes and four names the finer ones would take more than half of a
 # router's 256 MB; so the accounts' are within 10% and the fleet's within 1%.
-DIGITS_OF_ALL = 2
-DIGITS_OF_ACCOUNT = 1
+FLEET_DIGITS = 2
+ACCOUNT_DIGITS = 1
 PERCENTILES = (50, 95, 99)
 
 
@@ -55,11 +55,11 @@
     ) -> None:
         """Record a duration for a client account and class, and for all."""
         value = max(LOWEST_MICROSECONDS, int(seconds * 1e6))
-        self._record((name, "", cls), value, DIGITS_OF_ALL)
+        self._record((name, "", cls), value, FLEET_DIGITS)
         if account:
-            self._record((name, account, cls), value, DIGITS_OF_ACCOUNT)
+            self._record((name, account, cls), value, ACCOUNT_DIGITS)
 
-    def lines(self) -> list[str]:
+    def text_lines(self) -> list[str]:
         """Return all figures as text, one ``name{labels} value`` a line."""
         made = [f"{name} {n}" for name, n in sorted(self.counters.items())]
         made += [f"{name} {n:g}" for name, n in sorted(self.gauges.items())]
--- a/amaranthring/core/pacing.py
+++ b/amaranthring/core/pacing.py
@@ -12,17 +12,17 @@
 
 # Of the link, to all traffic that is counted. The rest is for headers,
 # handshakes and answers to those who ask.
-SHARE = 0.5
+LINK_SHARE = 0.5
 # Bulk that was held back may come at once up to so much time's worth: it
 # queues for half of that before a heartbeat, and two keepers' queues together
 # stay below an election time (0.45 s).
 BURST_SECONDS = 0.2
 # Debt beyond this is forgotten, so that bulk never waits longer for the
 # traffic of a burst that is over.
-DEBT_SECONDS = 1.0
+MAX_DEBT_SECONDS = 1.0
 # A claim lasts for one and a half of the heartbeats (0.1 s) at which whoever
 # claims looks again.
-CLAIM_SECONDS = 0.15
+RESERVE_SECONDS = 0.15
 # Where nobody said what the link carries: 6 Mbit/s, the thinnest known.
 DEFAULT_LINK_RATE = 0.75e6
 
@@ -48,19 +48,19 @@
     ):
         self.sent = sent
         self.clock = clock
-        self.rate = SHARE * (link_rate or DEFAULT_LINK_RATE)
+        self.rate = LINK_SHARE * (link_rate or DEFAULT_LINK_RATE)
         self.lock = asyncio.Lock()
-        self.waiting = 0
-        self.claimed_until = float("-inf")
+        self.waiters = 0
+        self.reserved_until = float("-inf")
         self._room = self.rate * BURST_SECONDS
         self._seen = self._total()
         self._at = clock()
 
-    def room(self) -> float:
+    def available(self) -> float:
         """Return how many bytes may go now; none while others wait."""
-        return 0.0 if self.waiting else max(0.0, self._update())
+        return 0.0 if self.waiters else max(0.0, self._update())
 
-    def claim(self) -> float:
+    def reserve(self) -> float:
         """Return how many bytes may go now, before those who wait.
 
         If none, nobody else gets a turn for a moment, in which the caller
@@ -69,33 +69,33 @@
         """
         room = max(0.0, self._update())
         if not room:
-            self.claimed_until = self._at + CLAIM_SECONDS
+            self.reserved_until = self._at + RESERVE_SECONDS
         return room
 
-    async def turn(self) -> None:
+    async def acquire(self) -> None:
         """Return once something may go, to one caller after the other.
 
         The caller sends before it next awaits. What goes may be larger than
         the room: the next one waits the longer.
         """
-        self.waiting += 1
+        self.waiters += 1
         try:
             async with self.lock:
                 while (wait := self._wait()) > 0:  # noqa: ASYNC110
                     await asyncio.sleep(wait)
         finally:
-            self.waiting -= 1
+            self.waiters -= 1
 
     def _wait(self) -> float:
         room = self._update()
-        claimed = self.claimed_until - self._at
+        claimed = self.reserved_until - self._at
         return max(claimed, (1.0 - room) / self.rate if room <= 0 else 0.0)
 
     def _update(self) -> float:
         now, total = self.clock(), self._total()
         room = self._room + (now - self._at) * self.rate
         room = min(room, self.rate * BURST_SECONDS) - (total - self._seen)
-        self._room = max(room, -self.rate * DEBT_SECONDS)
+        self._room = max(room, -self.rate * MAX_DEBT_SECONDS)
         self._at, self._seen = now, total
         return self._room
 
--- a/amaranthring/core/parts.py
+++ b/amaranthring/core/parts.py
@@ -16,7 +16,7 @@
 from amaranthring.core import hashing
 from amaranthring.core import wire
 
-JOURNAL_MOST = 2000
+MAX_CHANGE_LOG = 2000
 _MODULUS = 1 << 128
 _POLICIES = {
     "classes": fleet.ClassPolicy,
@@ -63,17 +63,17 @@
         return self.since < 0
 
 
-def plain(value: t.Any) -> t.Any:
+def to_plain(value: t.Any) -> t.Any:
     """Return `value` as the plain data that msgpack carries."""
     return wire.decode_value(wire.encode_value(value))
 
 
-def of_preset(preset: fleet.Preset) -> dict[str, t.Any]:
+def preset_parts(preset: fleet.Preset) -> dict[str, t.Any]:
     """Return the parts of `preset`."""
-    return of_plain_preset(plain(preset))
+    return plain_preset_parts(to_plain(preset))
 
 
-def of_plain_preset(own: dict[str, t.Any]) -> dict[str, t.Any]:
+def plain_preset_parts(own: dict[str, t.Any]) -> dict[str, t.Any]:
     """Return the parts of a preset given as plain data."""
     own = dict(own)
     base = f"preset/{own['name']}"
@@ -84,12 +84,12 @@
     return {base: own} | found
 
 
-def of_account(account: fleet.Account) -> dict[str, t.Any]:
+def account_parts(account: fleet.Account) -> dict[str, t.Any]:
     """Return the part of `account`."""
-    return {f"account/{account.name}": plain(account)}
+    return {f"account/{account.name}": to_plain(account)}
 
 
-def belongs(part: str, preset: str) -> bool:
+def belongs_to_preset(part: str, preset: str) -> bool:
     """Return whether `part` is a part of `preset`."""
     return part == f"preset/{preset}" or part.startswith(f"preset/{preset}/")
 
@@ -100,13 +100,13 @@
     return kind(**{k: v for k, v in values.items() if k in known})
 
 
-def compose(revision: int, items: dict[str, t.Any]) -> fleet.FleetConfig:
+def build_config(revision: int, items: dict[str, t.Any]) -> fleet.FleetConfig:
     """Return the configuration that the parts in `items` describe."""
     empty = fleet.FleetConfig()
-    return advance(empty, revision, items, [])
+    return apply_changes(empty, revision, items, [])
 
 
-def advance(
+def apply_changes(
     config: fleet.FleetConfig,
     revision: int,
     changed: dict[str, t.Any],
@@ -199,20 +199,20 @@
     def __init__(self):
         self.revision = 0
         self.items: dict[str, t.Any] = {}
-        self.sum = 0
-        self.journal: collections.deque[tuple[int, list[str]]]
-        self.journal = collections.deque(maxlen=JOURNAL_MOST)
+        self.digest_sum = 0
+        self.change_log: collections.deque[tuple[int, list[str]]]
+        self.change_log = collections.deque(maxlen=MAX_CHANGE_LOG)
         # Deltas since a revision below this one need the whole map.
-        self.known_from = 0
+        self.oldest_base = 0
 
     @property
     def digest(self) -> str:
         """Return the digest of the whole map; equal maps have equal ones."""
-        return f"{self.sum:032x}"
+        return f"{self.digest_sum:032x}"
 
     def config(self) -> fleet.FleetConfig:
         """Return the configuration described."""
-        return compose(self.revision, self.items)
+        return build_config(self.revision, self.items)
 
     def change(
         self, revision: int, changed: dict[str, t.Any], removed: list[str]
@@ -223,19 +223,19 @@
         for part, value in changed.items():
             self._drop(part)
             self.items[part] = value
-            self.sum = (self.sum + _digest(part, value)) % _MODULUS
-        if len(self.journal) == JOURNAL_MOST:
-            self.known_from = self.journal[0][0]
-        self.journal.append((revision, [*changed, *removed]))
+            self.digest_sum = (self.digest_sum + _digest(part, value)) % _MODULUS
+        if len(self.change_log) == MAX_CHANGE_LOG:
+            self.oldest_base = self.change_log[0][0]
+        self.change_log.append((revision, [*changed, *removed]))
         self.revision = revision
 
-    def since(self, revision: int) -> Delta:
+    def delta_since(self, revision: int) -> Delta:
         """Return what a holder of `revision` lacks, whole where unknown."""
-        if not self.known_from <= revision <= self.revision:
+        if not self.oldest_base <= revision <= self.revision:
             items = dict(self.items)
             return Delta(-1, self.revision, items, [], self.digest)
         touched: set[str] = set()
-        for at, names in reversed(self.journal):
+        for at, names in reversed(self.change_log):
             if at <= revision:
                 break
             touched.update(names)
@@ -269,7 +269,7 @@
         trial = Parts()
         if not delta.whole:
             trial.items = dict(self.items)
-            trial.sum = self.sum
+            trial.digest_sum = self.digest_sum
         trial.change(delta.revision, delta.changed, delta.removed)
         # A delta lost or made wrongly on its way would leave this router
         # with rules that nobody accepted; the digest of the whole shows it.
@@ -280,7 +280,7 @@
                 expected=delta.digest,
             )
         self.items = trial.items
-        self.sum = trial.sum
+        self.digest_sum = trial.digest_sum
         self.revision = delta.revision
         self._note(delta)
         return True
@@ -291,8 +291,8 @@
             "revision": self.revision,
             "items": self.items,
             "digest": self.digest,
-            "journal": [[at, names] for at, names in self.journal],
-            "known_from": self.known_from,
+            "journal": [[at, names] for at, names in self.change_log],
+            "known_from": self.oldest_base,
         }
 
     @classmethod
@@ -306,9 +306,9 @@
         """
         made = cls()
         made.change(values["revision"], values["items"], [])
-        made.journal.clear()
-        made.journal.extend((at, names) for at, names in values["journal"])
-        made.known_from = values["known_from"]
+        made.change_log.clear()
+        made.change_log.extend((at, names) for at, names in values["journal"])
+        made.oldest_base = values["known_from"]
         if made.digest != values["digest"]:
             raise errors.StorageError(
                 "digest of the stored configuration",
@@ -319,14 +319,14 @@
 
     def _note(self, delta: Delta) -> None:
         if delta.whole:
-            self.journal.clear()
-            self.known_from = delta.revision
+            self.change_log.clear()
+            self.oldest_base = delta.revision
             return
-        if len(self.journal) == JOURNAL_MOST:
-            self.known_from = self.journal[0][0]
-        self.journal.append((delta.revision, [*delta.changed, *delta.removed]))
+        if len(self.change_log) == MAX_CHANGE_LOG:
+            self.oldest_base = self.change_log[0][0]
+        self.change_log.append((delta.revision, [*delta.changed, *delta.removed]))
 
     def _drop(self, part: str) -> None:
         if part in self.items:
             old = self.items.pop(part)
-            self.sum = (self.sum - _digest(part, old)) % _MODULUS
+            self.digest_sum = (self.digest_sum - _digest(part, old)) % _MODULUS
--- a/amaranthring/core/pauses.py
+++ b/amaranthring/core/pauses.py
@@ -7,10 +7,10 @@
 
 import typing as t
 
-DOUBT_SECONDS = 0.3
+BACKLOG_SECONDS = 0.3
 
 
-class Pauses:
+class PauseDetector:
     """Watches one task that should run every so often.
 
     Parameters
@@ -30,30 +30,30 @@
 
     def __init__(self, clock: t.Callable[[], float], longest: float):
         self.clock = clock
-        self.longest = longest
-        self.noticed_at = clock()
-        self.woke_at = 0.0
-        self.began_at = 0.0
+        self.max_interval = longest
+        self.checked_at = clock()
+        self.resumed_at = 0.0
+        self.paused_at = 0.0
 
-    def notice(self) -> bool:
+    def check(self) -> bool:
         """Return whether the process stood still since the last notice."""
         now = self.clock()
-        began, self.noticed_at = self.noticed_at, now
-        if now - began <= self.longest:
+        began, self.checked_at = self.checked_at, now
+        if now - began <= self.max_interval:
             return False
-        self.woke_at = now
-        self.began_at = began
+        self.resumed_at = now
+        self.paused_at = began
         return True
 
-    def arrived(self) -> float:
+    def trusted_arrival(self) -> float:
         """Return the latest moment at which a message read now is trusted.
 
         What is read right after a pause may have waited in the socket since
         before it; it counts as come when the pause began.
         """
         now = self.clock()
-        if now - self.noticed_at > self.longest:
-            return self.noticed_at
-        if self.woke_at and now - self.woke_at < DOUBT_SECONDS:
-            return self.began_at
+        if now - self.checked_at > self.max_interval:
+            return self.checked_at
+        if self.resumed_at and now - self.resumed_at < BACKLOG_SECONDS:
+            return self.paused_at
         return now
--- a/amaranthring/core/records.py
+++ b/amaranthring/core/records.py
@@ -64,7 +64,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Report:
+class LoadReport:
     """A target's lagging report of its load.
 
     Attributes
@@ -173,7 +173,7 @@
     targets: int = 0
 
 
-class End(enum.StrEnum):
+class AttemptEnd(enum.StrEnum):
     """How an attempt at a target ended."""
 
     DONE = "done"
--- a/amaranthring/core/repeating.py
+++ b/amaranthring/core/repeating.py
@@ -9,7 +9,7 @@
 log = logbook.Logger(__name__)
 
 
-def guarded(
+def run_step(
     step: t.Callable[[], None], name: str, metrics: metrics_module.Metrics
 ) -> None:
     """Take `step`; a fault of it is counted and logged, not raised.
--- a/amaranthring/core/signals.py
+++ b/amaranthring/core/signals.py
@@ -3,7 +3,7 @@
 import asyncio
 import signal
 
-NUMBERS = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 def reload_event() -> asyncio.Event:
@@ -31,10 +31,10 @@
     loop = asyncio.get_running_loop()
 
     def stop(_number, _frame) -> None:
-        for number in NUMBERS:
+        for number in STOP_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
         loop.call_soon_threadsafe(event.set)
 
-    for number in NUMBERS:
+    for number in STOP_SIGNALS:
         signal.signal(number, stop)
     return event
--- a/amaranthring/core/timeouts.py
+++ b/amaranthring/core/timeouts.py
@@ -11,14 +11,14 @@
 
 # Time that counts is counted in steps of this length. A step whose timer
 # comes late counts as none.
-STEP_SECONDS = 0.03
+TICK_SECONDS = 0.03
 # Timers of a loop that has work to do come a few milliseconds late.
-LATE_SECONDS = 0.02
+TIMER_TOLERANCE_SECONDS = 0.02
 # Time for reading what came while this process stood still.
 READ_SECONDS = 0.01
 # Stalls that are forgiven while one thing is awaited, so that a process
 # that stalls all the time still comes to an end.
-STALLS_MOST = 10
+MAX_STALLS = 10
 
 
 def is_late(due: float) -> bool:
@@ -29,7 +29,7 @@
     due : float
         When the timer was to run, in monotonic seconds.
     """
-    return asyncio.get_running_loop().time() - due > LATE_SECONDS
+    return asyncio.get_running_loop().time() - due > TIMER_TOLERANCE_SECONDS
 
 
 class _Countdown:
@@ -43,12 +43,12 @@
 
     def _arm(self) -> None:
         loop = asyncio.get_running_loop()
-        self.step = min(self.left, STEP_SECONDS)
+        self.step = min(self.left, TICK_SECONDS)
         self.due = loop.time() + self.step
         self.timer = loop.call_at(self.due, self._tick)
 
     def _tick(self) -> None:
-        if is_late(self.due) and self.stalls < STALLS_MOST:
+        if is_late(self.due) and self.stalls < MAX_STALLS:
             self.stalls += 1
         else:
             self.left -= self.step
@@ -59,7 +59,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(seconds: float):
+async def timeout(seconds: float):
     """Limit a block to `seconds` in which this process ran.
 
     For what another process can only do after this one has: a connection
@@ -79,7 +79,7 @@
 
 
 @contextlib.asynccontextmanager
-async def until(due: float):
+async def timeout_at(due: float):
     """Limit a block to the moment `due`, and to what has come by then.
 
     A process that wakes after that moment first reads what came while it
--- a/amaranthring/core/wire.py
+++ b/amaranthring/core/wire.py
@@ -164,7 +164,7 @@
         # Fields that a newer peer added at the end are passed over.
         body = dict(zip(_COMPACT[tag], body, strict=False))
     try:
-        return fields.reader(kind)(body)
+        return fields.validator(kind)(body)
     except errors.FrameError as error:
         raise errors.FrameError(
             f"message {tag} does not fit: {error.detail}",
--- a/amaranthring/errors.py
+++ b/amaranthring/errors.py
@@ -158,14 +158,14 @@
     status = 431
 
 
-class HeadersLateError(BadRequestError):
+class HeadersTimeoutError(BadRequestError):
     """The headers were begun and did not end in time."""
 
     code = "headers-late"
     status = 408
 
 
-class BodyLateError(BadRequestError):
+class BodyTimeoutError(BadRequestError):
     """The body did not come in time."""
 
     code = "body-late"
@@ -286,7 +286,7 @@
     status = 502
 
 
-class TargetUnreachedError(UpstreamError):
+class TargetUnreachableError(UpstreamError):
     """There is no connection to the target; no byte was sent.
 
     Callers are told the code of its parent: for them it is one failure of
@@ -303,7 +303,7 @@
     outcome = Outcome.NOT_RUN
 
 
-class OtherTargetError(TargetRefusedError):
+class WrongTargetError(TargetRefusedError):
     """Another target has the address now; it did not run the request."""
 
     code = "other-target"
@@ -316,13 +316,13 @@
     outcome = Outcome.RAN
 
 
-class TruncatedAnswerError(UpstreamError):
+class TruncatedResponseError(UpstreamError):
     """The target's answer ended without its end mark or with a gap."""
 
     code = "truncated-answer"
 
 
-class TargetSilentError(TruncatedAnswerError):
+class TargetUnresponsiveError(TruncatedResponseError):
     """Nothing that was sent to the target is acknowledged any more."""
 
     code = "target-silent"
@@ -335,14 +335,14 @@
     status = 504
 
 
-class CallerGoneError(AmaranthringError):
+class CallerDisconnectedError(AmaranthringError):
     """The caller left before its answer was whole; nobody hears this."""
 
     code = "caller-gone"
     status = 408
 
 
-class CallerTooSlowError(CallerGoneError):
+class CallerTooSlowError(CallerDisconnectedError):
     """The caller took nothing of its answer in time and was cut off."""
 
     code = "caller-too-slow"
@@ -380,7 +380,7 @@
     status = 422
 
 
-class AnswerNotKeptError(AmaranthringError):
+class ResponseNotStoredError(AmaranthringError):
     """The call ran but its answer was too large to be kept."""
 
     code = "answer-not-kept"
--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -142,7 +142,7 @@
     def _check_head(self) -> None:
         head = self.head
         if head.other_target:
-            raise errors.OtherTargetError(
+            raise errors.WrongTargetError(
                 "another target has taken over the address",
                 given=self.target.address,
             )
@@ -220,7 +220,7 @@
                 head = self.head
                 await writer.start_stream(head.status, head.headers, complete)
         if splitter.partial:
-            raise errors.TruncatedAnswerError(
+            raise errors.TruncatedResponseError(
                 "the stream ended within an event",
                 given=len(splitter.partial),
                 expected="complete events",
--- a/amaranthring/forwarding/events.py
+++ b/amaranthring/forwarding/events.py
@@ -74,7 +74,7 @@
             if event_id <= self.last_id:
                 return False
             if event_id > self.last_id + 1:
-                raise errors.TruncatedAnswerError(
+                raise errors.TruncatedResponseError(
                     "events are missing",
                     given=f"event {event_id}",
                     expected=f"event {self.last_id + 1}",
--- a/amaranthring/forwarding/failures.py
+++ b/amaranthring/forwarding/failures.py
@@ -7,7 +7,7 @@
 from amaranthring.targets import pool
 
 # Failures after which a target cannot be reached for other requests either.
-UNREACHED = (errors.TargetUnreachedError, errors.TargetSilentError)
+UNREACHED = (errors.TargetUnreachableError, errors.TargetUnresponsiveError)
 # Errors that a partition between two data centres may cause.
 SILENT = (*UNREACHED, errors.UpstreamTimeoutError)
 
@@ -22,7 +22,7 @@
     """Record a failed attempt against its target."""
     if isinstance(error, SILENT):
         context.silent_data_centres.add(target.data_centre)
-    if isinstance(error, errors.OtherTargetError):
+    if isinstance(error, errors.WrongTargetError):
         placer.record_replaced(target)
     elif isinstance(error, errors.TargetRefusedError):
         # Counts only if another target accepts the request.
--- a/amaranthring/forwarding/frontend.py
+++ b/amaranthring/forwarding/frontend.py
@@ -69,7 +69,7 @@
         self.in_flight = 0
         self.closing = False
         self.shutdown_at = float("inf")
-        self.idle = connections.Waiting()
+        self.idle = connections.IdleConnections()
         self.server: tornado.httpserver.HTTPServer | None = None
         self.listener: listeners.Listener | None = None
 
@@ -101,7 +101,7 @@
         until : float
             Monotonic seconds at which to stop waiting.
         """
-        await self.idle.end(until, lambda: self.in_flight)
+        await self.idle.drain(until, lambda: self.in_flight)
 
     def check_deadline(self, incoming: records.Incoming) -> None:
         """Check that a request can finish before shutdown.
@@ -190,7 +190,7 @@
     async def _send_error(self, error: errors.AmaranthringError) -> None:
         try:
             await self.writer.send_error(error)
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             self.writer.abort()
 
     async def _run(self) -> None:
@@ -204,7 +204,7 @@
             await self.frontend.serve(self.incoming, self.writer)
         except errors.ShuttingDownError as error:
             await self._send_error(error)
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             self.writer.abort()
         except asyncio.CancelledError:
             self.writer.abort()
@@ -212,6 +212,6 @@
             log.exception("request.failed")
             self.writer.abort()
         finally:
-            connections.when_sent(
+            connections.call_when_sent(
                 self.connection, lambda: self.frontend.count(-1)
             )
--- a/amaranthring/forwarding/relay.py
+++ b/amaranthring/forwarding/relay.py
@@ -101,14 +101,14 @@
             context = self.resolve(incoming)
             # A response that arrived while this process was stalled is
             # delivered even after the deadline.
-            async with timeouts.until(self._loop_time(context.deadline)):
+            async with timeouts.timeout_at(self._loop_time(context.deadline)):
                 await self._run_attempts(context, writer)
         except TimeoutError:
             failure = errors.UpstreamTimeoutError(
                 "no response before the deadline of the request"
             )
             await self._send_failure(context, writer, failure)
-        except errors.CallerGoneError as error:
+        except errors.CallerDisconnectedError as error:
             failure = error
             writer.abort()
         except errors.AmaranthringError as error:
@@ -248,7 +248,7 @@
             self.placer.record_success(target)
             failures.record_refusals(self.placer, context)
             outcome = str(head.status)
-        except errors.TargetUnreachedError:
+        except errors.TargetUnreachableError:
             outcome = UNREACHED
             raise
         except errors.AmaranthringError as error:
@@ -369,7 +369,7 @@
             writer.closing = True
         try:
             await writer.send_error(reported)
-        except errors.CallerGoneError:
+        except errors.CallerDisconnectedError:
             writer.abort()
 
     @staticmethod
--- a/amaranthring/forwarding/responses.py
+++ b/amaranthring/forwarding/responses.py
@@ -69,7 +69,7 @@
         self.started_at = time.monotonic()
         if self.closing or self.stopping():
             headers["Connection"] = "close"
-        line = endpoints.start_line(status)
+        line = endpoints.status_line(status)
         try:
             await self.connection.write_headers(line, headers, data)
         except tornado.iostream.StreamClosedError as error:
@@ -113,5 +113,5 @@
         await self.send(error.status, headers, body)
 
 
-def _caller_gone() -> errors.CallerGoneError:
-    return errors.CallerGoneError("the caller has closed its connection")
+def _caller_gone() -> errors.CallerDisconnectedError:
+    return errors.CallerDisconnectedError("the caller has closed its connection")
--- a/amaranthring/keepers/disk.py
+++ b/amaranthring/keepers/disk.py
@@ -191,7 +191,7 @@
             self.save(state)
             return state
         data = wire.decode_value(verify_checksum(path.read_bytes(), path))
-        found = fields.reader(HardState)(data)
+        found = fields.validator(HardState)(data)
         if (found.group, found.keeper) != (group, keeper):
             # That disk may have voted under the other name and could vote a
             # second time in the same term here.
--- a/amaranthring/keepers/orders.py
+++ b/amaranthring/keepers/orders.py
@@ -201,7 +201,7 @@
 
     def dump(self) -> dict[str, t.Any]:
         """Return the state as plain data for :meth:`load`."""
-        return parts.plain(
+        return parts.to_plain(
             {
                 "fencing": self.fencing,
                 "open": list(self.open.values()),
--- a/amaranthring/keepers/presets.py
+++ b/amaranthring/keepers/presets.py
@@ -92,9 +92,9 @@
         if self.parts.revision == 0:
             changed = {parts.IN_FORCE: command.in_force}
             for preset in command.presets:
-                changed |= parts.of_preset(preset)
+                changed |= parts.preset_parts(preset)
             for account in command.accounts:
-                changed |= parts.of_account(account)
+                changed |= parts.account_parts(account)
             self.add_revision(
                 stamp,
                 "initial",
@@ -238,7 +238,7 @@
 
     def put_account(self, stamp, command) -> None:
         """Create or replace an account."""
-        changed = parts.of_account(command.account)
+        changed = parts.account_parts(command.account)
         self._check_limit("account/", next(iter(changed)), MAX_ACCOUNTS)
         self._commit_command(stamp, command, command.account.name, changed, [])
 
@@ -268,10 +268,10 @@
         self._commit_command(stamp, command, command.fingerprint, {}, [part])
 
     def _preset_parts(self, preset: str) -> list[str]:
-        return [p for p in self.parts.items if parts.belongs(p, preset)]
+        return [p for p in self.parts.items if parts.belongs_to_preset(p, preset)]
 
     def _put_preset(self, stamp, operator, action, preset) -> None:
-        changed = parts.of_preset(preset)
+        changed = parts.preset_parts(preset)
         part = f"preset/{preset.name}"
         self._check_limit("preset/", part, MAX_PRESETS)
         removed = set(self._preset_parts(preset.name)) - changed.keys()
@@ -373,4 +373,4 @@
 
 def parts_of_content(content: bytes) -> dict[str, t.Any]:
     """Return the parts of a preset from the history."""
-    return parts.of_plain_preset(wire.decode_value(content))
+    return parts.plain_preset_parts(wire.decode_value(content))
--- a/amaranthring/keepers/snapshots.py
+++ b/amaranthring/keepers/snapshots.py
@@ -74,7 +74,7 @@
     """
     body = disk.verify_checksum(path.read_bytes(), path)
     try:
-        return fields.reader(Snapshot)(wire.decode_value(body))
+        return fields.validator(Snapshot)(wire.decode_value(body))
     except errors.FrameError as error:
         raise disk.damage_error(path, "not a snapshot") from error
 
--- a/amaranthring/keepers/state_machine.py
+++ b/amaranthring/keepers/state_machine.py
@@ -212,4 +212,4 @@
 
     def config_since(self, revision: int) -> parts.Delta:
         """Return the configuration changes after `revision`."""
-        return self.book.parts.since(revision)
+        return self.book.parts.delta_since(revision)
--- a/amaranthring/operators/base.py
+++ b/amaranthring/operators/base.py
@@ -69,12 +69,12 @@
     def initialize(self, operators: Operators) -> None:
         """Take over what the composition root gathered."""
         self.operators = operators
-        self.operators.drain.enter()
+        self.operators.drain.request_started()
 
     def on_finish(self) -> None:
         """Count the request out once its answer is sent."""
-        leave = self.operators.drain.leave
-        connections.when_sent(self.request.connection, leave)
+        leave = self.operators.drain.request_finished
+        connections.call_when_sent(self.request.connection, leave)
 
     def prepare(self) -> None:
         """Refuse whoever holds no operator's token."""
@@ -176,7 +176,7 @@
             self.set_header("Amaranthring-Source", "router")
             return self.operators.revisions.current
         self.set_header("Amaranthring-Source", "keepers")
-        return parts.compose(found["revision"], found["items"])
+        return parts.build_config(found["revision"], found["items"])
 
 
 def _typed(status: int) -> errors.AmaranthringError:
--- a/amaranthring/operators/handlers.py
+++ b/amaranthring/operators/handlers.py
@@ -55,7 +55,7 @@
 
 def _figures(preset: fleet.Preset) -> dict[str, t.Any]:
     """Return the plain figures of `preset`, without what it nests."""
-    return parts.of_preset(preset)[f"preset/{preset.name}"]
+    return parts.preset_parts(preset)[f"preset/{preset.name}"]
 
 
 class Presets(base.Handler):
@@ -85,7 +85,7 @@
         body = {
             "revision": config.revision,
             "in_force": config.in_force == name,
-            "preset": parts.plain(found),
+            "preset": parts.to_plain(found),
         }
         body["preset"].pop("name")
         self.answer(body, config.revision)
@@ -132,7 +132,7 @@
             "revision": config.revision,
             "accounts": [
                 {"name": name}
-                | parts.plain(config.preset.account_policy(name))
+                | parts.to_plain(config.preset.account_policy(name))
                 for name in sorted(config.accounts)
             ],
         }
@@ -151,7 +151,7 @@
             "name": name,
             "default_class": found.default_class,
             "tokens": [digest[:8] for digest in found.token_hashes],
-            "policy": parts.plain(config.preset.account_policy(name)),
+            "policy": parts.to_plain(config.preset.account_policy(name)),
         }
         self.answer(body, config.revision)
 
@@ -248,7 +248,7 @@
         """Show the status of the group of keepers."""
         if self.operators.keepers is None:
             raise errors.NotFoundError("no keepers here")
-        self.answer(parts.plain(await self.operators.keepers()))
+        self.answer(parts.to_plain(await self.operators.keepers()))
 
 
 class ChangeKeepers(base.Handler):
--- a/amaranthring/plan_keeper.py
+++ b/amaranthring/plan_keeper.py
@@ -61,7 +61,7 @@
 
         The task ends once both listeners are open, or with an error.
         """
-        self.keeper.start(listeners.listening(self.config.address))
+        self.keeper.start(listeners.bind_sockets(self.config.address))
         self.listen_task = asyncio.ensure_future(self._listen())
         return self.listen_task
 
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -186,9 +186,9 @@
 
     def start(self) -> None:
         """Open the listeners and connect to the keepers."""
-        self.front.listen(listeners.listening(self.config.callers))
+        self.front.listen(listeners.bind_sockets(self.config.callers))
         endpoints.serve(self.config.health, self._health)
-        endpoints.serve(self.config.metrics, endpoints.figures(self.metrics))
+        endpoints.serve(self.config.metrics, endpoints.metrics_handler(self.metrics))
         self.subscriber.use_seeds(self.config.keepers)
         for work in (
             self._forget_gone_targets(),
@@ -201,10 +201,10 @@
         """Update the seed addresses of the keepers."""
         self.subscriber.use_seeds(addresses)
 
-    async def _health(self, _call: endpoints.Call) -> endpoints.Result:
+    async def _health(self, _call: endpoints.Request) -> endpoints.Response:
         reason = self.not_ready_reason()
         body = json.dumps({"ready": not reason, "reason": reason}).encode()
-        return endpoints.Result(503 if reason else 200, body)
+        return endpoints.Response(503 if reason else 200, body)
 
     async def _forget_gone_targets(self) -> None:
         while True:
--- a/amaranthring/platform/control.py
+++ b/amaranthring/platform/control.py
@@ -50,11 +50,11 @@
         return held < 0 or name in self.names
 
 
-def answers(hub: hubs.Hub) -> endpoints.Answer:
+def answers(hub: hubs.Hub) -> endpoints.Handler:
     """Return the function that answers the platform's calls from `hub`."""
     services = ServiceNames(hub)
 
-    async def answer(call: endpoints.Call) -> endpoints.Result:
+    async def answer(call: endpoints.Request) -> endpoints.Response:
         if (call.method, call.path) == ("POST", REPLACE):
             return await _replace(hub, call)
         if (call.method, call.path) == ("GET", FETCH):
@@ -71,8 +71,8 @@
 
 
 def _announce(
-    hub: hubs.Hub, services: ServiceNames, call: endpoints.Call
-) -> endpoints.Result:
+    hub: hubs.Hub, services: ServiceNames, call: endpoints.Request
+) -> endpoints.Response:
     try:
         record = read_heartbeat(call.path, call.body)
     except errors.BadRequestError as error:
@@ -84,30 +84,30 @@
         # Acknowledged, since no router sends to it; a plan that names the
         # service later finds it at its next announcement.
         hub.refuse(errors.NotFoundError("service", given=record.service))
-    return endpoints.Result(body=EMPTY_OBJECT)
+    return endpoints.Response(body=EMPTY_OBJECT)
 
 
-def _leave(hub: hubs.Hub, call: endpoints.Call) -> endpoints.Result:
+def _leave(hub: hubs.Hub, call: endpoints.Request) -> endpoints.Response:
     try:
         born = read_born(call.body)
     except errors.BadRequestError as error:
         hub.refuse(error)
         raise
     hub.leave(call.path.removeprefix(DEREGISTER), born)
-    return endpoints.Result(body=EMPTY_OBJECT)
+    return endpoints.Response(body=EMPTY_OBJECT)
 
 
-async def _replace(hub: hubs.Hub, call: endpoints.Call) -> endpoints.Result:
+async def _replace(hub: hubs.Hub, call: endpoints.Request) -> endpoints.Response:
     plan = documents.decode(call.body)
     held = await hub.put(plan.version, call.body)
-    return endpoints.Result(body=json.dumps({"version": held}).encode())
+    return endpoints.Response(body=json.dumps({"version": held}).encode())
 
 
-async def _fetch(hub: hubs.Hub) -> endpoints.Result:
+async def _fetch(hub: hubs.Hub) -> endpoints.Response:
     found = await hub.read()
     if found.version < 0:
         raise errors.NotFoundError("no configuration yet")
-    return endpoints.Result(body=plans.decompress(found.body))
+    return endpoints.Response(body=plans.decompress(found.body))
 
 
 def read_heartbeat(path: str, body: bytes) -> messages.TargetRecord:
@@ -121,7 +121,7 @@
     try:
         found = json.loads(body)
         plain = _record(path.removeprefix(HEARTBEAT), found)
-        return fields.reader(messages.TargetRecord)(plain)
+        return fields.validator(messages.TargetRecord)(plain)
     except (
         errors.FrameError,
         ValueError,
--- a/amaranthring/platform/daemon.py
+++ b/amaranthring/platform/daemon.py
@@ -68,7 +68,7 @@
         if starting.done():
             # A listener that cannot be had ends the process.
             starting.result()
-    collection.freeze()
+    collection.freeze_startup_objects()
     gc.enable()
     await stopping
     logs.event(log, f"{role}.stopping", vm=node.name)
--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -234,7 +234,7 @@
         self,
         key: leases.Key,
         now: float,
-        end: records.End = records.End.DONE,
+        end: records.AttemptEnd = records.AttemptEnd.DONE,
     ) -> None:
         """Release the lease of `key`, or remove it from the queue."""
         if self.queue.remove(key) is not None:
@@ -322,12 +322,12 @@
 
     # -- internals --
 
-    def _record_end(self, target, router, now, end: records.End) -> None:
-        if end is records.End.DONE:
+    def _record_end(self, target, router, now, end: records.AttemptEnd) -> None:
+        if end is records.AttemptEnd.DONE:
             self.breakers.record_success(target, router)
-        if end is records.End.FAILED:
+        if end is records.AttemptEnd.FAILED:
             self.breakers.record_error(target, self.targets, now)
-        if end in (records.End.UNREACHABLE, records.End.TARGET_LOST):
+        if end in (records.AttemptEnd.UNREACHABLE, records.AttemptEnd.TARGET_LOST):
             self.breakers.record_unreachable(target, router, self.targets, now)
 
     def _limits(
--- a/amaranthring/registry/plan_source.py
+++ b/amaranthring/registry/plan_source.py
@@ -72,7 +72,7 @@
             meantime that it holds the plan: a router without a plan asks
             several keepers, and all of them would send it.
         """
-        await self.pacer.turn()
+        await self.pacer.acquire()
         # A newer one may have come meanwhile.
         version = self.machine.version
         if self.held_versions.get(router, -1) >= version:
--- a/amaranthring/registry/pressure.py
+++ b/amaranthring/registry/pressure.py
@@ -71,7 +71,7 @@
             processor=round(time.process_time() - cpu_before, 3),
             link_share=round(share, 2),
             links=len(open_links),
-            writing=sum(link.is_writing() for link in open_links),
+            writing=sum(link.has_unsent_bytes() for link in open_links),
             sent=_most_common(sent),
             received_bytes=handlers.received_bytes - bytes_before,
             received=_most_common(handlers.received - received_before),
--- a/amaranthring/registry/publisher.py
+++ b/amaranthring/registry/publisher.py
@@ -58,7 +58,7 @@
         """Publish until cancelled."""
         while True:
             await self.wake.wait()
-            await self.pacer.turn()
+            await self.pacer.acquire()
             if self.pending:
                 self._send_changes()
             elif self.new_routers:
@@ -78,7 +78,7 @@
         frame = wire.encode(wire.ONE_WAY, 0, message)
         while self.new_routers:
             _send(self.new_routers.popleft(), frame, type(message))
-            if not self.pacer.room():
+            if not self.pacer.available():
                 return
 
 
--- a/amaranthring/registry/sharing.py
+++ b/amaranthring/registry/sharing.py
@@ -356,7 +356,7 @@
             return LOCATIONS_PER_MESSAGE * (
                 len(self.router_backlogs) + len(self.keeper_backlogs)
             )
-        return int(self.pacer.room() / PAIR_BYTES)
+        return int(self.pacer.available() / PAIR_BYTES)
 
     def _allowances(self, free: int) -> dict[t.Any, int]:
         """Return how many locations each process may be sent now.
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -76,7 +76,7 @@
         self.identity = identity
         self.name = identity.name
         self.metrics = metrics.Metrics()
-        self.decisions = decisions.Decisions()
+        self.decisions = decisions.DecisionLog()
         self.drain = drains.Drain()
         self.operator_drain = drains.Drain()
         self.stopping = False
@@ -104,7 +104,7 @@
             self.keys,
             self.handlers,
             on_link=self.mesh.accept,
-            on_gone=self.mesh.remove_link,
+            on_close=self.mesh.remove_link,
         )
         self.keepers = keeper_client.KeeperClient(
             settings.fleet.group, settings.keepers(), self.identity, self.keys
@@ -222,7 +222,7 @@
             may_retry=self.retry_budget.may_retry,
             succeeded=self.retry_budget.record_success,
             when_lost=self.table.when_lost,
-            note=self.decisions.note,
+            note=self.decisions.record,
             target=self.table.get,
             serves=self._serves,
             metrics=self.metrics,
@@ -250,7 +250,7 @@
         for target in eligible[:EXPLAINED_CANDIDATES]:
             report = self.table.report(target.name)
             loads[target.name] = report.running if report else None
-        self.decisions.note(
+        self.decisions.record(
             request.request_id,
             "candidates",
             eligible=len(eligible),
@@ -417,10 +417,10 @@
         """
         self.stopping = True
         bounds = self.settings.callers
-        quiet = await self.drain.wait_quiet(
+        quiet = await self.drain.wait_for_quiet_period(
             bounds.health_grace_seconds, bounds.leave_seconds
         )
-        running = self.drain.running
+        running = self.drain.in_flight
         logs.event(log, "router.leaving", quiet=quiet, running=running)
         await callers.close()
         self.drain.close()
--- a/amaranthring/routers/admission_messages.py
+++ b/amaranthring/routers/admission_messages.py
@@ -109,7 +109,7 @@
     cell: str
     router: str
     serial: int
-    end: records.End
+    end: records.AttemptEnd
 
 
 @wire.message("holdings", compact=True)
--- a/amaranthring/routers/attempts.py
+++ b/amaranthring/routers/attempts.py
@@ -68,8 +68,8 @@
         If that router cannot be reached, the claim stays in progress until
         it expires.
         """
-        request_id = decisions.router_of(attempt)
-        router = decisions.router_of(request_id)
+        request_id = decisions.router_name(attempt)
+        router = decisions.router_name(request_id)
         ask = AttemptStatusRequest(attempt)
         try:
             status = await self.mesh.call(router, ask, ASK_TIMEOUT_SECONDS)
--- a/amaranthring/routers/explainer.py
+++ b/amaranthring/routers/explainer.py
@@ -37,7 +37,7 @@
         Decisions of this router.
     """
 
-    def __init__(self, name: str, mesh, ring: decisions.Decisions):
+    def __init__(self, name: str, mesh, ring: decisions.DecisionLog):
         self.name = name
         self.mesh = mesh
         self.decisions = ring
@@ -62,7 +62,7 @@
         errors.LinkError
             If that router cannot be reached.
         """
-        router = decisions.router_of(request_id)
+        router = decisions.router_name(request_id)
         if router == self.name:
             reply = self.on_ask(None, DecisionsRequest(request_id))
         else:
--- a/amaranthring/routers/grants.py
+++ b/amaranthring/routers/grants.py
@@ -130,7 +130,7 @@
                 link.peer.name,
                 message.cell,
                 message.serial,
-                records.End.NOT_SENT,
+                records.AttemptEnd.NOT_SENT,
             )
 
     def on_dropped(self, _link, message: messages.Dropped) -> None:
--- a/amaranthring/routers/mesh.py
+++ b/amaranthring/routers/mesh.py
@@ -93,7 +93,7 @@
         self._data_centres = sorted(data_centres | {identity.data_centre})
         self.remote_routers: dict[str, list[str]] = {}
         self.task: asyncio.Task | None = None
-        self.pauses = pauses.Pauses(clock, PAUSE_SECONDS)
+        self.pauses = pauses.PauseDetector(clock, PAUSE_SECONDS)
         self._callbacks: list[t.Callable[[], None]] = []
         self._link_callbacks: list[t.Callable[[peers_module.Peer], None]] = []
         self._live: dict[str | None, list[str]] = {}
@@ -354,7 +354,7 @@
             self.keys,
             self.handlers,
             on_link=self._add_link,
-            on_gone=self.remove_link,
+            on_close=self.remove_link,
         )
         peer.dialler.start()
 
@@ -415,12 +415,12 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            repeating.guarded(self.tick, "mesh.ticks", self.metrics)
+            repeating.run_step(self.tick, "mesh.ticks", self.metrics)
 
     def tick(self) -> None:
         """Drop dead links, send heartbeats and close idle links."""
         now = self.clock()
-        paused = self.pauses.notice()
+        paused = self.pauses.check()
         for peer in self.peers.values():
             if peer.link is not None:
                 self._check_link(peer, now, paused)
--- a/amaranthring/routers/owner_client.py
+++ b/amaranthring/routers/owner_client.py
@@ -172,7 +172,7 @@
                 self.backoff_until[owner] = self.clock() + BACKOFF_SECONDS
                 self.on_unresponsive(ask.cell)
                 # It may have granted the request and the reply was lost.
-                self.release(owner, ask.cell, ask.serial, records.End.NOT_SENT)
+                self.release(owner, ask.cell, ask.serial, records.AttemptEnd.NOT_SENT)
         return "", None
 
     async def wait(
@@ -189,7 +189,7 @@
         return await asyncio.wait_for(asyncio.shield(answer), seconds)
 
     def release(
-        self, owner: str, cell: str, serial: int, end: records.End
+        self, owner: str, cell: str, serial: int, end: records.AttemptEnd
     ) -> None:
         """Release a grant or withdraw a queued request."""
         message = messages.Release(cell, self.name, serial, end)
@@ -232,7 +232,7 @@
             answer = await self.mesh.call(owner, ask, ASK_TIMEOUT_SECONDS)
             return answer
         except asyncio.CancelledError:
-            self.release(owner, ask.cell, ask.serial, records.End.CANCELLED)
+            self.release(owner, ask.cell, ask.serial, records.AttemptEnd.CANCELLED)
             raise
         finally:
             if not isinstance(answer, messages.Queued):
--- a/amaranthring/routers/placement.py
+++ b/amaranthring/routers/placement.py
@@ -162,7 +162,7 @@
         grant.queued_seconds = self.clock() - started
         return grant
 
-    def release(self, grant: records.Grant, end: records.End) -> None:
+    def release(self, grant: records.Grant, end: records.AttemptEnd) -> None:
         """Release `grant` without blocking. Idempotent."""
         serial = int(grant.grant_id.rpartition(":")[2])
         holding = self.held.remove(serial)
@@ -171,7 +171,7 @@
         if holding.owner:
             self.calls.release(holding.owner, holding.cell, serial, end)
         request = holding.request
-        if holding.suspect and end == records.End.DONE:
+        if holding.suspect and end == records.AttemptEnd.DONE:
             self.suspicion.suspect_finished(request)
 
     def routers_changed(self) -> None:
@@ -305,7 +305,7 @@
         finally:
             del self.calls.waiting[ask.serial]
             if answer is None:
-                end = records.End.CANCELLED
+                end = records.AttemptEnd.CANCELLED
                 self.calls.release(owner, ask.cell, ask.serial, end)
 
     async def _ask_other_cells(self, search, cell: str, candidates: list[str]):
@@ -331,7 +331,7 @@
         if target is None:
             target = await self._fetch_target(owner, granted.target)
         if target is None:
-            end = records.End.NOT_SENT
+            end = records.AttemptEnd.NOT_SENT
             self.calls.release(owner, granted.cell, granted.serial, end)
             return None
         grant = self._add_grant(
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -169,7 +169,7 @@
             self.metrics.count("revisions.applied")
             base = fleet.FleetConfig() if delta.whole else self.current
             self._activate(
-                parts.advance(
+                parts.apply_changes(
                     base, delta.revision, delta.changed, delta.removed
                 )
             )
@@ -308,7 +308,7 @@
         )
 
     def _on_config_since(self, _link, message):
-        return self.parts.since(message.revision)
+        return self.parts.delta_since(message.revision)
 
     def _on_delta(self, link, delta):
         source = link.peer.name
--- a/amaranthring/routers/target_sync.py
+++ b/amaranthring/routers/target_sync.py
@@ -129,7 +129,7 @@
                 self.next_batch_at, self.clock() - SLACK_SECONDS
             )
             self.next_batch_at += BATCH_SECONDS
-            repeating.guarded(self.tick, "spread.ticks", self.metrics)
+            repeating.run_step(self.tick, "spread.ticks", self.metrics)
 
     def renew_in(self) -> float:
         """Return the seconds until a target that just renewed should renew.
@@ -511,10 +511,10 @@
 
 def _report(
     target: records.Target, heartbeat: messages.TargetHeartbeat
-) -> records.Report | None:
+) -> records.LoadReport | None:
     if not heartbeat.sequence:
         return None
-    return records.Report(
+    return records.LoadReport(
         target.name,
         target.incarnation,
         heartbeat.sequence,
--- a/amaranthring/targets/entries.py
+++ b/amaranthring/targets/entries.py
@@ -105,7 +105,7 @@
     history: flap_damping.History = dataclasses.field(
         default_factory=flap_damping.History
     )
-    report: records.Report | None = None
+    report: records.LoadReport | None = None
 
     def record(self, now: float) -> Record:
         """Return the record to send to other routers at time `now`."""
--- a/amaranthring/targets/protocol.py
+++ b/amaranthring/targets/protocol.py
@@ -93,9 +93,9 @@
     waiting: int = pydantic.Field(0, ge=0, le=MAX_CAPACITY)
     kv_used: float = pydantic.Field(0.0, ge=0.0, le=1.0)
 
-    def report(self) -> records.Report:
+    def report(self) -> records.LoadReport:
         """Return the report."""
-        return records.Report(**dict(self))
+        return records.LoadReport(**dict(self))
 
 
 Model = t.TypeVar("Model", bound=pydantic.BaseModel)
--- a/amaranthring/targets/sse.py
+++ b/amaranthring/targets/sse.py
@@ -135,7 +135,7 @@
         elif int(number) < self.expected:
             self.duplicates += 1
         else:
-            self.error = errors.TruncatedAnswerError(
+            self.error = errors.TruncatedResponseError(
                 "events are missing",
                 given=f"event {number.decode()}",
                 expected=f"event {self.expected}",
--- a/amaranthring/targets/table.py
+++ b/amaranthring/targets/table.py
@@ -96,7 +96,7 @@
         self.digests: dict[str, int] = {}
         self.heard_directly: set[str] = set()
         self.vouched: dict[str, float] = {}
-        self.pauses = pauses.Pauses(clock, MIN_PAUSE_SECONDS)
+        self.pauses = pauses.PauseDetector(clock, MIN_PAUSE_SECONDS)
         self.no_expiry_until = 0.0
         self.task: asyncio.Task | None = None
         self._state_callbacks: list[t.Callable[[str], None]] = []
@@ -135,7 +135,7 @@
         entry = self.entries.get(name)
         return None if entry is None or entry.lost else entry.target
 
-    def report(self, name: str) -> records.Report | None:
+    def report(self, name: str) -> records.LoadReport | None:
         """Return the last load report of target `name`, if any."""
         entry = self.entries.get(name)
         return None if entry is None or entry.lost else entry.report
@@ -203,7 +203,7 @@
         errors.TableFullError, errors.BadRequestError
             If the announcement contradicts what is known; nothing changes.
         """
-        heard = self.pauses.arrived()
+        heard = self.pauses.trusted_arrival()
         self._check_claims(target, sequence)
         entry = self.entries.get(target.name)
         revision = 1
@@ -227,9 +227,9 @@
         entry = self._known_entry(name, incarnation)
         claims.check_sequence(entry, incarnation, sequence)
         entry.last_sequence = sequence
-        self._record_message(entry, self.pauses.arrived())
+        self._record_message(entry, self.pauses.trusted_arrival())
 
-    def update_report(self, report: records.Report) -> None:
+    def update_report(self, report: records.LoadReport) -> None:
         """Store a target's load report, which also renews its lease.
 
         A report that is late or repeated, by its sequence, changes nothing.
@@ -245,7 +245,7 @@
             self.metrics.count("targets.reports_late")
             return
         entry.report = report
-        self._record_message(entry, self.pauses.arrived())
+        self._record_message(entry, self.pauses.trusted_arrival())
 
     def leave(self, name: str, incarnation: int, sequence: int = 0) -> None:
         """Process a target's leave: it gets no new work from now on.
@@ -265,7 +265,7 @@
         record = entries.Record(
             entry.target, revision, True, spoken=last_sequence
         )
-        heard = self.pauses.arrived()
+        heard = self.pauses.trusted_arrival()
         self.merge_record(record, heard)
         self._record_message(entry, heard)
 
@@ -307,7 +307,7 @@
         incarnation: int,
         heard: float,
         spoken: int = 0,
-        report: records.Report | None = None,
+        report: records.LoadReport | None = None,
     ) -> bool:
         """Merge evidence of life; False if the target is not known."""
         entry = self.entries.get(name)
@@ -375,7 +375,7 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
-            repeating.guarded(self.expire, "targets.ticks", self.metrics)
+            repeating.run_step(self.expire, "targets.ticks", self.metrics)
 
     # -- internals ----------------------------------------------------------
 
@@ -407,11 +407,11 @@
         another lease to be heard from. Until then stale targets get no new
         work, as they may have left during the pause.
         """
-        if not self.pauses.notice():
+        if not self.pauses.check():
             return
-        self.no_expiry_until = self.pauses.woke_at + lease
+        self.no_expiry_until = self.pauses.resumed_at + lease
         self.metrics.count("targets.own_pauses")
-        seconds = round(self.pauses.woke_at - self.pauses.began_at, 1)
+        seconds = round(self.pauses.resumed_at - self.pauses.paused_at, 1)
         logs.event(log, "router.paused", seconds=seconds)
         for callback in self._resume_callbacks:
             callback()
--- a/amaranthring/targets/upstream.py
+++ b/amaranthring/targets/upstream.py
@@ -202,7 +202,7 @@
             await self.open_connection()
         except CONNECTION_ERRORS as error:
             self.close()
-            raise errors.TargetUnreachedError(
+            raise errors.TargetUnreachableError(
                 "the target cannot be reached",
                 given=self.target.address,
                 expected="a listening target",
@@ -238,7 +238,7 @@
         """
         host, _, port = self.target.address.rpartition(":")
         # A stall of this process must not count as an unreachable target.
-        async with timeouts.running(self.connect_seconds):
+        async with timeouts.timeout(self.connect_seconds):
             self.reader, self.writer = await asyncio.open_connection(
                 host.strip("[]"), int(port), limit=READ_BYTES
             )
@@ -357,9 +357,9 @@
         # The kernel's timeout for unacknowledged bytes: the connection went
         # silent, or the target's VM lost power.
         timed_out = isinstance(error, TimeoutError)
-        kind = errors.TruncatedAnswerError
+        kind = errors.TruncatedResponseError
         if timed_out:
-            kind = errors.TargetSilentError
+            kind = errors.TargetUnresponsiveError
         return self.abort_error or kind(
             "the connection broke before the answer was whole",
             given=self.target.name,
@@ -439,7 +439,7 @@
         exchange.close()
         return False
     try:
-        async with timeouts.running(RESET_WAIT_SECONDS):
+        async with timeouts.timeout(RESET_WAIT_SECONDS):
             return bool(await exchange.reader.read(1))
     except TimeoutError:
         return True
--- a/amaranthring/testing/announcing.py
+++ b/amaranthring/testing/announcing.py
@@ -150,7 +150,7 @@
     async def _report(self, load: tuple[int, int, float]) -> int:
         self.sequence += 1
         running, waiting, kv_used = load
-        report = records.Report(
+        report = records.LoadReport(
             self.target.name,
             self.target.incarnation,
             self.sequence,
--- a/amaranthring/testing/assembled.py
+++ b/amaranthring/testing/assembled.py
@@ -139,7 +139,7 @@
         at.directory.flush()
         return grant
 
-    def release(self, grant, end=records.End.DONE):
+    def release(self, grant, end=records.AttemptEnd.DONE):
         """End `grant`."""
         at, _ = self.grants.pop(grant.grant_id)
         at.placer.release(grant, end)
--- a/amaranthring/testing/members.py
+++ b/amaranthring/testing/members.py
@@ -74,7 +74,7 @@
             KEYS,
             self.handlers,
             on_link=self.mesh.accept,
-            on_gone=self.mesh.remove_link,
+            on_close=self.mesh.remove_link,
         )
         self.server.add_sockets(socks)
 
@@ -199,7 +199,7 @@
         sequence = 0
         while True:
             sequence += 1
-            report = records.Report(one.name, one.incarnation, sequence, 1, 0)
+            report = records.LoadReport(one.name, one.incarnation, sequence, 1, 0)
             at = self.members[numbers[0]].table
             if at.get(one.name) != one:
                 at.announce(one)
--- a/amaranthring/testing/needs.py
+++ b/amaranthring/testing/needs.py
@@ -99,7 +99,7 @@
         self.quarantined: set[str] = set()
         self.crashes: list[tuple[str, str]] = []
         self.lost: dict[str, asyncio.Future] = {}
-        self.released: list[records.End] = []
+        self.released: list[records.AttemptEnd] = []
         self.notes: list[tuple[str, str, dict]] = []
         self.admit_error: errors.AmaranthringError | None = None
         self.limit_error: errors.AmaranthringError | None = None
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -143,7 +143,7 @@
         # and not only up to a bound computed from both.
         self.set_targets(2, capacity=64)
         key = self.admit(remembered=("e0",)).key
-        self.cell.release(key, 0.0, records.End.UNREACHABLE)
+        self.cell.release(key, 0.0, records.AttemptEnd.UNREACHABLE)
         grants = [self.admit(0.1) for _ in range(10)]
         self.assertEqual({grant.target for grant in grants}, {"e1"})
 
--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -305,7 +305,7 @@
                 async with router.raw(local.raw_chat(body)):
                     await local.until(lambda: self.engine.slots.running)
                 await local.until(lambda: not self.engine.slots.running)
-                await local.until(lambda: not router.fakes.needs.drain.running)
+                await local.until(lambda: not router.fakes.needs.drain.in_flight)
                 self.assert_idle(router)
 
     async def test_slow_reader_holds_the_engine_not_the_memory(self):
@@ -339,7 +339,7 @@
         body = local.chat(tokens=120_000, stand_in_batch=500)
         async with router.raw(local.raw_chat(body)):
             await local.until(lambda: router.fakes.released)
-        self.assertEqual(router.fakes.released, [records.End.CANCELLED])
+        self.assertEqual(router.fakes.released, [records.AttemptEnd.CANCELLED])
         self.assertEqual(self.local.engines["e2"].ran, [])
         counters = router.fakes.needs.metrics.counters
         self.assertEqual(counters["callers.caller-too-slow"], 1)
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -44,7 +44,7 @@
 
     def test_missing_event_is_an_error(self):
         splitter = events.EventSplitter(3)
-        with self.assertRaises(errors.TruncatedAnswerError):
+        with self.assertRaises(errors.TruncatedResponseError):
             splitter.feed(stream(5, 6))
 
     def test_id_need_not_be_the_first_line(self):
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -64,19 +64,19 @@
     """The ring that explains requests."""
 
     def test_oldest_request_and_endless_retries_are_dropped(self):
-        ring = decisions.Decisions(requests_most=2)
+        ring = decisions.DecisionLog(max_requests=2)
         for name in ("r1.a", "r1.b", "r1.c"):
-            for _ in range(decisions.DECISIONS_PER_REQUEST + 5):
-                ring.note(name, "retry", target="e1")
+            for _ in range(decisions.MAX_DECISIONS_PER_REQUEST + 5):
+                ring.record(name, "retry", target="e1")
         self.assertIsNone(ring.explain("r1.a"))
         kept = ring.explain("r1.c")["decisions"]
-        self.assertEqual(len(kept), decisions.DECISIONS_PER_REQUEST)
-        self.assertEqual(len(ring.begun), 2)
+        self.assertEqual(len(kept), decisions.MAX_DECISIONS_PER_REQUEST)
+        self.assertEqual(len(ring.started_at), 2)
 
     def test_request_id_names_its_router(self):
         request_id = decisions.new_request_id("r1.porto")
-        self.assertEqual(decisions.router_of(request_id), "r1.porto")
-        self.assertEqual(decisions.router_of("nonsense"), "")
+        self.assertEqual(decisions.router_name(request_id), "r1.porto")
+        self.assertEqual(decisions.router_name("nonsense"), "")
 
 
 class TestLogs(unittest.TestCase):
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -36,7 +36,7 @@
         self.assertEqual(error["request_id"], name)
         self.assertTrue(error["message"] and error["expected"])
         self.assertEqual((self.engine.ran, self.replica.received), ([], 0))
-        self.assertEqual(self.router.fakes.needs.drain.running, 0)
+        self.assertEqual(self.router.fakes.needs.drain.in_flight, 0)
 
     async def raw_answer(self, data, rest=b""):
         """Send raw bytes and return all that comes until the close."""
@@ -147,8 +147,8 @@
     async def test_caller_that_leaves_within_its_body(self):
         data = local.raw_chat(local.chat())
         async with self.router.raw(data[:-10]):
-            await local.until(lambda: self.router.fakes.needs.drain.running)
-        await local.until(lambda: not self.router.fakes.needs.drain.running)
+            await local.until(lambda: self.router.fakes.needs.drain.in_flight)
+        await local.until(lambda: not self.router.fakes.needs.drain.in_flight)
 
     async def test_connection_is_kept_alive_after_a_refusal(self):
         bad = local.raw_chat(local.chat(model="nix"))
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -242,7 +242,7 @@
             before = copy.deepcopy(config)
             known = self.machine.config_since(config.revision)
             delta = state.copied(known)
-            new = parts.advance(
+            new = parts.apply_changes(
                 config, delta.revision, delta.changed, delta.removed
             )
             self.assertEqual(new, self.machine.book.parts.config())
@@ -289,7 +289,7 @@
         self.assertEqual(self.copy.revision, 2)
 
     def test_copy_older_than_journal_gets_whole_map(self):
-        for revision in range(1, parts.JOURNAL_MOST + 2):
+        for revision in range(1, parts.MAX_CHANGE_LOG + 2):
             self.change(revision)
         delta = self.machine.config_since(1)
         self.assertTrue(delta.whole)
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -6,8 +6,8 @@
 from amaranthring.policy import admission
 from amaranthring.policy import breakers
 
-UNREACHABLE = records.End.UNREACHABLE
-DONE = records.End.DONE
+UNREACHABLE = records.AttemptEnd.UNREACHABLE
+DONE = records.AttemptEnd.DONE
 
 
 def target(name, incarnation=1):
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -20,21 +20,21 @@
 
     def test_everything_sent_counts(self):
         at_once = HALF * pacing.BURST_SECONDS
-        self.assertEqual(at_once, self.pacer.room())
+        self.assertEqual(at_once, self.pacer.available())
         self.sent["heartbeats"] += int(at_once)
-        self.assertEqual(0.0, self.pacer.room())
+        self.assertEqual(0.0, self.pacer.available())
         self.now += 0.1
-        self.assertAlmostEqual(HALF * 0.1, self.pacer.room())
+        self.assertAlmostEqual(HALF * 0.1, self.pacer.available())
 
     def test_room_does_not_pile_up_while_nothing_is_sent(self):
         self.now += 60.0
-        self.assertEqual(HALF * pacing.BURST_SECONDS, self.pacer.room())
+        self.assertEqual(HALF * pacing.BURST_SECONDS, self.pacer.available())
 
     def test_debt_of_a_burst_is_forgotten(self):
         self.sent["handshakes"] += int(100 * LINK_RATE)
-        self.assertEqual(0.0, self.pacer.room())
-        self.now += pacing.DEBT_SECONDS + 0.1
-        self.assertGreater(self.pacer.room(), 0.0)
+        self.assertEqual(0.0, self.pacer.available())
+        self.now += pacing.MAX_DEBT_SECONDS + 0.1
+        self.assertGreater(self.pacer.available(), 0.0)
 
     def test_rate_that_nobody_told_is_the_thinnest_known(self):
         pacer = pacing.Pacer(self.sent, lambda: self.now)
@@ -52,7 +52,7 @@
 
         async def routers():
             for _ in range(40):
-                await self.pacer.turn()
+                await self.pacer.acquire()
                 served.append(self.now)
                 self.sent["plans"] += 20_000
 
@@ -64,7 +64,7 @@
         task = asyncio.ensure_future(routers())
         try:
             looks = 0
-            while not self.pacer.claim():
+            while not self.pacer.reserve():
                 looks += 1
                 due = self.now + 0.1
                 while self.now < due:
--- a/tests/test_plan_process.py
+++ b/tests/test_plan_process.py
@@ -32,7 +32,7 @@
 
 def answers(_hub):
     async def answer(_call):
-        return endpoints.Result(body=b"here")
+        return endpoints.Response(body=b"here")
 
     return answer
 
@@ -63,7 +63,7 @@
 
     async def test_address_in_use_fails(self):
         control = free_address()
-        sockets = listeners.listening(control)
+        sockets = listeners.bind_sockets(control)
         self.addCleanup(sockets[0].close)
         with self.assertRaises(errors.ListenError):
             await self.make_process(control).start()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -377,7 +377,7 @@
         self.answer = control.answers(self.hub)
 
     async def call(self, method, path, body=b""):
-        return await self.answer(endpoints.Call(method, path, body))
+        return await self.answer(endpoints.Request(method, path, body))
 
     async def test_document_is_read_back_as_it_was_sent(self):
         document = json.dumps(DOCUMENT, indent=1).encode()
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -229,7 +229,7 @@
         made, _ = self.fleet.start("a1")
         await state.until(lambda: made.ready)
         made.parts.items["drained/x"] = "never said"
-        made.parts.sum += 1
+        made.parts.digest_sum += 1
         revision = self.fleet.change(1)
         await state.until(lambda: made.current.revision == revision)
         self.assertEqual(made.current.drained, {})
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -490,7 +490,7 @@
             self.assertEqual(len(received), 1400, number)
         used = sum(self.sent.values()) - before
         burst = pacing.BURST_SECONDS
-        limit = pacing.SHARE * self.link_rate * (1.5 + 2 * burst)
+        limit = pacing.LINK_SHARE * self.link_rate * (1.5 + 2 * burst)
         self.assertLess(used, limit)
 
 
--- a/tests/test_sse.py
+++ b/tests/test_sse.py
@@ -34,7 +34,7 @@
         self.assertEqual(
             events.take(event(0) + event(2)), b"id: T.0\ndata: x\n\n"
         )
-        self.assertIsInstance(events.error, errors.TruncatedAnswerError)
+        self.assertIsInstance(events.error, errors.TruncatedResponseError)
         self.assertEqual(events.take(event(1)), b"")
 
     def test_oversize_event_is_an_error(self):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -191,10 +191,10 @@
         async with router.raw(_models_request()) as stream:
             head = await stream.read_bytes(1000)
             await asyncio.sleep(0.1)
-            self.assertEqual(drain.running, 1)
+            self.assertEqual(drain.in_flight, 1)
             rest = await stream.read_until(b"model-199999")
             self.assertGreater(len(head + rest), 1_000_000)
-            await local.until(lambda: not drain.running)
+            await local.until(lambda: not drain.in_flight)
 
 
 def _models_request():
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -31,7 +31,7 @@
         for at, grant in ran:
             serial = int(grant.grant_id.rpartition(":")[2])
             request = at.placer.held.by_serial[serial].request
-            self.fleet.release(grant, records.End.TARGET_LOST)
+            self.fleet.release(grant, records.AttemptEnd.TARGET_LOST)
             at.suspicion.target_lost(name)
             await at.suspicion.report_crash(request, grant.target)
             await asyncio.gather(*at.suspicion.tasks)
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -24,26 +24,26 @@
         self.timer = loop.call_later(0.001, self.stall_again_and_again)
 
     async def test_silence_ends_after_the_seconds(self):
-        seconds = await self.ended_after(timeouts.running(0.1))
+        seconds = await self.ended_after(timeouts.timeout(0.1))
         self.assertGreaterEqual(seconds, 0.1)
 
     async def test_process_that_always_stalls_comes_to_an_end(self):
         self.stall_again_and_again()
         self.addCleanup(lambda: self.timer.cancel())
-        seconds = await self.ended_after(timeouts.running(0.1))
+        seconds = await self.ended_after(timeouts.timeout(0.1))
         self.assertLess(seconds, 5.0)
 
     async def test_stall_at_the_end_gives_time_to_read_only(self):
         loop = asyncio.get_running_loop()
         loop.call_soon(time.sleep, 0.3)
-        seconds = await self.ended_after(timeouts.until(loop.time() + 0.1))
+        seconds = await self.ended_after(timeouts.timeout_at(loop.time() + 0.1))
         self.assertGreaterEqual(seconds, 0.3 + timeouts.READ_SECONDS)
         self.assertLess(seconds, 2.0)
 
     async def test_what_ends_in_time_is_left_alone(self):
         for limit in (
-            timeouts.running(0.2),
-            timeouts.until(time.monotonic() + 0.2),
+            timeouts.timeout(0.2),
+            timeouts.timeout_at(time.monotonic() + 0.2),
         ):
             async with limit:
                 pass
