--- a/amaranthring/bench/relays.py
+++ b/amaranthring/bench/relays.py
@@ -105,7 +105,7 @@
         return records.Grant(f"g{next(ids)}", "r1", target)
 
     fakes.needs.admit = admit
-    fakes.needs.note = lambda *_, **__: None
+    fakes.needs.record_decision = lambda *_, **__: None
     bounds = models.CallersSection()
     others = [("/usage", UsageHandler, {})]
     return server.make_app(fakes.needs, bounds, others)
--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -20,9 +20,9 @@
 from amaranthring.targets import sse
 from amaranthring.targets import upstream
 
-RESUMES_MOST = 2
-RESUME = "/resume"
-CANCEL_SECONDS = 1.0
+MAX_RESUMES = 2
+RESUME_SUFFIX = "/resume"
+CANCEL_TIMEOUT_SECONDS = 1.0
 CONTINUED_HEADER = "Amaranthring-Continued-From"
 EVENT_STREAM = "text/event-stream"
 JSON = "application/json"
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass
-class Delivery:
+class StreamProgress:
     """How far a streamed answer has come.
 
     Attributes
@@ -84,7 +84,7 @@
 
 
 async def stream(
-    needs: way.Needs, request: records.Request, sink: Sink
+    needs: way.Dependencies, request: records.Request, sink: Sink
 ) -> None:
     """Stream the answer of `request` into `sink`.
 
@@ -94,7 +94,7 @@
         If it could not be brought to its end.
     """
     await way.check(needs, request)
-    delivery = Delivery(sink, time.monotonic())
+    delivery = StreamProgress(sink, time.monotonic())
 
     async def once(attempt: way.Attempt) -> None:
         await _attempt(needs, request, attempt, delivery)
@@ -105,11 +105,11 @@
 
 async def _attempt(needs, request, attempt, delivery) -> None:
     name = f"{request.request_id}.{attempt.number}"
-    headers = way.call_headers(request, attempt.grant, name)
+    headers = way.upstream_headers(request, attempt.grant, name)
     headers["Content-Type"] = JSON
     body = request.body
     if delivery.begun:
-        body = continued_body(request.body, delivery.events)
+        body = continuation_body(request.body, delivery.events)
     call = upstream.Call("POST", request.path, headers, body)
     preset = needs.config().preset
     left = max(0.001, request.deadline - time.monotonic())
@@ -118,7 +118,7 @@
         allowed = min(allowed, left)
     exchange = upstream.Exchange(attempt.target)
     try:
-        with way.Breaker(needs, exchange):
+        with way.AbortOnTargetLoss(needs, exchange):
             try:
                 delivery.opened = False
                 await exchange.send(call, allowed)
@@ -141,7 +141,7 @@
         raise error
     timed_out = isinstance(error, errors.UpstreamTimeoutError)
     if delivery.opened and not attempt.lost and not timed_out:
-        for _ in range(RESUMES_MOST):
+        for _ in range(MAX_RESUMES):
             try:
                 await _resume(needs, attempt.target, name, delivery)
                 needs.metrics.count("way.resumed")
@@ -154,12 +154,12 @@
                 if again.outcome is errors.Outcome.NOT_RUN:
                     break
     if not attempt.lost:
-        await way.note_death(attempt)
+        await way.detect_target_loss(attempt)
     if not attempt.lost:
         await cancel(attempt.target, name)
     if delivery.begun:
         attempt.repeatable = (
-            continued_body(request.body, delivery.events) is not None
+            continuation_body(request.body, delivery.events) is not None
         )
     raise error
 
@@ -169,7 +169,7 @@
     events = delivery.events
     events.switch_to(name, events.shown.decode()[4:-1])
     body = json.dumps({"offset": events.expected}).encode()
-    path = f"/v1/streams/{name}{RESUME}"
+    path = f"/v1/streams/{name}{RESUME_SUFFIX}"
     headers = {
         upstream.REQUEST_ID_HEADER: name,
         "Content-Type": JSON,
@@ -177,7 +177,7 @@
     call = upstream.Call("POST", path, headers, body)
     preset = needs.config().preset
     exchange = upstream.Exchange(target)
-    with way.Breaker(needs, exchange):
+    with way.AbortOnTargetLoss(needs, exchange):
         await exchange.send(call, preset.first_token_seconds)
         await _open_stream(exchange, name, delivery)
         await _relay(exchange, delivery, preset)
@@ -186,15 +186,15 @@
 async def _open_stream(exchange, name, delivery) -> None:
     await exchange.read_head()
     path = exchange.call.path
-    if exchange.status == 404 and path.endswith(RESUME):
+    if exchange.status == 404 and path.endswith(RESUME_SUFFIX):
         raise errors.NotFoundError(
             "the engine does not know the stream", given=name
         )
-    if delivery.begun and not path.endswith(RESUME):
+    if delivery.begun and not path.endswith(RESUME_SUFFIX):
         # First of all: an engine that refuses the unknown field says nothing
         # about the caller's own request.
         _check_continued(exchange, delivery.events.expected)
-    check_head(exchange, name)
+    check_response_head(exchange, name)
     kind = exchange.headers.get("Content-Type", "")
     if not kind.startswith(EVENT_STREAM):
         raise errors.UpstreamError(
@@ -202,7 +202,7 @@
         )
 
 
-def check_head(exchange: upstream.Exchange, name: str) -> None:
+def check_response_head(exchange: upstream.Exchange, name: str) -> None:
     """Refuse an answer that is an error or another request's.
 
     Raises
@@ -250,7 +250,7 @@
         )
 
 
-async def _relay(exchange, delivery: Delivery, preset) -> None:
+async def _relay(exchange, delivery: StreamProgress, preset) -> None:
     """Pass events on until the end mark; one write for each read."""
     events = delivery.events
     send = delivery.sink.send
@@ -283,7 +283,7 @@
             raise events.error
 
 
-def _note_time(delivery: Delivery) -> None:
+def _note_time(delivery: StreamProgress) -> None:
     now = time.monotonic()
     if not delivery.begun:
         delivery.begun = True
@@ -294,7 +294,7 @@
     delivery.last = now
 
 
-def _record(needs, request, delivery: Delivery) -> None:
+def _record(needs, request, delivery: StreamProgress) -> None:
     record = needs.metrics.record
     account, cls = request.account, request.cls
     record("first-token", delivery.first_token, account, cls)
@@ -306,18 +306,18 @@
 
 
 def _token(needs, request, target: records.Target, name: str) -> str:
-    place = tokens.Place(
+    place = tokens.StreamReference(
         request.account,
         target.name,
         target.incarnation,
         name,
         request.serves,
-        time.time() + tokens.LIFE_SECONDS,
+        time.time() + tokens.LIFETIME_SECONDS,
     )
     return tokens.sign(place, needs.keys)
 
 
-def continued_body(body: bytes, events: sse.EventRewriter) -> bytes | None:
+def continuation_body(body: bytes, events: sse.EventRewriter) -> bytes | None:
     """Return the body that asks to continue what was sent, or None."""
     text = events.text()
     if text is None:
@@ -333,7 +333,7 @@
     call = upstream.Call("POST", f"/v1/streams/{name}/cancel", headers)
     exchange = upstream.Exchange(target)
     try:
-        await exchange.open(call, CANCEL_SECONDS)
+        await exchange.open(call, CANCEL_TIMEOUT_SECONDS)
     except errors.AmaranthringError:
         pass
     finally:
@@ -341,9 +341,9 @@
 
 
 async def resume(
-    needs: way.Needs,
+    needs: way.Dependencies,
     request: records.Request,
-    place: tokens.Place,
+    place: tokens.StreamReference,
     number: int,
     sink: Sink,
 ) -> None:
@@ -362,14 +362,14 @@
         If the engine that held the stream is gone or has forgotten it.
     """
     await needs.check_limits(request)
-    target = needs.target(place.target)
+    target = needs.get_target(place.target)
     if target is None or target.incarnation != place.incarnation:
         raise _stream_gone(place, "an engine that is gone")
     shown = _token(needs, request, target, place.stream)
-    delivery = Delivery(sink, time.monotonic())
+    delivery = StreamProgress(sink, time.monotonic())
     delivery.events = sse.EventRewriter(place.stream, shown, number)
     failed = None
-    for _ in range(RESUMES_MOST):
+    for _ in range(MAX_RESUMES):
         try:
             await _resume(needs, target, place.stream, delivery)
             break
@@ -385,7 +385,7 @@
     _record(needs, request, delivery)
 
 
-def _stream_gone(place: tokens.Place, given: str) -> errors.ResumeError:
+def _stream_gone(place: tokens.StreamReference, given: str) -> errors.ResumeError:
     return errors.ResumeError(
         "the stream is gone; send the whole request again",
         given=given,
@@ -394,7 +394,7 @@
     )
 
 
-async def whole(needs: way.Needs, request: records.Request) -> way.Answer:
+async def complete(needs: way.Dependencies, request: records.Request) -> way.Response:
     """Return the whole answer of a chat that is not streamed.
 
     Raises
@@ -405,7 +405,7 @@
     await way.check(needs, request)
     started = time.monotonic()
 
-    async def once(attempt: way.Attempt) -> way.Answer:
+    async def once(attempt: way.Attempt) -> way.Response:
         return await _whole_attempt(needs, request, attempt)
 
     answer = await way.run(needs, request, once)
@@ -415,26 +415,26 @@
     return answer
 
 
-async def _whole_attempt(needs, request, attempt) -> way.Answer:
+async def _whole_attempt(needs, request, attempt) -> way.Response:
     name = f"{request.request_id}.{attempt.number}"
-    headers = way.call_headers(request, attempt.grant, name)
+    headers = way.upstream_headers(request, attempt.grant, name)
     headers["Content-Type"] = JSON
     call = upstream.Call("POST", request.path, headers, request.body)
     exchange = upstream.Exchange(attempt.target)
     left = max(0.001, request.deadline - time.monotonic())
     try:
-        with way.Breaker(needs, exchange):
+        with way.AbortOnTargetLoss(needs, exchange):
             try:
                 await exchange.open(call, left)
-                check_head(exchange, name)
-                body = await exchange.read_all(way.ANSWER_BYTES_MOST)
+                check_response_head(exchange, name)
+                body = await exchange.read_all(way.MAX_RESPONSE_BYTES)
             finally:
                 attempt.sent = exchange.sent
     except errors.TruncatedResponseError:
-        await way.note_death(attempt)
+        await way.detect_target_loss(attempt)
         raise
     except asyncio.CancelledError:
         exchange.close()
         raise
     kind = exchange.headers.get("Content-Type", JSON)
-    return way.Answer(200, kind, body)
+    return way.Response(200, kind, body)
--- a/amaranthring/callers/conventions.py
+++ b/amaranthring/callers/conventions.py
@@ -27,7 +27,7 @@
 RESUME_HEADER = "Last-Event-ID"
 
 KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,255}")
-RETRY_SECONDS = 1.0
+DEFAULT_RETRY_SECONDS = 1.0
 RETRY_STATUSES = (429, 503, 504)
 CLASSES = ("interactive", "batch")
 
@@ -174,7 +174,7 @@
         ) from error
 
 
-def chat_name(account: str, chat: Chat) -> str:
+def chat_digest(account: str, chat: Chat) -> str:
     """Return the digest that names a chat.
 
     A chat that returns carries its first messages again and more behind
@@ -207,7 +207,7 @@
         priority=caller.policy.priority,
         serves=chat.model,
         kind=records.TargetKind.ENGINE,
-        chat=chat_name(account, chat),
+        chat=chat_digest(account, chat),
         body=body,
         body_digest=hashing.digest(account, body),
         deadline=time.monotonic() + caller.deadline_seconds,
@@ -216,7 +216,7 @@
     )
 
 
-def decode_key(headers: t.Mapping[str, str]) -> str:
+def decode_idempotency_key(headers: t.Mapping[str, str]) -> str:
     """Return the idempotency key, or nothing.
 
     Raises
@@ -269,7 +269,7 @@
     """Return when coming back makes sense, in seconds, or None."""
     if error.retry_after is not None:
         return error.retry_after
-    return RETRY_SECONDS if error.status in RETRY_STATUSES else None
+    return DEFAULT_RETRY_SECONDS if error.status in RETRY_STATUSES else None
 
 
 def error_record(
--- a/amaranthring/callers/handlers.py
+++ b/amaranthring/callers/handlers.py
@@ -24,16 +24,16 @@
 log = logbook.Logger(__name__)
 
 SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-LINGER_BYTES_MOST = 16 * 1024 * 1024
+MAX_DISCARDED_BYTES = 16 * 1024 * 1024
 
 
 class CallerHandler(tornado.web.RequestHandler):
     """Base: request id, account, bounded body, one form of every answer."""
 
-    def initialize(self, needs: way.Needs, settings, accounts):
+    def initialize(self, needs: way.Dependencies, settings, accounts):
         """Take what the handler needs."""
         self.needs = needs
-        self.bounds: settings_models.CallersSection = settings
+        self.limits: settings_models.CallersSection = settings
         self.accounts = accounts
         self.request_id = decisions.new_request_id(needs.router)
         self.parts: list[bytes] = []
@@ -57,7 +57,7 @@
         self.needs.metrics.count("callers.requests")
         loop = asyncio.get_running_loop()
         self.body_timer = loop.call_later(
-            self.bounds.body_seconds, self._body_late
+            self.limits.body_seconds, self._body_late
         )
         try:
             self._check_head()
@@ -74,25 +74,25 @@
             )
         headers = self.request.headers
         size = sum(len(name) + len(v) + 4 for name, v in headers.get_all())
-        if size > self.bounds.header_bytes_most:
+        if size > self.limits.header_bytes_most:
             raise errors.HeadersTooLargeError(
                 "the headers are above the bound",
                 given=f"{size} bytes",
-                expected=f"{self.bounds.header_bytes_most} bytes at most",
+                expected=f"{self.limits.header_bytes_most} bytes at most",
             )
         self.config = self.needs.config()
         self.caller = conventions.decode_caller(
             headers, self.config, self.accounts
         )
         length = headers.get("Content-Length", "0")
-        if length.isdigit() and int(length) > self.bounds.body_bytes_most:
+        if length.isdigit() and int(length) > self.limits.body_bytes_most:
             raise self._too_large(int(length))
 
     def _too_large(self, given: int) -> errors.TooLargeError:
         return errors.TooLargeError(
             "the body is above the bound",
             given=f"{given} bytes",
-            expected=f"{self.bounds.body_bytes_most} bytes at most",
+            expected=f"{self.limits.body_bytes_most} bytes at most",
         )
 
     def _refuse(self, error: errors.AmaranthringError) -> None:
@@ -104,12 +104,12 @@
         """
         length = self.request.headers.get("Content-Length", "0")
         known = length.isdigit()
-        if known and 0 < int(length) - self.size <= LINGER_BYTES_MOST:
+        if known and 0 < int(length) - self.size <= MAX_DISCARDED_BYTES:
             self.refused = error
             self.parts.clear()
             return
         self.set_header("Connection", "close")
-        self.answer_error(error)
+        self.write_error_response(error)
 
     def _body_late(self) -> None:
         if self._finished:
@@ -117,10 +117,10 @@
         self.set_header("Connection", "close")
         late = errors.BodyTimeoutError(
             "the body came too slowly",
-            given=f"{self.size} bytes in {self.bounds.body_seconds:g} s",
+            given=f"{self.size} bytes in {self.limits.body_seconds:g} s",
             expected="the whole body",
         )
-        self.answer_error(self.refused or late)
+        self.write_error_response(self.refused or late)
 
     def data_received(self, chunk: bytes):
         """Take a part of the body."""
@@ -128,10 +128,10 @@
         if self._finished or self.refused:
             return
         self.parts.append(chunk)
-        if self.size > self.bounds.body_bytes_most:
+        if self.size > self.limits.body_bytes_most:
             self._refuse(self._too_large(self.size))
 
-    def take_body(self) -> bytes:
+    def finish_body(self) -> bytes:
         """Return the whole body.
 
         Raises
@@ -146,14 +146,14 @@
         self.parts.clear()
         return body
 
-    def answer_error(self, error: errors.AmaranthringError) -> None:
+    def write_error_response(self, error: errors.AmaranthringError) -> None:
         """Write `error` in the one form and end the answer."""
         if isinstance(error, errors.CallerDisconnectedError):
             self.needs.metrics.count(f"callers.{error.code}")
             return
         self.needs.metrics.count(f"callers.refused.{error.code}")
-        outcome = self.honest_outcome(error)
-        self.needs.note(
+        outcome = self.reported_outcome(error)
+        self.needs.record_decision(
             self.request_id,
             "answered",
             code=error.code,
@@ -169,27 +169,27 @@
         after = conventions.retry_after(error)
         if after is not None:
             self.set_header("Retry-After", str(max(1, math.ceil(after))))
-        self.stamp(outcome)
+        self.set_common_headers(outcome)
         self.finish(data)
 
-    def honest_outcome(
+    def reported_outcome(
         self, error: errors.AmaranthringError
     ) -> errors.Outcome:
         """Return the outcome that `error` may state here."""
         return error.outcome
 
-    def stamp(self, outcome: errors.Outcome) -> None:
+    def set_common_headers(self, outcome: errors.Outcome) -> None:
         """Set the headers that every answer has."""
         self.set_header(conventions.REQUEST_ID_HEADER, self.request_id)
         self.set_header(conventions.OUTCOME_HEADER, str(outcome))
         if self.needs.drain.leaving:
             self.set_header("Connection", "close")
 
-    def answer(self, answer: way.Answer) -> None:
+    def write_response(self, answer: way.Response) -> None:
         """Write a whole answer."""
         self.set_status(answer.status)
         self.set_header("Content-Type", answer.content_type)
-        self.stamp(answer.outcome)
+        self.set_common_headers(answer.outcome)
         self.finish(answer.body)
 
     def on_finish(self):
@@ -221,7 +221,7 @@
         try:
             await work
         except errors.AmaranthringError as error:
-            self.answer_error(error)
+            self.write_error_response(error)
         except asyncio.CancelledError:
             # Cancelled by ``on_connection_close``: the end is as it should
             # be, and tornado's own handling of the task goes on.
@@ -231,7 +231,7 @@
             self.needs.metrics.count("callers.caller-gone")
         except Exception:
             log.exception("callers.fault request={}", self.request_id)
-            self.answer_error(errors.InternalError("a fault of the router"))
+            self.write_error_response(errors.InternalError("a fault of the router"))
         finally:
             self.work = None
             if self.left or self._finished:
@@ -247,7 +247,7 @@
             kind = errors.BadRequestError
         else:
             kind = errors.InternalError
-        self.answer_error(
+        self.write_error_response(
             kind(
                 "no such path or method",
                 given=f"{self.request.method} {self.request.path[:128]}",
@@ -266,20 +266,20 @@
         await self.run(self._resume(token) if token else self._chat())
 
     async def _chat(self) -> None:
-        body = self.take_body()
+        body = self.finish_body()
         chat = conventions.decode_chat(body)
         request = conventions.chat_request(
             self.caller, self.request_id, chat, body
         )
-        way.check_known(self.needs, request)
+        way.check_served(self.needs, request)
         if not request.stream:
-            self.answer(await chats.whole(self.needs, request))
+            self.write_response(await chats.complete(self.needs, request))
             return
         await chats.stream(self.needs, request, self.sink())
         self.finish()
 
     async def _resume(self, token: str) -> None:
-        self.take_body()
+        self.finish_body()
         account = self.caller.account.name
         place, number = tokens.read(token, account, self.needs.keys)
         chat = conventions.Chat.model_construct(
@@ -299,9 +299,9 @@
         self.streaming = True
         self.set_header("Content-Type", "text/event-stream")
         self.set_header("Cache-Control", "no-cache")
-        self.stamp(errors.Outcome.RAN)
+        self.set_common_headers(errors.Outcome.RAN)
         self.flush()
-        self.output = output.Output(self, self.bounds.idle_seconds)
+        self.output = output.BodyWriter(self, self.limits.idle_seconds)
 
     def _send(self, data: bytes):
         return self.output.send(data)
@@ -312,12 +312,12 @@
 
     def get(self):
         """List the models that are served now."""
-        found = sorted(self.needs.serves(records.TargetKind.ENGINE))
+        found = sorted(self.needs.served_names(records.TargetKind.ENGINE))
         models = [
             {"id": name, "object": "model", "owned_by": "amaranthring"}
             for name in found
         ]
-        self.stamp(errors.Outcome.RAN)
+        self.set_common_headers(errors.Outcome.RAN)
         self.write({"object": "list", "data": models})
 
 
@@ -341,7 +341,7 @@
     get = head = post = delete = patch = put = options = _any
 
     async def _call(self, service: str, rest: str) -> None:
-        body = self.take_body()
+        body = self.finish_body()
         query = self.request.query
         path = f"/{rest}?{query}" if query else f"/{rest}"
         request = conventions.service_request(
@@ -350,20 +350,20 @@
             service,
             self.request.method,
             path,
-            conventions.decode_key(self.request.headers),
+            conventions.decode_idempotency_key(self.request.headers),
             body,
             self.config.preset.service_policy(service),
         )
-        way.check_known(self.needs, request)
+        way.check_served(self.needs, request)
         self.runs_on = services.is_claimed(request)
         headers = {
             name: self.request.headers[name]
-            for name in services.PASSED_HEADERS
+            for name in services.FORWARDED_HEADERS
             if name in self.request.headers
         }
-        self.answer(await services.call(self.needs, request, headers))
+        self.write_response(await services.call(self.needs, request, headers))
 
-    def honest_outcome(self, error):
+    def reported_outcome(self, error):
         """Return ``not-run`` of a keyed call only if it speaks of the key.
 
         A caller that resends under a key asks about the key, not about this
--- a/amaranthring/callers/output.py
+++ b/amaranthring/callers/output.py
@@ -14,7 +14,7 @@
 from amaranthring import errors
 
 
-class Output:
+class BodyWriter:
     """The body of one streamed answer.
 
     Parameters
--- a/amaranthring/callers/server.py
+++ b/amaranthring/callers/server.py
@@ -119,7 +119,7 @@
 
 
 def make_app(
-    needs: way.Needs,
+    needs: way.Dependencies,
     settings: settings_models.CallersSection,
     others: Routes | None = None,
 ) -> tornado.web.Application:
@@ -164,7 +164,7 @@
         ssl_options=ssl_options,
         idle_connection_timeout=settings.idle_seconds,
         max_header_size=2 * settings.header_bytes_most,
-        max_body_size=settings.body_bytes_most + handlers.LINGER_BYTES_MOST,
+        max_body_size=settings.body_bytes_most + handlers.MAX_DISCARDED_BYTES,
         max_buffer_size=4 * settings.header_bytes_most + 128 * 1024,
     )
     server.header_seconds = settings.header_seconds
--- a/amaranthring/callers/services.py
+++ b/amaranthring/callers/services.py
@@ -20,7 +20,7 @@
 SETTLE_SECONDS = 2.0
 SETTLE_PAUSE_SECONDS = 0.2
 IN_PROGRESS_SECONDS = 1.0
-PASSED_HEADERS = ("Content-Type", "Accept", "Accept-Language")
+FORWARDED_HEADERS = ("Content-Type", "Accept", "Accept-Language")
 
 
 def is_claimed(request: records.Request) -> bool:
@@ -29,8 +29,8 @@
 
 
 async def call(
-    needs: way.Needs, request: records.Request, headers: dict[str, str]
-) -> way.Answer:
+    needs: way.Dependencies, request: records.Request, headers: dict[str, str]
+) -> way.Response:
     """Return the answer of a plain service.
 
     Parameters
@@ -48,7 +48,7 @@
     claimed = is_claimed(request)
     asked = []
 
-    async def once(attempt: way.Attempt) -> way.Answer:
+    async def once(attempt: way.Attempt) -> way.Response:
         if claimed:
             asked.append(attempt)
             return await _claimed(needs, request, attempt, headers)
@@ -66,24 +66,24 @@
     return answer
 
 
-async def _send(needs, request, attempt, headers, name="") -> way.Answer:
+async def _send(needs, request, attempt, headers, name="") -> way.Response:
     """Send the call to the attempt's target and return its whole answer."""
     name = name or f"{request.request_id}.{attempt.number}"
-    told = headers | way.call_headers(request, attempt.grant, name)
+    told = headers | way.upstream_headers(request, attempt.grant, name)
     if request.key:
         told["Idempotency-Key"] = request.key
     sent = upstream.Call(request.method, request.path, told, request.body)
     exchange = upstream.Exchange(attempt.target)
     left = max(0.001, request.deadline - time.monotonic())
     try:
-        with way.Breaker(needs, exchange):
+        with way.AbortOnTargetLoss(needs, exchange):
             try:
                 await exchange.open(sent, left)
-                body = await exchange.read_all(way.ANSWER_BYTES_MOST)
+                body = await exchange.read_all(way.MAX_RESPONSE_BYTES)
             finally:
                 attempt.sent = attempt.sent or exchange.sent
     except errors.TruncatedResponseError:
-        await way.note_death(attempt)
+        await way.detect_target_loss(attempt)
         raise
     _check_own(exchange, name)
     if exchange.headers.get(upstream.OUTCOME_HEADER) == "not-run":
@@ -95,7 +95,7 @@
             outcome=errors.Outcome.NOT_RUN,
         )
     kind = exchange.headers.get("Content-Type", "application/octet-stream")
-    return way.Answer(exchange.status, kind, body)
+    return way.Response(exchange.status, kind, body)
 
 
 def _check_own(exchange: upstream.Exchange, name: str) -> None:
@@ -107,7 +107,7 @@
         )
 
 
-async def _claimed(needs, request, attempt, headers) -> way.Answer:
+async def _claimed(needs, request, attempt, headers) -> way.Response:
     """Claim, send, settle; or answer from an earlier claim."""
     name = f"{request.request_id}.{attempt.number}"
     attempt.repeatable = False
@@ -233,7 +233,7 @@
     return False
 
 
-async def _consult(needs, request, headers, error) -> way.Answer:
+async def _consult(needs, request, headers, error) -> way.Response:
     """Ask the ledger about a key that has no target to run at.
 
     A resend gets its stored answer also while every replica is out of
@@ -254,7 +254,7 @@
     raise error
 
 
-async def _earlier(needs, request, name, headers, claim) -> way.Answer:
+async def _earlier(needs, request, name, headers, claim) -> way.Response:
     """Answer a resend from what the ledger knows of its key."""
     state = claim.state
     if state is records.ClaimState.KEY_REUSED:
@@ -275,7 +275,7 @@
     return await _ask_again(needs, request, name, headers, claim)
 
 
-def _stored(request: records.Request, claim: records.Claim) -> way.Answer:
+def _stored(request: records.Request, claim: records.Claim) -> way.Response:
     """Return the answer that the ledger kept."""
     if claim.outcome is not errors.Outcome.RAN or claim.answer is None:
         raise _unknown(request)
@@ -286,10 +286,10 @@
             expected="a look at the service itself",
         )
     kept = claim.answer
-    return way.Answer(kept.status, kept.content_type, kept.body)
+    return way.Response(kept.status, kept.content_type, kept.body)
 
 
-async def _ask_again(needs, request, name, headers, claim) -> way.Answer:
+async def _ask_again(needs, request, name, headers, claim) -> way.Response:
     """Ask the holder's target again if it deduplicates keys itself.
 
     Any other target, or one that restarted under another incarnation and
@@ -298,7 +298,7 @@
     target = needs.target(claim.target) if claim.target else None
     if target is None or not target.honours_keys:
         raise _unknown(request)
-    again = way.Attempt(0, records.Grant("", "", target), repeatable=False)
+    again = way.Attempt(0, records.Grant("", "", target), retryable=False)
     try:
         answer = await _send(needs, request, again, headers, name)
     except errors.AmaranthringError as error:
--- a/amaranthring/callers/settlements.py
+++ b/amaranthring/callers/settlements.py
@@ -15,9 +15,9 @@
 from amaranthring.core import metrics as figures
 from amaranthring.core import records
 
-PENDING_MOST = 10_000
-EVERY_SECONDS = 0.5
-AT_ONCE = 50
+MAX_PENDING = 10_000
+RETRY_INTERVAL_SECONDS = 0.5
+BATCH_SIZE = 50
 
 Settle = t.Callable[
     [records.Request, str, errors.Outcome, records.StoredAnswer | None],
@@ -58,7 +58,7 @@
         answer: records.StoredAnswer | None = None,
     ) -> None:
         """Tell the ledger about `attempt` as soon as it can be reached."""
-        if len(self.pending) >= PENDING_MOST:
+        if len(self.pending) >= MAX_PENDING:
             self.metrics.count("settlements.dropped")
             return
         self.pending[attempt] = (request, attempt, outcome, answer)
@@ -68,13 +68,13 @@
 
     async def _run(self) -> None:
         while self.pending:
-            await asyncio.sleep(EVERY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL_SECONDS)
             await self._round()
             self.metrics.gauge("settlements.pending", len(self.pending))
 
     async def _round(self) -> None:
         """Tell some; while the first cannot be told, leave out the rest."""
-        for attempt in list(self.pending)[:AT_ONCE]:
+        for attempt in list(self.pending)[:BATCH_SIZE]:
             try:
                 await self.settle(*self.pending[attempt])
             except (errors.LinkError, errors.NoQuorumError):
--- a/amaranthring/callers/tokens.py
+++ b/amaranthring/callers/tokens.py
@@ -20,12 +20,12 @@
 from amaranthring.core import links
 
 MAC_BYTES = 16
-TOKEN_CHARACTERS_MOST = 1024
-LIFE_SECONDS = 600.0
+MAX_TOKEN_CHARACTERS = 1024
+LIFETIME_SECONDS = 600.0
 
 
 @dataclasses.dataclass
-class Place:
+class StreamReference:
     """Where a stream runs.
 
     Attributes
@@ -65,7 +65,7 @@
     return base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
 
 
-def sign(place: Place, keys: links.Keys) -> str:
+def sign(place: StreamReference, keys: links.Keys) -> str:
     """Return the token of `place`, without a number."""
     key_id, key = keys.signing
     payload = msgpack.packb((key_id, *vars(place).values()))
@@ -74,7 +74,7 @@
 
 def read(
     text: str, account: str, keys: links.Keys, now: float | None = None
-) -> tuple[Place, int]:
+) -> tuple[StreamReference, int]:
     """Return the place in `text` and the number of the event after it.
 
     Raises
@@ -83,7 +83,7 @@
         If it is malformed, forged, another account's, or expired.
     """
     parts = text.split(".")
-    if len(parts) != 3 or len(text) > TOKEN_CHARACTERS_MOST:
+    if len(parts) != 3 or len(text) > MAX_TOKEN_CHARACTERS:
         raise _refused("malformed")
     try:
         payload, mac = _bytes(parts[0]), _bytes(parts[1])
@@ -94,7 +94,7 @@
         raise _refused("malformed") from None
     if not known or not hmac.compare_digest(_mac(known, payload), mac):
         raise _refused("forged, or signed with a key that is gone")
-    place = Place(*fields)
+    place = StreamReference(*fields)
     if place.account != account:
         raise _refused("another account's")
     if place.expires < (time.time() if now is None else now):
--- a/amaranthring/callers/way.py
+++ b/amaranthring/callers/way.py
@@ -19,8 +19,8 @@
 from amaranthring.core import records
 from amaranthring.targets import upstream
 
-ATTEMPTS_MOST = 3
-ANSWER_BYTES_MOST = 8 * 1024 * 1024
+MAX_ATTEMPTS = 3
+MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 T = t.TypeVar("T")
 
 
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass
-class Needs:
+class Dependencies:
     """What the way needs from other packages, filled by ``app.py``.
 
     The callables are those of ``docs/INTERNALS.md``; beside them:
@@ -72,17 +72,17 @@
         [records.Request, records.Target], t.Awaitable[None]
     ]
     may_retry: t.Callable[[str], bool]
-    succeeded: t.Callable[[str], None]
+    record_success: t.Callable[[str], None]
     when_lost: t.Callable[[str], asyncio.Future]
-    note: t.Callable[..., None]
-    target: t.Callable[[str], records.Target | None]
-    serves: t.Callable[[records.TargetKind], t.Collection[str]]
+    record_decision: t.Callable[..., None]
+    get_target: t.Callable[[str], records.Target | None]
+    served_names: t.Callable[[records.TargetKind], t.Collection[str]]
     metrics: figures.Metrics = dataclasses.field(
         default_factory=figures.Metrics
     )
     drain: drains.Drain = dataclasses.field(default_factory=drains.Drain)
     may_run: t.Callable[[str], t.Awaitable[bool]] = _may_run
-    attempts: set[str] = dataclasses.field(default_factory=set)
+    running_attempts: set[str] = dataclasses.field(default_factory=set)
     settlements: settlements_module.Settlements = dataclasses.field(init=False)
 
     def __post_init__(self):
@@ -110,8 +110,8 @@
     number: int
     grant: records.Grant
     sent: bool = False
-    lost: bool = False
-    repeatable: bool = True
+    target_lost: bool = False
+    retryable: bool = True
 
     @property
     def target(self) -> records.Target:
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass
-class Answer:
+class Response:
     """A whole answer to a caller.
 
     Attributes
@@ -139,10 +139,10 @@
     outcome: errors.Outcome = errors.Outcome.RAN
 
 
-Run = t.Callable[[Attempt], t.Awaitable[T]]
+RunAttempt = t.Callable[[Attempt], t.Awaitable[T]]
 
 
-async def check(needs: Needs, request: records.Request) -> None:
+async def check(needs: Dependencies, request: records.Request) -> None:
     """Refuse what is above its limits or quarantined.
 
     Raises
@@ -154,7 +154,7 @@
     refuse_quarantined(needs, request)
 
 
-def refuse_quarantined(needs: Needs, request: records.Request) -> None:
+def refuse_quarantined(needs: Dependencies, request: records.Request) -> None:
     """Refuse a request that crashed two different targets."""
     if needs.is_quarantined(request.body_digest):
         raise errors.QuarantinedError(
@@ -164,7 +164,7 @@
         )
 
 
-def check_known(needs: Needs, request: records.Request) -> None:
+def check_served(needs: Dependencies, request: records.Request) -> None:
     """Refuse a model or service that nothing of the fleet serves.
 
     Raises
@@ -179,7 +179,7 @@
         planned = preset.services
     if request.serves in planned:
         return
-    known = needs.serves(request.kind)
+    known = needs.served_names(request.kind)
     if request.serves not in known:
         raise errors.NotFoundError(
             f"unknown {request.kind} name",
@@ -188,7 +188,7 @@
         )
 
 
-async def run(needs: Needs, request: records.Request, once: Run[T]) -> T:
+async def run(needs: Dependencies, request: records.Request, once: RunAttempt[T]) -> T:
     """Return what `once` returns, in as many attempts as are allowed.
 
     A failure that no target can have seen may always go elsewhere; one that
@@ -204,7 +204,7 @@
     excluded: set[str] = set()
     failed: errors.AmaranthringError | None = None
     maybe_ran = False
-    for number in range(ATTEMPTS_MOST):
+    for number in range(MAX_ATTEMPTS):
         try:
             grant = await needs.admit(request, excluded)
         except errors.AmaranthringError as error:
@@ -214,7 +214,7 @@
         _note_grant(needs, request, attempt)
         try:
             made = await _released(needs, request, attempt, once)
-            needs.succeeded(request.account)
+            needs.record_success(request.account)
             return made
         except errors.CallerDisconnectedError:
             # No fault of the target, and nobody waits for another attempt.
@@ -227,7 +227,7 @@
             failed = error
         excluded.add(attempt.target.name)
         needs.metrics.count(f"way.failed.{failed.code}")
-        if attempt.lost:
+        if attempt.target_lost:
             await _report_crash(needs, request, attempt)
         if not _may_repeat(needs, request, attempt, failed, maybe_ran):
             break
@@ -286,7 +286,7 @@
 
 
 def _may_repeat(needs, request, attempt, failed, maybe_ran) -> bool:
-    if not attempt.repeatable or attempt.number + 1 >= ATTEMPTS_MOST:
+    if not attempt.repeatable or attempt.number + 1 >= MAX_ATTEMPTS:
         return False
     if isinstance(failed, errors.BadRequestError):
         return False
@@ -311,7 +311,7 @@
     once, and innocent requests would be refused.
     """
     unreached = isinstance(failed, errors.UpstreamError) and not attempt.sent
-    return not (attempt.lost or unreached)
+    return not (attempt.target_lost or unreached)
 
 
 def _note_grant(needs, request, attempt) -> None:
@@ -333,14 +333,14 @@
     )
 
 
-class Breaker:
+class AbortOnTargetLoss:
     """Breaks an exchange off when membership gives its target up.
 
     Without it a request at a target that froze would wait for the token
     timeout, while membership knows already that nothing will come.
     """
 
-    def __init__(self, needs: Needs, exchange: upstream.Exchange):
+    def __init__(self, needs: Dependencies, exchange: upstream.Exchange):
         self.future = needs.when_lost(exchange.target.name)
         self.exchange = exchange
         self.future.add_done_callback(self._break)
@@ -363,7 +363,7 @@
         )
 
 
-def call_headers(
+def upstream_headers(
     request: records.Request, grant: records.Grant, attempt_name: str
 ) -> dict[str, str]:
     """Return what every target is told about a request."""
@@ -380,11 +380,11 @@
     return headers
 
 
-async def note_death(attempt: Attempt) -> None:
+async def detect_target_loss(attempt: Attempt) -> None:
     """Mark the attempt if its target can no longer be reached.
 
     A broken connection alone is no death: a process that crashed refuses
     the next connection, one that only dropped this one does not.
     """
-    if not attempt.lost and not await upstream.is_reachable(attempt.target):
-        attempt.lost = True
+    if not attempt.target_lost and not await upstream.is_reachable(attempt.target):
+        attempt.target_lost = True
--- a/amaranthring/platform/control.py
+++ b/amaranthring/platform/control.py
@@ -50,7 +50,7 @@
         return held < 0 or name in self.names
 
 
-def answers(hub: hubs.Hub) -> endpoints.Handler:
+def make_handler(hub: hubs.Hub) -> endpoints.Handler:
     """Return the function that answers the platform's calls from `hub`."""
     services = ServiceNames(hub)
 
@@ -89,7 +89,7 @@
 
 def _leave(hub: hubs.Hub, call: endpoints.Request) -> endpoints.Response:
     try:
-        born = read_born(call.body)
+        born = read_start_time(call.body)
     except errors.BadRequestError as error:
         hub.refuse(error)
         raise
@@ -134,7 +134,7 @@
         ) from error
 
 
-def read_born(body: bytes) -> int:
+def read_start_time(body: bytes) -> int:
     """Return when the target was born that says that it is gone.
 
     Raises
--- a/amaranthring/platform/daemon.py
+++ b/amaranthring/platform/daemon.py
@@ -18,12 +18,12 @@
 
 # How often the settings file is looked at when no signal comes: a process
 # whose keepers have all been exchanged finds the new ones within seconds.
-LOOK_SECONDS = 2.0
+POLL_SECONDS = 2.0
 
 ROLES = ("router", "keeper")
 
 
-async def follow_settings(node: nodes.Node, process, hangup) -> None:
+async def watch_settings(node: nodes.Node, process, hangup) -> None:
     """Hand on what changes in the settings file, until cancelled.
 
     Parameters
@@ -33,7 +33,7 @@
     """
     while True:
         try:
-            await asyncio.wait_for(hangup.wait(), LOOK_SECONDS)
+            await asyncio.wait_for(hangup.wait(), POLL_SECONDS)
         except TimeoutError:
             pass
         hangup.clear()
@@ -45,7 +45,7 @@
             continue
         if found.seeds != node.seeds:
             logs.event(log, "settings.reloaded", seeds=list(found.seeds))
-            process.use_seeds(found.keepers())
+            process.use_seeds(found.keeper_addresses())
             node = found
 
 
@@ -58,7 +58,7 @@
     maker = importlib.import_module(f"amaranthring.platform.{role}")
     process = maker.make(node)
     starting = process.start()
-    following = asyncio.ensure_future(follow_settings(node, process, hangup))
+    following = asyncio.ensure_future(watch_settings(node, process, hangup))
     logs.event(log, f"{role}.started", vm=node.name, seeds=list(node.seeds))
     stopping = asyncio.ensure_future(stop.wait())
     if starting is not None:
--- a/amaranthring/platform/headers.py
+++ b/amaranthring/platform/headers.py
@@ -32,7 +32,7 @@
 # The version of the weights that is meant, so that others refuse.
 EXPECTED_WEIGHTS = "Amaranthring-Expect-Version"
 # Memory of a run that targets keep, reserve or hand to each other.
-PIN_SECONDS = "Amaranthring-Kv-Pin-Ms"
+PIN = "Amaranthring-Kv-Pin-Ms"
 RESERVATION = "Amaranthring-Kv-Retain"
 BACKUP = "Amaranthring-Kv-Backup"
 CONTINUE_FROM = "Kv-From"
@@ -43,7 +43,7 @@
 
 # Those that concern one connection only (RFC 9110, section 7.6.1), and
 # those that the forwarding writes itself.
-OF_CONNECTION = {
+HOP_BY_HOP = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -59,7 +59,7 @@
 # A caller that sent one of these would speak to the target in the fleet's
 # name: take memory of others, go before them, or have a request refused by
 # every target.
-OURS = {
+RESERVED = {
     name.lower()
     for name in (
         DEADLINE,
@@ -70,7 +70,7 @@
         COPY_FROM,
         PRIORITY,
         EXPECTED_WEIGHTS,
-        PIN_SECONDS,
+        PIN,
         RESERVATION,
         BACKUP,
         CONTINUE_FROM,
@@ -107,7 +107,7 @@
         uri=start_line.path,
         path=start_line.path.partition("?")[0],
         host=hosts[0],
-        headers=_without(headers, OF_CONNECTION | OURS),
+        headers=_without(headers, HOP_BY_HOP | RESERVED),
         arrived=arrived,
         timeout=_patience(headers.get(DEADLINE)),
         key=_key(headers.get(AUTHORIZATION, "")),
@@ -184,7 +184,7 @@
     """Return the head of a target's answer."""
     return records.ResponseHead(
         status=status,
-        headers=_without(headers, OF_CONNECTION),
+        headers=_without(headers, HOP_BY_HOP),
         request_id=headers.get(REQUEST_ID, ""),
         signed=SIGNATURE in headers,
         refused=NOT_RUN in headers,
--- a/amaranthring/platform/keeper.py
+++ b/amaranthring/platform/keeper.py
@@ -15,10 +15,10 @@
     place = keepers.Config(
         address=f"{node.ip}:{node.fleet_port}",
         data_centre=node.data_centre,
-        seeds=node.keepers(),
+        seeds=node.keeper_addresses(),
         may_bootstrap=node.first_start,
         folder=node.data_folder,
-        announce_seconds=node.beat,
+        announce_seconds=node.heartbeat_seconds,
         link_rate=node.link_rate,
         process_started_at=clocks.STARTED_AT,
     )
@@ -27,10 +27,10 @@
         node.control,
         f"{node.ip}:{nodes.METRICS_PORT}",
         links.Keys(nodes.FLEET_KEY),
-        load_answers,
+        load_handler_factory,
     )
 
 
-def load_answers() -> t.Callable:
+def load_handler_factory() -> t.Callable:
     """Load the module that answers control calls, and return its maker."""
     return importlib.import_module("amaranthring.platform.control").answers
--- a/amaranthring/platform/node.py
+++ b/amaranthring/platform/node.py
@@ -67,7 +67,7 @@
     seeds: tuple[str, ...]
     first_start: bool
     data_folder: str
-    beat: float
+    heartbeat_seconds: float
     grace: float
     key_lease: float
     retry_ratio: float
@@ -75,7 +75,7 @@
     retry_window: float
     link_rate: float = 0.0
 
-    def keepers(self) -> list[str]:
+    def keeper_addresses(self) -> list[str]:
         """Return the addresses of the seeds' streams."""
         return [f"{ip}:{self.fleet_port}" for ip in self.seeds]
 
@@ -122,7 +122,7 @@
         seeds=tuple(seed.rpartition(":")[0] for seed in found["seeds"]),
         first_start=bool(found.get("bootstrap")),
         data_folder=found.get("data_dir") or "",
-        beat=found.get("heartbeat_ms", 1000) / MILLISECONDS,
+        heartbeat_seconds=found.get("heartbeat_ms", 1000) / MILLISECONDS,
         grace=float(bounds.get("grace_s", 8)),
         key_lease=revoke if bounds.get("revoke_strict") else 0.0,
         retry_ratio=float(bounds.get("retry_ratio", 0.2)),
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -207,8 +207,8 @@
         ):
             component.add_handlers(self.handlers)
 
-    def _make_needs(self) -> way.Needs:
-        return way.Needs(
+    def _make_needs(self) -> way.Dependencies:
+        return way.Dependencies(
             router=self.name,
             keys=self._resume_keys(),
             config=self.config,
@@ -220,15 +220,15 @@
             is_quarantined=self.suspicion.is_quarantined,
             report_crash=self.suspicion.report_crash,
             may_retry=self.retry_budget.may_retry,
-            succeeded=self.retry_budget.record_success,
+            record_success=self.retry_budget.record_success,
             when_lost=self.table.when_lost,
-            note=self.decisions.record,
-            target=self.table.get,
-            serves=self._serves,
+            record_decision=self.decisions.record,
+            get_target=self.table.get,
+            served_names=self._serves,
             metrics=self.metrics,
             drain=self.drain,
             may_run=self.attempts.may_run,
-            attempts=self.attempts.running,
+            running_attempts=self.attempts.running,
         )
 
     def _resume_keys(self) -> links.Keys:
--- a/amaranthring/testing/needs.py
+++ b/amaranthring/testing/needs.py
@@ -113,7 +113,7 @@
                 for name, token in (("acme", TOKEN), ("beta", OTHER_TOKEN))
             },
         )
-        self.needs = way.Needs(
+        self.needs = way.Dependencies(
             router="r1",
             keys=links.Keys({"k1": b"f" * 32}),
             config=lambda: self.config,
@@ -125,13 +125,13 @@
             is_quarantined=self.quarantined.__contains__,
             report_crash=self.report_crash,
             may_retry=self.may_retry,
-            succeeded=lambda _: None,
+            record_success=lambda _: None,
             when_lost=self.when_lost,
-            note=lambda name, event, **more: self.notes.append(
+            record_decision=lambda name, event, **more: self.notes.append(
                 (name, event, more)
             ),
-            target=self.targets.get,
-            serves=self.serves,
+            get_target=self.targets.get,
+            served_names=self.serves,
         )
 
     @property
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -107,9 +107,9 @@
         found = node.decode(SETTINGS)
         self.assertEqual("10.0.0.3:8080", found.control)
         self.assertEqual("", found.callers)
-        self.assertEqual(["10.0.0.3:7000", "10.0.1.3:7000"], found.keepers())
+        self.assertEqual(["10.0.0.3:7000", "10.0.1.3:7000"], found.keeper_addresses())
         self.assertEqual(5.0, found.key_lease)
-        self.assertEqual(1.2, found.beat)
+        self.assertEqual(1.2, found.heartbeat_seconds)
         self.assertTrue(found.first_start)
 
     def test_no_lease_where_withdrawals_are_not_strict(self):
@@ -374,7 +374,7 @@
 
     def setUp(self):
         self.hub = FakeHub()
-        self.answer = control.answers(self.hub)
+        self.answer = control.make_handler(self.hub)
 
     async def call(self, method, path, body=b""):
         return await self.answer(endpoints.Request(method, path, body))
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -187,7 +187,7 @@
         router = made.add_router()
         drain = router.fakes.needs.drain
         many = {f"model-{number:06}" for number in range(200_000)}
-        router.fakes.needs.serves = lambda kind: many
+        router.fakes.needs.served_names = lambda kind: many
         async with router.raw(_models_request()) as stream:
             head = await stream.read_bytes(1000)
             await asyncio.sleep(0.1)
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -9,7 +9,7 @@
 
 OLD = b"o" * 32
 NEW = b"n" * 32
-PLACE = tokens.Place("vanua", "engine-1", 7, "r1.ab.0", "m1", 1000.0)
+PLACE = tokens.StreamReference("vanua", "engine-1", 7, "r1.ab.0", "m1", 1000.0)
 
 
 class TestTokens(unittest.TestCase):
