--- a/amaranthring/bench/keeper_faults.py
+++ b/amaranthring/bench/keeper_faults.py
@@ -17,7 +17,7 @@
     "election_seconds": 0.3,
     "snapshot_entries": 50,
 }
-KINDS = [faults.kill_one, faults.freeze_one, faults.cut_one]
+KINDS = [faults.kill_and_restart, faults.pause_and_resume, faults.isolate_and_heal]
 
 
 def run(seeds: int = 3, count: int = 12, seed: int = 100) -> report.Report:
--- a/amaranthring/bench/keepers.py
+++ b/amaranthring/bench/keepers.py
@@ -91,7 +91,7 @@
 
 
 async def _usage_of(dialler) -> keeper.Usage:
-    await processes.until(lambda: dialler.link, what="link")
+    await processes.wait_until(lambda: dialler.link, what="link")
     return await dialler.call(keeper.UsageQuery(), 5)
 
 
@@ -221,7 +221,7 @@
         (lost.kill if kind == "kill" else lost.freeze)()
         began = time.perf_counter()
         call = asyncio.ensure_future(_add(fleet, f"{kind}-after{number}"))
-        await processes.until(
+        await processes.wait_until(
             lambda old=old: fleet.leader(but=old), pause=POLL_SECONDS
         )
         led.append(time.perf_counter() - began)
@@ -247,4 +247,4 @@
         status = await fleet.status(name) if name else None
         return status and status.safe_losses == 1
 
-    await processes.until(whole, what="a whole group")
+    await processes.wait_until(whole, what="a whole group")
--- a/amaranthring/bench/revisions.py
+++ b/amaranthring/bench/revisions.py
@@ -175,7 +175,7 @@
 
     def change(self, router: str, method: str, path: str, body: dict) -> None:
         """Make one change and note when it was accepted."""
-        url = self.fleet.internal(router) + "/operators/"
+        url = self.fleet.internal_url(router) + "/operators/"
         revision = max(self.accepted, default=1)
         headers = self.headers | {
             "If-Match": str(revision),
@@ -183,7 +183,7 @@
         }
         data = json.dumps(body).encode()
         sent = time.time()
-        status, answer = local_fleet.ask(
+        status, answer = local_fleet.http_request(
             method, url + path, headers, data, 20.0
         )
         if status != 200:
@@ -236,7 +236,7 @@
                 time.sleep(rng.uniform(0.0, 0.1))
             found = running.wait_all()
         finally:
-            running.fleet.end()
+            running.fleet.stop_all()
     _add_times(made, running, found)
     return made
 
--- a/amaranthring/bench/way_fleet.py
+++ b/amaranthring/bench/way_fleet.py
@@ -44,7 +44,7 @@
             fleet.start_target("engine", f"engine-{number + 1}", *options)
         fleet.wait_targets(ENGINES, names)
     except BaseException:
-        fleet.end()
+        fleet.stop_all()
         raise
     return fleet
 
@@ -99,5 +99,5 @@
         try:
             asyncio.run(_run(made, fleet, streams, tokens, requests))
         finally:
-            fleet.end()
+            fleet.stop_all()
     return made
--- a/amaranthring/testing/assembled.py
+++ b/amaranthring/testing/assembled.py
@@ -61,7 +61,7 @@
             presets={"ordinary": fleet.Preset("ordinary")}
         )
         centres = data_centres
-        self.net = fakes.Net(
+        self.network = fakes.Network(
             {f"r{i}": centres[i % len(centres)] for i in range(routers)},
             plain,
         )
@@ -72,12 +72,12 @@
         self.configured = routers
         self.quarantined = []
         self.states = {}
-        self.routers = [self._router(name) for name in self.net.meshes]
+        self.routers = [self._router(name) for name in self.network.meshes]
         self.by_name = {router.name: router for router in self.routers}
         self.grants = {}
 
     def _router(self, name):
-        mesh = self.net.meshes[name]
+        mesh = self.network.meshes[name]
         table = fakes.Table(self.targets)
         owners = admission.Controller(
             name, table, mesh, lambda: self.config, clock=self.clock
@@ -122,16 +122,16 @@
 
     def live(self):
         """Return the routers that run, those that leave included."""
-        return [each for each in self.routers if each.name in self.net.meshes]
+        return [each for each in self.routers if each.name in self.network.meshes]
 
-    def entries(self):
+    def accepting(self):
         """Return the routers that take new requests."""
-        leaving = self.net.leaving
+        leaving = self.network.leaving
         return [each for each in self.live() if each.name not in leaving]
 
     async def admit(self, number, router=None, excluded=(), **fields):
         """Admit request `number` at the router in turn, or at `router`."""
-        live = self.entries()
+        live = self.accepting()
         at = self.by_name[router] if router else live[number % len(live)]
         request = fakes.request(number, **fields)
         grant = await at.placer.admit(request, set(excluded))
@@ -144,13 +144,13 @@
         at, _ = self.grants.pop(grant.grant_id)
         at.placer.release(grant, end)
 
-    def running(self):
+    def in_flight(self):
         """Return requests in flight by target, as they really are."""
         return collections.Counter(
             grant.target.name for _, grant in self.grants.values()
         )
 
-    def counted(self):
+    def counted_in_flight(self):
         """Return requests in flight as all owners count them."""
         return sum(
             len(cell.counts.held)
@@ -160,9 +160,9 @@
 
     def owner(self):
         """Return the router that owns the only cell."""
-        return next(each for each in self.entries() if each.owners.cells)
+        return next(each for each in self.accepting() if each.owners.cells)
 
-    def truth_of(self, name):
+    def state_of(self, name):
         """Return the state that the target is in, whoever knows it."""
         return self.states.get(name, records.TargetState.READY)
 
@@ -171,15 +171,15 @@
         lost = [grant for at, grant in self.grants.values() if at.name == name]
         for grant in lost:
             del self.grants[grant.grant_id]
-        self.net.frozen.discard(name)
-        self.net.stop(name)
+        self.network.frozen.discard(name)
+        self.network.stop(name)
         return lost
 
     def leave(self, name):
         """Let router `name` hand over and leave."""
         self.by_name[name].owners.hand_over()
         self.by_name[name].directory.hand_over()
-        self.net.leave(name)
+        self.network.leave(name)
 
     def set_state(self, name, state):
         """Change the state of a target at every router."""
@@ -193,20 +193,20 @@
         for router in self.live():
             router.table.put(target)
 
-    def renew(self):
+    def renew_leases(self):
         """Let routers tell owners what they hold."""
         for router in self.live():
-            if router.name not in self.net.frozen:
+            if router.name not in self.network.frozen:
                 router.placer.held.renew()
 
-    def digest(self):
+    def send_digests(self):
         """Let owners tell their siblings how they are loaded."""
         for router in self.live():
             router.owners.tell_siblings(self.clock())
 
-    def tick(self, seconds):
+    def advance(self, seconds):
         """Move the clock and do what time brings."""
         self.clock.now += seconds
         for router in self.live():
-            if router.name not in self.net.frozen:
+            if router.name not in self.network.frozen:
                 router.owners.tick(self.clock())
--- a/amaranthring/testing/cuts.py
+++ b/amaranthring/testing/cuts.py
@@ -10,7 +10,7 @@
 READ_BYTES = 64 * 1024
 
 
-class Cut:
+class Relay:
     """A relay from a listening port to a target address.
 
     Attributes
@@ -22,7 +22,7 @@
     """
 
     def __init__(self, target: str = ""):
-        self.target = target
+        self.upstream = target
         self.port = 0
         self.open_to_target = asyncio.Event()
         self.open_to_client = asyncio.Event()
@@ -48,7 +48,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    def cut(self, to_target: bool = True, to_client: bool = True) -> None:
+    def block(self, to_target: bool = True, to_client: bool = True) -> None:
         """Hold back bytes of the given directions."""
         if to_target:
             self.open_to_target.clear()
@@ -66,7 +66,7 @@
         task.add_done_callback(self.tasks.discard)
         try:
             await self.open_to_target.wait()
-            host, port = self.target.rsplit(":", 1)
+            host, port = self.upstream.rsplit(":", 1)
             there = await asyncio.open_connection(host, int(port))
             await self._relay_both(reader, writer, there)
         except (OSError, ValueError, asyncio.CancelledError):
--- a/amaranthring/testing/demo.py
+++ b/amaranthring/testing/demo.py
@@ -46,7 +46,7 @@
         local_fleet.write_secrets(FOLDER)
         self.fleet = local_fleet.LocalFleet(SETTINGS, FOLDER / "logs")
         self.routers = self.fleet.names("router")
-        urls = [self.fleet.callers(name) for name in self.routers]
+        urls = [self.fleet.callers_url(name) for name in self.routers]
         token = local_fleet.ACCOUNTS["agenda"]
         self.callers = load.Callers(urls, token)
         text = (FOLDER / "operator.token").read_text()
@@ -89,10 +89,10 @@
     async def calm(self) -> None:
         """Hold returning chats through all routers."""
         chats = [self.callers.chat() for _ in range(30)]
-        await load.together(*chats)
+        await load.run_all(*chats)
         tally = self.callers.tally
-        good = tally.whole == 90 and not tally.refused
-        self.check("whole answers, calm", f"{tally.whole} of 90", good)
+        good = tally.complete == 90 and not tally.refused
+        self.check("whole answers, calm", f"{tally.complete} of 90", good)
         through = len(tally.routers)
         self.check("routers that served", through, through == 6)
 
@@ -117,7 +117,7 @@
         """Return the key of every run that the replicas recorded."""
         keys = []
         for address in self.addresses("booking"):
-            _, body = local_fleet.get(f"http://{address}/control/ran")
+            _, body = local_fleet.http_get(f"http://{address}/control/ran")
             keys += [run["key"] for run in json.loads(body)["runs"]]
         return keys
 
@@ -141,7 +141,7 @@
         """Kill a router under load; the balancer leaves it out."""
 
         def kill():
-            self.callers.drop(self.fleet.callers("router-6"))
+            self.callers.remove_router(self.fleet.callers_url("router-6"))
             self.fleet.processes.pop("router-6").kill()
             self.routers.remove("router-6")
 
@@ -154,7 +154,7 @@
             "engine drained under load", path, {"reason": "demo"}
         )
         before = self.started("engine-4")
-        await load.together(*[self.callers.chat(1) for _ in range(20)])
+        await load.run_all(*[self.callers.chat(1) for _ in range(20)])
         after = self.started("engine-4")
         self.check("new work after the drain", after - before, after == before)
 
@@ -162,7 +162,7 @@
         """Return how many runs `engine` recorded."""
         process = self.fleet.processes[engine]
         address = process.log.read_text().split()[1]
-        _, body = local_fleet.get(f"http://{address}/control/ran")
+        _, body = local_fleet.http_get(f"http://{address}/control/ran")
         return len(json.loads(body)["ran"])
 
     async def preset_switched(self) -> None:
@@ -191,19 +191,19 @@
 
     def runs(self, router: str, revision: int) -> bool:
         """Return whether `router` runs at least `revision`."""
-        _, body = local_fleet.get(self.fleet.internal(router) + "/metrics")
+        _, body = local_fleet.http_get(self.fleet.internal_url(router) + "/metrics")
         gauges = json.loads(body or b'{"gauges": {}}')["gauges"]
         return gauges.get("revisions.revision", 0) >= revision
 
     def operate(self, method: str, path: str, body: dict) -> int:
         """Send an operator's change and return its revision."""
         headers = {"Authorization": f"Bearer {self.operator}"}
-        base = self.fleet.internal("router-1")
-        _, status = local_fleet.get(base + "/operators/status", headers)
+        base = self.fleet.internal_url("router-1")
+        _, status = local_fleet.http_get(base + "/operators/status", headers)
         revision = json.loads(status)["revision"]
         headers["If-Match"] = f'"{revision}"'
         headers["Amaranthring-Command-Id"] = uuid.uuid4().hex
-        code, answer = local_fleet.ask(
+        code, answer = local_fleet.http_request(
             method, base + path, headers, json.dumps(body).encode()
         )
         if code != 200:
@@ -212,14 +212,14 @@
 
     async def _under_load(self, what, act, lost=False) -> None:
         tally = self.callers.tally
-        before = tally.whole
+        before = tally.complete
         chats = [self.callers.chat() for _ in range(20)]
-        running = asyncio.ensure_future(load.together(*chats))
+        running = asyncio.ensure_future(load.run_all(*chats))
         await asyncio.sleep(0.15)
         await asyncio.get_running_loop().run_in_executor(None, act)
         await running
-        whole = tally.whole - before
-        bad = tally.wrong + tally.cut
+        whole = tally.complete - before
+        bad = tally.mismatched + tally.truncated
         refused = dict(tally.refused)
         # A caller whose own router dies loses its connection and asks
         # again elsewhere; that one loss is the platform's, not an answer.
@@ -228,12 +228,12 @@
         shown = f"{whole} whole, {bad} bad, refused {refused}"
         self.check(what, shown, not bad and not refused)
         tally.refused.clear()
-        tally.wrong = 0
-        tally.cut = 0
+        tally.mismatched = 0
+        tally.truncated = 0
 
     def finish(self) -> None:
         """End what was started, by pid, and check the exit codes."""
-        codes = self.fleet.end()
+        codes = self.fleet.stop_all()
         bad = {name: code for name, code in codes.items() if code}
         self.check("processes ended with 0", bad or len(codes), not bad)
 
--- a/amaranthring/testing/engine.py
+++ b/amaranthring/testing/engine.py
@@ -44,13 +44,13 @@
     "comments",  # sends comments and no token from token `at` on
     "garbage",  # sends what is no event before token `at`
 )
-TOKENS = 16
+DEFAULT_MAX_TOKENS = 16
 RAN_MOST = 200_000
 STREAMS_MOST = 4096
 KEEP_SECONDS = 30.0
 HANG_SECONDS = 3600.0
 EVENTS_MOST = 1024
-END = "[DONE]"
+END_MARKER = "[DONE]"
 
 
 @dataclasses.dataclass
@@ -80,7 +80,7 @@
 
 def expected_text(body: dict[str, t.Any]) -> str:
     """Return the whole text that an engine answers to `body`."""
-    total = body.get("max_tokens", TOKENS)
+    total = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     return "".join(token(seed_of(body), n) for n in range(total))
 
 
@@ -93,7 +93,7 @@
         self.waiting: list[tuple[int, int, asyncio.Future]] = []
         self._order = itertools.count()
 
-    async def take(self, priority: int) -> None:
+    async def acquire(self, priority: int) -> None:
         """Wait for a slot."""
         if self.running < self.capacity:
             self.running += 1
@@ -104,10 +104,10 @@
             await future
         except asyncio.CancelledError:
             if future.done() and not future.cancelled():
-                self.give()
+                self.release()
             raise
 
-    def give(self) -> None:
+    def release(self) -> None:
         """Give a slot back and wake the next."""
         self.running -= 1
         while self.waiting:
@@ -155,9 +155,9 @@
         self.cache_chats = cache_chats
         self.fencing = fencing
         self.exits = exits
-        self.continues = continues
+        self.supports_continuation = continues
         self.on_crash: t.Callable[[], None] = lambda: None
-        self.ran: list[dict[str, t.Any]] = []
+        self.runs: list[dict[str, t.Any]] = []
         self.streams: collections.OrderedDict[str, Stream] = (
             collections.OrderedDict()
         )
@@ -168,7 +168,7 @@
             collections.deque(maxlen=EVENTS_MOST)
         )
         self.cache_sequence = 0
-        self.planned: dict[str, t.Any] = {}
+        self.planned_fault: dict[str, t.Any] = {}
         self.fencing_number = 0
         self.orders: list[dict[str, t.Any]] = []
         self.role = "mixed"
@@ -200,18 +200,18 @@
         """Return the fault for a request: its own, or the planned one."""
         if "stand_in" in body:
             return body["stand_in"]
-        if self.planned.get("times", 0) > 0:
-            self.planned["times"] -= 1
-            return self.planned
+        if self.planned_fault.get("times", 0) > 0:
+            self.planned_fault["times"] -= 1
+            return self.planned_fault
         return {}
 
-    def keep(self, stream: Stream) -> None:
+    def retain(self, stream: Stream) -> None:
         """Remember `stream` for a resume."""
         self.streams[stream.name] = stream
         while len(self.streams) > STREAMS_MOST:
             self.streams.popitem(last=False)
 
-    def store(self, chat: str, tokens: int) -> None:
+    def cache_prefix(self, chat: str, tokens: int) -> None:
         """Cache the prefix of `chat`; every seventh event is lost."""
         self.cache[chat] = tokens
         self.cache.move_to_end(chat)
@@ -226,21 +226,21 @@
             record = {"sequence": self.cache_sequence, "kind": kind}
             self.cache_events.append(record | {"chat": chat})
 
-    def begin(self, body: dict, headers, name: str) -> Stream:
+    def start_stream(self, body: dict, headers, name: str) -> Stream:
         """Note a run and return its stream."""
-        follows = body.get("continue_from", {}) if self.continues else {}
+        follows = body.get("continue_from", {}) if self.supports_continuation else {}
         stream = Stream(
             name=name,
             body=body,
             seed=seed_of(body),
             start=int(follows.get("tokens", 0)),
-            total=int(body.get("max_tokens", TOKENS)),
+            total=int(body.get("max_tokens", DEFAULT_MAX_TOKENS)),
         )
         stream.sent = stream.start
-        if len(self.ran) < RAN_MOST:
+        if len(self.runs) < RAN_MOST:
             chat = headers.get("Amaranthring-Chat", "")
             record = {"request_id": name, "chat": chat, "seed": stream.seed}
-            self.ran.append(record | {"start": stream.start})
+            self.runs.append(record | {"start": stream.start})
         return stream
 
 
@@ -280,7 +280,7 @@
     async def answer(self, stream: Stream, fault: dict) -> None:
         """Run `stream` from where it stands, in a slot."""
         priority = int(self.request.headers.get("Amaranthring-Priority", 1))
-        await self.engine.slots.take(priority)
+        await self.engine.slots.acquire(priority)
         try:
             if stream.body.get("stream"):
                 await self._events(stream, fault)
@@ -289,7 +289,7 @@
         except tornado.iostream.StreamClosedError:
             pass
         finally:
-            self.engine.slots.give()
+            self.engine.slots.release()
         if self.gone.is_set():
             self.engine.cancelled += 1
 
@@ -383,7 +383,7 @@
                 await self.wait(0.05)
             return True
         if kind in ("slow", "hang"):
-            given = self.engine.fault(stream.body) or self.engine.planned
+            given = self.engine.fault(stream.body) or self.engine.planned_fault
             await self.wait(given.get("seconds", HANG_SECONDS))
             return kind == "hang"
         shown = {
@@ -405,7 +405,7 @@
     """Return event `number` of `stream` under the id `name`."""
     head = f"id: {name}:{number}\ndata: "
     if number >= stream.total:
-        return f"{head}{END}\n\n"
+        return f"{head}{END_MARKER}\n\n"
     text = token(stream.seed, number)
     finish = '"stop"' if number == stream.total - 1 else "null"
     model = json.dumps(stream.body.get("model", ""))
@@ -441,10 +441,10 @@
         hit = chat in engine.cache
         engine.hits += hit
         self.set_header("Amaranthring-Cache", "hit" if hit else "miss")
-        stream = engine.begin(body, headers, name)
+        stream = engine.start_stream(body, headers, name)
         if chat:
-            engine.store(chat, stream.total)
-        engine.keep(stream)
+            engine.cache_prefix(chat, stream.total)
+        engine.retain(stream)
         await self.answer(stream, fault)
 
     async def _import(self, chat: str, origin: str) -> None:
@@ -457,7 +457,7 @@
             )
         except (OSError, tornado.httpclient.HTTPError):
             return
-        self.engine.store(chat, json.loads(answer.body)["tokens"])
+        self.engine.cache_prefix(chat, json.loads(answer.body)["tokens"])
 
 
 class ResumeHandler(Handler):
@@ -501,7 +501,7 @@
 
     def put(self, chat):
         """Import."""
-        self.engine.store(chat, int(self.body().get("tokens", 0)))
+        self.engine.cache_prefix(chat, int(self.body().get("tokens", 0)))
         self.write({})
 
 
@@ -547,7 +547,7 @@
         engine = self.engine
         self.write(
             {
-                "ran": engine.ran,
+                "ran": engine.runs,
                 "hits": engine.hits,
                 "orders": engine.orders,
                 "cancelled": engine.cancelled,
@@ -557,7 +557,7 @@
 
     def post(self, _):
         """Plan a fault for the next requests."""
-        self.engine.planned = self.body()
+        self.engine.planned_fault = self.body()
         self.write({})
 
 
--- a/amaranthring/testing/faults.py
+++ b/amaranthring/testing/faults.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass
-class Told:
+class ClientHistory:
     """What clients were told.
 
     Attributes
@@ -51,7 +51,7 @@
             if held != number:
                 found.append(f"{command_id}: told {number}, held {held}")
         for register, calls in self.calls.items():
-            if not linearizable.explainable(calls):
+            if not linearizable.is_linearizable(calls):
                 found.append(f"register {register}: no order explains it")
             written = {call.value for call in calls}
             doubled = written & self.not_run
@@ -65,8 +65,8 @@
 
     def __init__(self, fleet, seed: int, clients: int = 4):
         self.fleet = fleet
-        self.told = Told()
-        self.ended = False
+        self.history = ClientHistory()
+        self.stopping = False
         self.random = random.Random(seed)
         self.clients = clients
         self.number = 0
@@ -78,7 +78,7 @@
     async def _client(self) -> None:
         client = self.fleet.new_client()
         held = ""
-        while not self.ended:
+        while not self.stopping:
             await asyncio.sleep(self.random.uniform(0, PAUSE_SECONDS))
             self.number += 1
             number = self.number
@@ -98,7 +98,7 @@
             reply = await client.propose(command, CALL_SECONDS)
         except errors.AmaranthringError:
             return
-        self.told.added[command_id] = int(reply.value)
+        self.history.added[command_id] = int(reply.value)
 
     async def _read(self, client, register: str) -> str | None:
         began = time.monotonic()
@@ -119,12 +119,12 @@
             self._note(register, began, "held", error.expected or "")
         except errors.AmaranthringError as error:
             if error.outcome == errors.Outcome.NOT_RUN:
-                self.told.not_run.add(value)
+                self.history.not_run.add(value)
                 return
             call = linearizable.Call(
                 began, math.inf, kind, value, expected or ""
             )
-            self.told.calls[register].append(call)
+            self.history.calls[register].append(call)
         else:
             self._note(register, began, kind, value, expected or "")
 
@@ -132,10 +132,10 @@
         call = linearizable.Call(
             began, time.monotonic(), kind, value, expected
         )
-        self.told.calls[register].append(call)
+        self.history.calls[register].append(call)
 
 
-async def kill_one(fleet, source: random.Random) -> None:
+async def kill_and_restart(fleet, source: random.Random) -> None:
     """Kill a keeper at once and start it again a little later."""
     name = source.choice(fleet.names)
     fleet.keepers[name].kill()
@@ -143,7 +143,7 @@
     await fleet.restart(name)
 
 
-async def freeze_one(fleet, source: random.Random) -> None:
+async def pause_and_resume(fleet, source: random.Random) -> None:
     """Freeze a keeper and wake it a little later."""
     name = source.choice(fleet.names)
     fleet.keepers[name].freeze()
@@ -151,7 +151,7 @@
     fleet.keepers[name].wake()
 
 
-async def cut_one(fleet, source: random.Random) -> None:
+async def isolate_and_heal(fleet, source: random.Random) -> None:
     """Cut a keeper off the others in one or both directions."""
     name = source.choice(fleet.names)
     inwards, outwards = source.choice(((1, 0), (0, 1), (1, 1)))
@@ -181,17 +181,17 @@
     for _ in range(count):
         await asyncio.sleep(source.uniform(0.05, 0.4))
         await source.choice(faults)(fleet, source)
-    load.ended = True
+    load.stopping = True
     await running
     fleet.heal()
-    dumps = await settled(fleet)
-    found = load.told.check(dumps)
-    if len(load.told.added) < count:
+    dumps = await wait_converged(fleet)
+    found = load.history.check(dumps)
+    if len(load.history.added) < count:
         found.append("too little was tested")
     return found
 
 
-async def settled(fleet) -> list[keeper.Dump]:
+async def wait_converged(fleet) -> list[keeper.Dump]:
     """Return every keeper's state once all have applied the same entries."""
 
     async def equal():
@@ -202,8 +202,8 @@
         last = {status.last_index for status in statuses}
         return len(applied) == 1 and applied == last
 
-    await processes.until(equal, 30, "equal keepers")
+    await processes.wait_until(equal, 30, "equal keepers")
     return [
-        await fleet.client.diallers[name].call(keeper.DumpHere(), 5)
+        await fleet.client.diallers[name].call(keeper.LocalDumpQuery(), 5)
         for name in fleet.names
     ]
--- a/amaranthring/testing/keeper.py
+++ b/amaranthring/testing/keeper.py
@@ -56,7 +56,7 @@
 
 
 @wire.message("test-dump-query")
-class DumpHere:
+class LocalDumpQuery:
     """Reads everything that this keeper has applied, leader or not."""
 
 
@@ -122,7 +122,7 @@
         self.registers, self.seen, self.last_stamp = wire.decode_value(data)
 
 
-def add_reads(handlers: links.Handlers, group, machine) -> None:
+def add_query_handlers(handlers: links.Handlers, group, machine) -> None:
     """Answer :class:`Get` from the leader, linearizably."""
 
     async def get(link, message):
@@ -137,10 +137,10 @@
         return Dump(machine.registers, machine.seen)
 
     handlers.add(Get, get)
-    handlers.add(DumpHere, dump)
+    handlers.add(LocalDumpQuery, dump)
 
 
-def add_usage(keeper: server.Keeper) -> None:
+def add_usage_handler(keeper: server.Keeper) -> None:
     """Answer :class:`UsageQuery`."""
 
     def usage(link, message):
@@ -174,8 +174,8 @@
     machine = RegisterMachine()
     clocks, files = _controlled(control)
     keeper = server.Keeper(settings.read(path), machine, clocks, files)
-    add_reads(keeper.handlers, keeper.group, machine)
-    add_usage(keeper)
+    add_query_handlers(keeper.handlers, keeper.group, machine)
+    add_usage_handler(keeper)
     ended = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
     host, port = keeper.settings.listen.fleet.rsplit(":", 1)
--- a/amaranthring/testing/linearizable.py
+++ b/amaranthring/testing/linearizable.py
@@ -33,7 +33,7 @@
     expected: str = ""
 
     @property
-    def certain(self) -> bool:
+    def completed(self) -> bool:
         """Return whether the client was told that it took effect."""
         return self.ended < math.inf
 
@@ -47,14 +47,14 @@
     return state if call.value == state else None
 
 
-def explainable(calls: list[Call], first: str = "") -> bool:
+def is_linearizable(calls: list[Call], first: str = "") -> bool:
     """Return whether one order of `calls` explains every answer.
 
     A call of unknown fate may have taken effect at any time after it began,
     or never.
     """
     calls = sorted(calls, key=lambda call: call.began)
-    certain = frozenset(i for i, c in enumerate(calls) if c.certain)
+    certain = frozenset(i for i, c in enumerate(calls) if c.completed)
     seen = set()
     stack = [(frozenset(), first)]
     while stack:
--- a/amaranthring/testing/load.py
+++ b/amaranthring/testing/load.py
@@ -40,9 +40,9 @@
         Idempotency key to the outcome told last.
     """
 
-    whole: int = 0
-    wrong: int = 0
-    cut: int = 0
+    complete: int = 0
+    mismatched: int = 0
+    truncated: int = 0
     refused: dict[str, int] = dataclasses.field(default_factory=dict)
     first_token: list[float] = dataclasses.field(default_factory=list)
     bookings: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -73,11 +73,11 @@
             force_instance=True, max_clients=1000
         )
 
-    def drop(self, url: str) -> None:
+    def remove_router(self, url: str) -> None:
         """Send nothing more to `url`."""
         self.urls = [known for known in self.urls if known != url]
 
-    async def balance(self) -> None:
+    async def run_health_checks(self) -> None:
         """Ask the health checks, as the balancer does, until cancelled."""
         known = list(self.urls)
         while True:
@@ -140,14 +140,14 @@
         if status != 200:
             self.tally.refuse(_code(status, data))
             return None
-        text, ended = streamed_text(data)
+        text, ended = parse_stream(data)
         if not ended:
-            self.tally.cut += 1
+            self.tally.truncated += 1
             return None
         if text != engine.expected_text(body):
-            self.tally.wrong += 1
+            self.tally.mismatched += 1
             return None
-        self.tally.whole += 1
+        self.tally.complete += 1
         self.tally.routers.add(url)
         return text
 
@@ -180,7 +180,7 @@
         self.tally.bookings[key] = told
         return told, data
 
-    async def book_until_told(
+    async def book_until_final(
         self, slot: str, key: str, seconds: float = 30.0
     ) -> tuple[str, bytes]:
         """Book and send again under the key, as a caller does.
@@ -218,7 +218,7 @@
         return 0 if answer.code == 599 else answer.code
 
 
-def streamed_text(data: bytes) -> tuple[str, bool]:
+def parse_stream(data: bytes) -> tuple[str, bool]:
     """Return the text of a stream of events, and whether its end came."""
     text = []
     ended = False
@@ -249,7 +249,7 @@
         return f"http-{status}"
 
 
-async def together(*calls) -> None:
+async def run_all(*calls) -> None:
     """Run `calls` at once and raise the first fault of the load itself.
 
     Raises
--- a/amaranthring/testing/local.py
+++ b/amaranthring/testing/local.py
@@ -37,7 +37,7 @@
         return int(self.id.rpartition(".")[2])
 
 
-def events_of(body: bytes) -> list[Event]:
+def parse_events(body: bytes) -> list[Event]:
     """Return the whole events in `body`."""
     found = []
     for block in body.decode().split("\n\n")[:-1]:
@@ -47,17 +47,17 @@
     return found
 
 
-def text_of(events: list[Event]) -> str:
+def join_text(events: list[Event]) -> str:
     """Return the text that the events of a chat carry."""
     parts = []
     for event in events:
-        if event.kind == "message" and event.data != engine.END:
+        if event.kind == "message" and event.data != engine.END_MARKER:
             choice = json.loads(event.data)["choices"][0]
             parts.append(choice["delta"]["content"])
     return "".join(parts)
 
 
-async def until(condition: t.Callable[[], t.Any]) -> None:
+async def wait_until(condition: t.Callable[[], t.Any]) -> None:
     """Wait until `condition` holds, at most ``WAIT_SECONDS``.
 
     Raises
@@ -72,7 +72,7 @@
     raise AssertionError("the condition never held")
 
 
-class Local:
+class Harness:
     """Stand-ins with as many routers' ways as a test asks for.
 
     Attributes
@@ -84,7 +84,7 @@
     """
 
     def __init__(self, **bounds: t.Any):
-        self.bounds = settings_models.CallersSection(**bounds)
+        self.section = settings_models.CallersSection(**bounds)
         self.ledger = fakes.Ledger()
         self.engines: dict[str, engine.Engine] = {}
         self.bookings: dict[str, booking.Booking] = {}
@@ -144,13 +144,13 @@
         What it needs from other packages.
     """
 
-    def __init__(self, local: Local):
+    def __init__(self, local: Harness):
         self.fakes = fakes.Fakes(*local.targets, ledger=local.ledger)
         self.client = local.client
-        app = server.make_app(self.fakes.needs, local.bounds)
+        app = server.make_app(self.fakes.needs, local.section)
         sockets = tornado.netutil.bind_sockets(0, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
-        self.server = server.listen(app, sockets, local.bounds)
+        self.server = server.listen(app, sockets, local.section)
         local.servers[f"router {self.port}"] = self.server
 
     async def post(
@@ -192,14 +192,14 @@
             stream.close()
 
 
-def chat(text: str = "hello", tokens: int = 8, **more: t.Any) -> dict:
+def chat_body(text: str = "hello", tokens: int = 8, **more: t.Any) -> dict:
     """Return the body of a streamed chat of `tokens` tokens."""
     message = {"role": "user", "content": text}
     body = {"model": "m1", "messages": [message], "stream": True}
     return body | {"max_tokens": tokens} | more
 
 
-def raw_chat(body: dict, token: str = fakes.TOKEN) -> bytes:
+def raw_chat_request(body: dict, token: str = fakes.TOKEN) -> bytes:
     """Return the bytes of a whole HTTP request of a chat."""
     data = json.dumps(body).encode()
     head = (
--- a/amaranthring/testing/local_fleet.py
+++ b/amaranthring/testing/local_fleet.py
@@ -36,7 +36,7 @@
 
 
 # Data centre that asks, data centre and address of the process asked.
-Through = collections.abc.Callable[[str, str, str], str]
+AddressMapper = collections.abc.Callable[[str, str, str], str]
 
 
 class StartError(errors.AmaranthringError):
@@ -149,7 +149,7 @@
     keepers: int = 3,
     extra: str = "",
     initial: dict | None = None,
-    through: Through | None = None,
+    through: AddressMapper | None = None,
 ) -> None:
     """Write INI files of a fleet over three data centres into `folder`.
 
@@ -207,7 +207,7 @@
     )
 
 
-def _seen(lines, place: str, through: Through | None) -> list:
+def _seen(lines, place: str, through: AddressMapper | None) -> list:
     """Return `lines` with the addresses at which `place` reaches them."""
     if through is None:
         return lines
@@ -281,17 +281,17 @@
         command = [f"amaranthring.testing.{kind}", "--name", name]
         for router in self.names("router"):
             if self.settings[router].process.data_centre == place:
-                command += ["--announce", self.internal(router)]
+                command += ["--announce", self.internal_url(router)]
         any_settings = next(iter(self.settings.values()))
         key_file = any_settings.fleet.targets_key_file
         command += ["--key-file", key_file, "--region", REGION, *options]
         return self._started(name, command)
 
-    def callers(self, router: str) -> str:
+    def callers_url(self, router: str) -> str:
         """Return the base URL for callers of a router."""
         return f"http://{self.settings[router].listen.callers}"
 
-    def internal(self, router: str) -> str:
+    def internal_url(self, router: str) -> str:
         """Return the base URL of a router's internal listener."""
         return f"http://{self.settings[router].listen.internal}"
 
@@ -305,8 +305,8 @@
         """
         for name in routers:
             process = self.processes[name]
-            url = self.callers(name) + "/health"
-            self.wait(lambda u=url: get(u)[0] == 200, name, seconds, process)
+            url = self.callers_url(name) + "/health"
+            self.wait(lambda u=url: http_get(u)[0] == 200, name, seconds, process)
 
     def wait(self, condition, what, seconds=START_SECONDS, process=None):
         """Wait until `condition()` holds.
@@ -330,10 +330,10 @@
     def wait_targets(self, count: int, routers: list[str]) -> None:
         """Wait until every one of `routers` knows `count` ready targets."""
         for name in routers:
-            url = self.internal(name) + "/metrics"
+            url = self.internal_url(name) + "/metrics"
 
             def known(url=url):
-                status, body = get(url)
+                status, body = http_get(url)
                 if status != 200:
                     return False
                 gauges = json.loads(body)["gauges"]
@@ -341,7 +341,7 @@
 
             self.wait(known, f"{count} targets at {name}")
 
-    def end(self) -> dict[str, int]:
+    def stop_all(self) -> dict[str, int]:
         """End everything that was started; return the exit codes."""
         order = ("engine", "booking", "router", "keeper")
         codes = {}
@@ -360,12 +360,12 @@
         return process
 
 
-def get(url: str, headers: dict | None = None) -> tuple[int, bytes]:
+def http_get(url: str, headers: dict | None = None) -> tuple[int, bytes]:
     """Return status and body of a GET; status 0 when nothing answers."""
-    return ask("GET", url, headers)
+    return http_request("GET", url, headers)
 
 
-def ask(
+def http_request(
     method: str,
     url: str,
     headers: dict | None = None,
--- a/amaranthring/testing/members.py
+++ b/amaranthring/testing/members.py
@@ -113,18 +113,18 @@
     """
 
     def __init__(self, places: list[str], config=fleet.FleetConfig):
-        self.places = places
+        self.data_centres = places
         self.config = config
-        self.near: list[cuts.Cut] = []
-        self.far: list[cuts.Cut] = []
+        self.local_relays: list[cuts.Relay] = []
+        self.remote_relays: list[cuts.Relay] = []
         self.members: list[Member] = []
         self.renewals: dict[str, asyncio.Task] = {}
 
     def peers_of(self, place: str) -> list[settings.PeerAddress]:
         """Return every router as those of data centre `place` see it."""
         made = []
-        for number, there in enumerate(self.places):
-            cut = (self.near if there == place else self.far)[number]
+        for number, there in enumerate(self.data_centres):
+            cut = (self.local_relays if there == place else self.remote_relays)[number]
             made.append(
                 settings.PeerAddress(
                     name=f"r{number}", data_centre=there, address=cut.address
@@ -135,13 +135,13 @@
     async def start(self) -> None:
         """Start every member."""
         socks = []
-        for _ in self.places:
+        for _ in self.data_centres:
             sock, port = tornado.testing.bind_unused_port()
             socks.append(sock)
-            for side in (self.near, self.far):
-                side.append(cuts.Cut(f"127.0.0.1:{port}"))
+            for side in (self.local_relays, self.remote_relays):
+                side.append(cuts.Relay(f"127.0.0.1:{port}"))
                 await side[-1].start()
-        for number, place in enumerate(self.places):
+        for number, place in enumerate(self.data_centres):
             peers = self.peers_of(place)
             made = Member(f"r{number}", peers, [socks[number]], self.config)
             self.members.append(made)
@@ -154,35 +154,35 @@
             task.cancel()
         for member in self.members:
             member.stop()
-        for cut in self.near + self.far:
+        for cut in self.local_relays + self.remote_relays:
             await cut.stop()
 
     def restart(self, number: int) -> Member:
         """End a member and start its successor at the same place."""
         self.members[number].stop()
-        host, port = self.near[number].target.rsplit(":", 1)
+        host, port = self.local_relays[number].upstream.rsplit(":", 1)
         socks = tornado.netutil.bind_sockets(int(port), host)
-        peers = self.peers_of(self.places[number])
+        peers = self.peers_of(self.data_centres[number])
         made = Member(f"r{number}", peers, socks, self.config)
         self.members[number] = made
         made.start()
         return made
 
-    def cut_off(self, place: str) -> None:
+    def isolate(self, place: str) -> None:
         """Part data centre `place` from all others."""
-        for number, there in enumerate(self.places):
+        for number, there in enumerate(self.data_centres):
             if there == place:
-                self.far[number].cut()
-        for member, there in zip(self.members, self.places, strict=True):
+                self.remote_relays[number].block()
+        for member, there in zip(self.members, self.data_centres, strict=True):
             # What this place dialled itself lies behind the others' cuts.
             for peer in member.mesh.peers.values():
                 crosses = place in (there, peer.data_centre)
                 if crosses and peer.data_centre != there:
-                    self.far[int(peer.name[1:])].cut()
+                    self.remote_relays[int(peer.name[1:])].block()
 
     def heal(self) -> None:
         """End every cut."""
-        for cut in self.near + self.far:
+        for cut in self.local_relays + self.remote_relays:
             cut.heal()
 
     def renew(self, one: records.Target, numbers: list[int]) -> None:
@@ -191,7 +191,7 @@
             self._renew(one, numbers)
         )
 
-    def silence(self, name: str) -> None:
+    def stop_renewing(self, name: str) -> None:
         """Stop renewing: the target died."""
         self.renewals.pop(name).cancel()
 
@@ -207,7 +207,7 @@
             await asyncio.sleep(0.5)
 
 
-async def until(condition: t.Callable[[], bool], seconds: float = 20) -> float:
+async def wait_until(condition: t.Callable[[], bool], seconds: float = 20) -> float:
     """Wait until `condition()` holds and return how long that took.
 
     Raises
--- a/amaranthring/testing/needs.py
+++ b/amaranthring/testing/needs.py
@@ -73,7 +73,7 @@
             )
         held.answer = answer
 
-    def lose_holder(self, account: str, key: str) -> None:
+    def mark_unknown(self, account: str, key: str) -> None:
         """Do as the keepers do when the holder of a claim is lost."""
         _, held = self.claims[account, key]
         held.state = records.ClaimState.UNKNOWN
@@ -97,10 +97,10 @@
         self.ledger = ledger or Ledger()
         self.retries_left = 100
         self.quarantined: set[str] = set()
-        self.crashes: list[tuple[str, str]] = []
+        self.crash_reports: list[tuple[str, str]] = []
         self.lost: dict[str, asyncio.Future] = {}
         self.released: list[records.AttemptEnd] = []
-        self.notes: list[tuple[str, str, dict]] = []
+        self.logged_events: list[tuple[str, str, dict]] = []
         self.admit_error: errors.AmaranthringError | None = None
         self.limit_error: errors.AmaranthringError | None = None
         self.running: collections.Counter[str] = collections.Counter()
@@ -127,7 +127,7 @@
             may_retry=self.may_retry,
             record_success=lambda _: None,
             when_lost=self.when_lost,
-            record_decision=lambda name, event, **more: self.notes.append(
+            record_decision=lambda name, event, **more: self.logged_events.append(
                 (name, event, more)
             ),
             get_target=self.targets.get,
@@ -177,9 +177,9 @@
 
     async def report_crash(self, request, target) -> None:
         """Note a coincidence; two targets quarantine the request."""
-        self.crashes.append((request.body_digest, target.name))
+        self.crash_reports.append((request.body_digest, target.name))
         seen = {
-            t for digest, t in self.crashes if digest == request.body_digest
+            t for digest, t in self.crash_reports if digest == request.body_digest
         }
         if len(seen) >= 2:
             self.quarantined.add(request.body_digest)
--- a/amaranthring/testing/plan_keepers.py
+++ b/amaranthring/testing/plan_keepers.py
@@ -23,7 +23,7 @@
 
 KEYS = links.Keys({"test": b"key"})
 POLL_SECONDS = 0.02
-BEAT_SECONDS = 0.3
+HEARTBEAT_SECONDS = 0.3
 
 
 class PlanKeepers:
@@ -45,7 +45,7 @@
         self.sockets: dict[str, list] = {}
         self.seeds = [self.new_address() for _ in range(count)]
         self.running: dict[str, keepers.PlanKeeper] = {}
-        self.full: set[str] = set()
+        self.full_disks: set[str] = set()
         self.snapshot_entries = 5
         self.kept_entries = 2
 
@@ -67,7 +67,7 @@
             list(self.seeds),
             first,
             str(self.folder / address.replace(":", "-")),
-            BEAT_SECONDS,
+            HEARTBEAT_SECONDS,
         )
         timing = options.Options(
             heartbeat_seconds=0.03,
@@ -87,7 +87,7 @@
         return made
 
     def _write(self, address: str, fd: int, data: bytes) -> int:
-        if address in self.full:
+        if address in self.full_disks:
             raise OSError(errno.ENOSPC, "No space left on device")
         return os.write(fd, data)
 
@@ -124,11 +124,11 @@
 
     async def put(self, version: int, document: bytes, at: str = "") -> int:
         """Put a plan in force as an operator would: again until it is."""
-        return await again(lambda: self._any(at).hub.put(version, document))
+        return await retry(lambda: self._any(at).hub.put(version, document))
 
     async def read(self, at: str = "") -> t.Any:
         """Read the newest plan, again until a keeper is sure of it."""
-        return await again(lambda: self._any(at).hub.read())
+        return await retry(lambda: self._any(at).hub.read())
 
     def _any(self, at: str) -> keepers.PlanKeeper:
         return self.running[at] if at else next(iter(self.running.values()))
@@ -139,7 +139,7 @@
     return tornado.netutil.bind_sockets(int(port), host)
 
 
-def follower(
+def make_subscriber(
     name: str, seeds: list[str], taken: list[bytes]
 ) -> subscriber.Subscriber:
     """Return a router's subscriber that adds each plan to `taken`."""
@@ -149,7 +149,7 @@
     return made
 
 
-async def again(call: t.Callable, seconds: float = 10.0) -> t.Any:
+async def retry(call: t.Callable, seconds: float = 10.0) -> t.Any:
     """Return what `call` returns once it does not fail."""
     async with asyncio.timeout(seconds):
         while True:
@@ -161,7 +161,7 @@
                 await asyncio.sleep(POLL_SECONDS)
 
 
-async def until(condition: t.Callable[[], t.Any], seconds: float = 10.0):
+async def wait_until(condition: t.Callable[[], t.Any], seconds: float = 10.0):
     """Return what `condition` returns once it holds."""
     async with asyncio.timeout(seconds):
         while not (found := condition()):  # noqa: ASYNC110
--- a/amaranthring/testing/processes.py
+++ b/amaranthring/testing/processes.py
@@ -25,7 +25,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 
 
-async def until(
+async def wait_until(
     condition,
     seconds: float = 20.0,
     what: str = "condition",
@@ -104,15 +104,15 @@
         if self.process:
             self.process.wait()
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Stop it where it is."""
         self.send(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let it go on."""
         self.send(signal.SIGCONT)
 
-    def lose_disk(self) -> None:
+    def remove_data(self) -> None:
         """Remove its data folder."""
         shutil.rmtree(self.data)
 
@@ -145,7 +145,7 @@
         self.ports: dict[str, int] = {}
         self.names = [f"k{number + 1}" for number in range(count)]
         self.keepers: dict[str, KeeperProcess] = {}
-        self.between: dict[tuple[str, str], cuts.Cut] = {}
+        self.relays: dict[tuple[str, str], cuts.Relay] = {}
         self.clients: list[client.KeeperClient] = []
 
     async def start(self) -> None:
@@ -162,13 +162,13 @@
         for name in ["client", *self.names]:
             for other in self.names:
                 if name != other and not self.direct:
-                    relay = self.between[name, other] = cuts.Cut()
+                    relay = self.relays[name, other] = cuts.Relay()
                     await relay.start()
         for name in self.names:
             self.write_settings(name)
             self.keepers[name].start()
         for name in self.names:
-            await self.listening(name)
+            await self.wait_listening(name)
         self.client = self.new_client()
 
     def address(self, name: str, other: str) -> str:
@@ -177,7 +177,7 @@
             return f"127.0.0.1:{self.ports[other]}"
         if name == other:
             return "127.0.0.1:1"
-        return self.between[name, other].address
+        return self.relays[name, other].address
 
     def write_settings(self, name: str, names: list[str] | None = None):
         """Write the settings of keeper `name`."""
@@ -196,31 +196,31 @@
         )
         keeper.settings_file.write_text(text)
 
-    async def listening(self, name: str) -> None:
+    async def wait_listening(self, name: str) -> None:
         """Wait until keeper `name` listens; point its relays there."""
         keeper = self.keepers[name]
         try:
-            port = await until(keeper.port, what=f"port of {name}")
+            port = await wait_until(keeper.port, what=f"port of {name}")
         except AssertionError as error:
             code = keeper.process and keeper.process.poll()
             raise AssertionError(
                 f"{error}; exit code {code}: {keeper.errors[-ERRORS_SHOWN:]}"
             ) from error
-        for (_, other), relay in self.between.items():
+        for (_, other), relay in self.relays.items():
             if other == name:
-                relay.target = f"127.0.0.1:{port}"
+                relay.upstream = f"127.0.0.1:{port}"
 
     async def restart(self, name: str) -> None:
         """Start keeper `name` again after its end."""
         self.keepers[name].start()
-        await self.listening(name)
+        await self.wait_listening(name)
 
     async def join(self, name: str) -> str:
         """Start keeper `name`, not yet a member; return its address."""
         self.keepers[name] = KeeperProcess(name, self.folder / name)
         for other in self.names:
-            relay = self.between[name, other] = cuts.Cut()
-            relay.target = self.between["client", other].target
+            relay = self.relays[name, other] = cuts.Relay()
+            relay.upstream = self.relays["client", other].upstream
             await relay.start()
         self.write_settings(name, [*self.names, name])
         await self.restart(name)
@@ -244,17 +244,17 @@
 
     def isolate(self, name: str, inwards=True, outwards=True) -> None:
         """Cut every link between keeper `name` and the other keepers."""
-        for (one, other), relay in self.between.items():
+        for (one, other), relay in self.relays.items():
             if one == "client":
                 continue
             if other == name:
-                relay.cut(to_target=inwards, to_client=outwards)
+                relay.block(to_target=inwards, to_client=outwards)
             if one == name:
-                relay.cut(to_target=outwards, to_client=inwards)
+                relay.block(to_target=outwards, to_client=inwards)
 
     def heal(self) -> None:
         """End every cut."""
-        for relay in self.between.values():
+        for relay in self.relays.values():
             relay.heal()
 
     async def status(self, name: str):
@@ -275,7 +275,7 @@
 
     async def wait_leader(self, but: str = "") -> str:
         """Return the leader once there is one other than `but`."""
-        return await until(lambda: self.leader(but), what="leader")
+        return await wait_until(lambda: self.leader(but), what="leader")
 
     async def dump(self) -> keeper_process.Dump:
         """Return the whole state, read from the leader."""
@@ -286,7 +286,7 @@
         for made in self.clients:
             made.stop()
         for keeper in self.keepers.values():
-            keeper.wake()
+            keeper.resume()
             keeper.kill()
-        for relay in self.between.values():
+        for relay in self.relays.values():
             await relay.stop()
--- a/amaranthring/testing/routers.py
+++ b/amaranthring/testing/routers.py
@@ -110,7 +110,7 @@
     peer: links.Identity
 
 
-class Net:
+class Network:
     """Joins meshes; holds what is cut, frozen or lost.
 
     Attributes
@@ -137,7 +137,7 @@
         self.frozen = set()
         self.leaving = set()
         self.cut = set()
-        self.lose = lambda *_: False
+        self.is_dropped = lambda *_: False
         self.counts = {}
         self.sent_bytes = 0
         for name in self.data_centres:
--- a/amaranthring/testing/scripted.py
+++ b/amaranthring/testing/scripted.py
@@ -27,7 +27,7 @@
 from amaranthring.targets import http_body
 
 ID = "Test-Id"
-PATIENCE = "Test-Patience"
+TIMEOUT = "Test-Patience"
 SIGNED = "Test-Signed"
 REFUSED = "Test-Refused"
 EXPECTED = "Test-Expected"
@@ -35,8 +35,8 @@
 KEY = "Test-Key"
 PROMPT = "Test-Prompt"
 COPY = "Test-Copy-From"
-LAST = "Last-Event-Id"
-OURS = {PATIENCE, EXPECTED, ACCOUNT, KEY, LAST, "Connection", "Content-Length"}
+LAST_EVENT_ID = "Last-Event-Id"
+OURS = {TIMEOUT, EXPECTED, ACCOUNT, KEY, LAST_EVENT_ID, "Connection", "Content-Length"}
 
 
 def read_request(start_line, headers, arrived) -> records.Incoming:
@@ -54,9 +54,9 @@
         host=headers.get("Host", ""),
         headers=kept,
         arrived=arrived,
-        timeout=float(headers.get(PATIENCE, "5")),
+        timeout=float(headers.get(TIMEOUT, "5")),
         key=headers.get(KEY, ""),
-        resume_after=headers.get(LAST, ""),
+        resume_after=headers.get(LAST_EVENT_ID, ""),
         parts=tuple(
             records.PromptPart(part.split(":")[0], int(part.split(":")[1]))
             for part in parts
@@ -67,12 +67,12 @@
 def request_headers(incoming, sending) -> dict[str, str]:
     """Return the headers for a target."""
     headers = dict(incoming.headers.items())
-    headers[PATIENCE] = f"{sending.seconds_left:.3f}"
+    headers[TIMEOUT] = f"{sending.seconds_left:.3f}"
     headers[EXPECTED] = sending.target.id
     if sending.account:
         headers[ACCOUNT] = sending.account
     if sending.resume_after:
-        headers[LAST] = sending.resume_after
+        headers[LAST_EVENT_ID] = sending.resume_after
     if sending.copy_from:
         headers[COPY] = sending.copy_from
     return headers
@@ -127,11 +127,11 @@
 
     def __init__(self, name: str, script: Script, keeps: bool = False):
         self.name = name
-        self.keeps = keeps
+        self.keep_alive = keeps
         self.connections = 0
         self.script = script
-        self.seen: list[Seen] = []
-        self.left = 0
+        self.requests: list[Seen] = []
+        self.aborted = 0
         self.server: asyncio.Server | None = None
         self.address = ""
 
@@ -169,9 +169,9 @@
     async def _serve_one(self, reader, writer) -> bool:
         """Answer one call; return whether another may follow."""
         seen = await _read(reader)
-        self.seen.append(seen)
+        self.requests.append(seen)
         running = asyncio.ensure_future(self.script(seen, writer))
-        if self.keeps:
+        if self.keep_alive:
             await running
             return not writer.is_closing()
         closed = asyncio.ensure_future(reader.read(1))
@@ -179,7 +179,7 @@
             {running, closed}, return_when=asyncio.FIRST_COMPLETED
         )
         if not running.done():
-            self.left += 1
+            self.aborted += 1
             running.cancel()
         closed.cancel()
         return False
@@ -195,7 +195,7 @@
     return Seen(start.method, start.path, headers, body)
 
 
-def head(
+def response_head(
     seen: Seen, status: int = 200, signed: bool = True, **more: str
 ) -> bytes:
     """Return the head of an answer to `seen`."""
@@ -206,25 +206,25 @@
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-def whole(
+def respond(
     body: bytes = b"good", status: int = 200, signed: bool = True
 ) -> Script:
     """Return a script that answers whole."""
 
     async def script(seen, writer):
         length = str(len(body))
-        writer.write(head(seen, status, signed, Content_Length=length) + body)
+        writer.write(response_head(seen, status, signed, Content_Length=length) + body)
         await writer.drain()
 
     return script
 
 
-def refuse(status: int = 503) -> Script:
+def respond_not_run(status: int = 503) -> Script:
     """Return a script that states that the request did not run."""
 
     async def script(seen, writer):
         more = {"Content_Length": "0", REFUSED: "1"}
-        writer.write(head(seen, status, False, **more))
+        writer.write(response_head(seen, status, False, **more))
 
     return script
 
@@ -239,16 +239,16 @@
     return script
 
 
-def reset() -> Script:
+def reset_connection() -> Script:
     """Return a script that resets the connection."""
 
     async def script(_seen, writer):
-        break_off(writer)
+        abort_connection(writer)
 
     return script
 
 
-def break_off(writer: asyncio.StreamWriter) -> None:
+def abort_connection(writer: asyncio.StreamWriter) -> None:
     """Reset the connection instead of closing it in good order."""
     held = writer.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
@@ -256,7 +256,7 @@
     writer.transport.abort()
 
 
-def mute() -> Script:
+def never_respond() -> Script:
     """Return a script that never answers."""
 
     async def script(_seen, _writer):
@@ -270,7 +270,7 @@
     return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
 
-def events(last: int, breaks_after: int | None = None) -> Script:
+def stream_events(last: int, breaks_after: int | None = None) -> Script:
     """Return a script that streams the events after the caller's last.
 
     Parameters
@@ -284,15 +284,15 @@
             "Content_Type": "text/event-stream",
             "Transfer_Encoding": "chunked",
         }
-        writer.write(head(seen, **more))
-        first = int(seen.headers.get(LAST, "0")) + 1
+        writer.write(response_head(seen, **more))
+        first = int(seen.headers.get(LAST_EVENT_ID, "0")) + 1
         for number in range(first, last + 1):
             data = event(number)
             if breaks_after is not None and number > breaks_after:
                 writer.write(b"%x\r\n%b\r\n" % (5, data[:5]))
                 await writer.drain()
                 await asyncio.sleep(0.05)
-                break_off(writer)
+                abort_connection(writer)
                 return
             writer.write(b"%x\r\n%b\r\n" % (len(data), data))
             await writer.drain()
@@ -354,7 +354,7 @@
 
 
 @dataclasses.dataclass
-class Got:
+class Response:
     """What a caller got.
 
     Attributes
@@ -368,17 +368,17 @@
     status: int
     headers: tornado.httputil.HTTPHeaders
     body: bytes
-    whole: bool
+    complete: bool
     seconds: float
 
 
-async def ask(
+async def send_request(
     address,
     path: str = "/a/x",
     method: str = "GET",
     body: bytes = b"",
     **headers: str,
-) -> Got:
+) -> Response:
     """Send one request as a caller would, on a connection of its own."""
     began = time.monotonic()
     reader, writer = await asyncio.open_connection(*address)
@@ -393,12 +393,12 @@
         writer.close()
 
 
-async def _read_answer(reader, method: str, began: float) -> Got:
+async def _read_answer(reader, method: str, began: float) -> Response:
     nothing = tornado.httputil.HTTPHeaders()
     try:
         data = (await reader.readuntil(b"\r\n\r\n")).decode("latin1")
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Got(0, nothing, b"", False, time.monotonic() - began)
+        return Response(0, nothing, b"", False, time.monotonic() - began)
     line, _, rest = data.partition("\r\n")
     status = tornado.httputil.parse_response_start_line(line).code
     headers = tornado.httputil.HTTPHeaders.parse(rest)
@@ -410,4 +410,4 @@
     except (ConnectionError, errors.UpstreamError):
         pass
     seconds = time.monotonic() - began
-    return Got(status, headers, b"".join(parts), decoder.ended, seconds)
+    return Response(status, headers, b"".join(parts), decoder.ended, seconds)
--- a/amaranthring/testing/state.py
+++ b/amaranthring/testing/state.py
@@ -17,7 +17,7 @@
 from amaranthring.routers import revisions
 
 
-def copied(message: t.Any) -> t.Any:
+def round_trip(message: t.Any) -> t.Any:
     """Return `message` as it comes out of a stream."""
     if message is None:
         return None
@@ -39,7 +39,7 @@
         self.machine = machine or machines.StateMachine()
         self.queries = queries.Queries(self.machine)
         self.cut = False
-        self.lose_answers = 0
+        self.lost_replies = 0
         self.skew = 0.0
         self.index = itertools.count(1)
 
@@ -47,22 +47,22 @@
         """Apply `command` as a committed entry of the log."""
         self._reachable()
         result = self.apply(command)
-        if self.lose_answers:
-            self.lose_answers -= 1
+        if self.lost_replies:
+            self.lost_replies -= 1
             raise errors.LinkTimeoutError("the answer was lost")
-        return copied(result)
+        return round_trip(result)
 
     def apply(self, command: t.Any) -> t.Any:
         """Apply `command` at the wall time now, moved by `skew`."""
         stamp = time.time() + self.skew
-        return self.machine.apply(next(self.index), stamp, copied(command))
+        return self.machine.apply(next(self.index), stamp, round_trip(command))
 
     async def query(self, message: t.Any, _timeout: float = 1.0) -> t.Any:
         """Answer a query."""
         self._reachable()
-        answer = await self.queries.answer(copied(message))
+        answer = await self.queries.answer(round_trip(message))
         self._reachable()
-        return copied(answer)
+        return round_trip(answer)
 
     def restart(self) -> None:
         """Go on from a snapshot, in another machine."""
@@ -93,8 +93,8 @@
         self.routers = routers
         self.allowed = allowed or (lambda _one, _other: True)
         self.handlers = links.Handlers()
-        self.drop = 0
-        self.bytes = 0
+        self.drop_next = 0
+        self.sent_bytes = 0
         routers[name] = self
 
     def live(self, data_centre=None) -> list[str]:
@@ -115,12 +115,12 @@
         other = self.routers.get(name)
         if other is None or not self.allowed(self.name, name):
             return False
-        self.bytes += len(wire.encode(wire.ONE_WAY, 0, message))
-        if self.drop:
-            self.drop -= 1
+        self.sent_bytes += len(wire.encode(wire.ONE_WAY, 0, message))
+        if self.drop_next:
+            self.drop_next -= 1
             return True
         loop = asyncio.get_running_loop()
-        loop.call_soon(other.handle, self.name, copied(message))
+        loop.call_soon(other.handle, self.name, round_trip(message))
         return True
 
     def broadcast(self, message) -> None:
@@ -135,8 +135,8 @@
         other = self.routers.get(name)
         if other is None or not self.allowed(self.name, name):
             raise errors.LinkClosedError(f"no link to {name}")
-        self.bytes += len(wire.encode(wire.REQUEST, 1, message))
-        return copied(other.handle(self.name, copied(message)))
+        self.sent_bytes += len(wire.encode(wire.REQUEST, 1, message))
+        return round_trip(other.handle(self.name, round_trip(message)))
 
     def handle(self, source, message):
         """Hand `message` to this router's handler."""
@@ -176,7 +176,7 @@
     return commands.Bootstrap("ordinary", presets, named)
 
 
-async def until(condition: t.Callable[[], bool], seconds: float = 20.0):
+async def wait_until(condition: t.Callable[[], bool], seconds: float = 20.0):
     """Wait until `condition` holds, at most `seconds`."""
     ends = time.monotonic() + seconds
     while not condition():
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -14,20 +14,20 @@
     """Three keepers, six routers, three engines, three booking replicas."""
 
     routers = 6
-    through = None
+    map_addresses = None
 
     async def asyncSetUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = pathlib.Path(folder.name)
         local_fleet.write_settings(
-            path, self.routers, through=self.through and self.reach
+            path, self.routers, through=self.map_addresses and self.reach
         )
         self.fleet = local_fleet.LocalFleet(path, path / "logs")
-        self.addCleanup(self.fleet.end)
+        self.addCleanup(self.fleet.stop_all)
         self.names = self.fleet.names("router")
-        await self.blocking(self.bring_up)
-        urls = [self.fleet.callers(name) for name in self.names]
+        await self.blocking(self.start_processes)
+        urls = [self.fleet.callers_url(name) for name in self.names]
         self.callers = load.Callers(urls, local_fleet.ACCOUNTS["vanua"])
         self.tally = self.callers.tally
 
@@ -35,7 +35,7 @@
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(None, call, *arguments)
 
-    def bring_up(self):
+    def start_processes(self):
         for name in [*self.fleet.names("keeper"), *self.names]:
             self.fleet.start(name)
         self.fleet.wait_ready(self.names)
@@ -54,7 +54,7 @@
         self.fleet.start_target(kind, name, *options)
         self.targets.append(name)
 
-    async def keep_chatting(self, max_tokens):
+    async def chat_until_stopped(self, max_tokens):
         """Let eight callers chat until `chatting` is false."""
         self.chatting = True
 
@@ -62,23 +62,23 @@
             while self.chatting:
                 await self.callers.chat(turns=2, max_tokens=max_tokens)
 
-        await load.together(*[one() for _ in range(8)])
+        await load.run_all(*[one() for _ in range(8)])
 
-    def ran(self, kind):
+    def recorded_runs(self, kind):
         """Return the records of every run of the stand-ins of a kind."""
         found = []
         for name, process in self.fleet.processes.items():
             if not name.startswith(kind):
                 continue
             address = process.log.read_text().split()[1]
-            _, body = local_fleet.get(f"http://{address}/control/ran")
+            _, body = local_fleet.http_get(f"http://{address}/control/ran")
             answer = json.loads(body)
             found += answer["runs" if kind == "booking" else "ran"]
         return found
 
     def assert_run_at_most_once(self, told):
         """Compare outcomes told last, by key, with what really ran."""
-        keys = [run["key"] for run in self.ran("booking")]
+        keys = [run["key"] for run in self.recorded_runs("booking")]
         for key, outcome in told.items():
             count = keys.count(key)
             self.assertLessEqual(count, 1, f"{key} ran {count} times")
--- a/tests/keepers_case.py
+++ b/tests/keepers_case.py
@@ -37,4 +37,4 @@
             self.keepers.kept_entries = self.snapshot_entries
         self.addAsyncCleanup(self.keepers.stop_all)
         self.keepers.start_all()
-        self.leader = await plan_keepers.until(self.keepers.leader)
+        self.leader = await plan_keepers.wait_until(self.keepers.leader)
--- a/tests/test_account_limits.py
+++ b/tests/test_account_limits.py
@@ -19,7 +19,7 @@
 
     def setUp(self):
         self.fleet = assembled.Routers(6, 1)
-        self.fleet.net.pause = no_pause
+        self.fleet.network.pause = no_pause
         self.fleet.config.presets["ordinary"].accounts["a"] = (
             fleet.AccountPolicy(rate_per_second=50.0, burst=50.0)
         )
@@ -50,16 +50,16 @@
         self.assertGreaterEqual(admitted, 50 * 10 * 0.95)
 
     async def test_control_traffic_is_limited(self):
-        self.fleet.net.counts.clear()
+        self.fleet.network.counts.clear()
         await self.send(300, 10)
-        asked = self.fleet.net.counts.get("rate-ask", 0)
+        asked = self.fleet.network.counts.get("rate-ask", 0)
         self.assertLessEqual(asked, 0.2 * 3000)
 
     async def test_routers_use_their_fraction_while_the_owner_is_silent(self):
         # A frozen owner must not cause all requests of its accounts to fail.
         live = self.fleet.live()
         owner = live[0].limits._owner("a")
-        self.fleet.net.frozen.add(owner)
+        self.fleet.network.frozen.add(owner)
         others = [each for each in live if each.name != owner]
         admitted = await self.send(300, 10, others)
         self.assertGreaterEqual(admitted, 50 * 10 * 0.5)
--- a/tests/test_cli_fleet.py
+++ b/tests/test_cli_fleet.py
@@ -115,9 +115,9 @@
         body = {"model": "m1", "messages": [{"role": "user", "content": "a"}]}
 
         def ask():
-            return local_fleet.ask(
+            return local_fleet.http_request(
                 "POST",
-                self.fleet.callers("router-3") + "/v1/chat/completions",
+                self.fleet.callers_url("router-3") + "/v1/chat/completions",
                 {"Authorization": f"Bearer {token}"},
                 json.dumps(body).encode(),
             )
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -60,7 +60,7 @@
             status = await self.fleet.status(asked) if asked else None
             return status if status and condition(status) else None
 
-        return await processes.until(look, what=what)
+        return await processes.wait_until(look, what=what)
 
     async def exit_code(self, name):
         process = self.fleet.keepers[name].process
@@ -94,9 +94,9 @@
         return await faults.run(fleet, seed, count, kinds)
 
     async def test_kills_and_all_faults(self):
-        kinds = [faults.kill_one, faults.freeze_one, faults.cut_one]
+        kinds = [faults.kill_and_restart, faults.pause_and_resume, faults.isolate_and_heal]
         found = await asyncio.gather(
-            self.check(3, 8, [faults.kill_one]), self.check(11, 8, kinds)
+            self.check(3, 8, [faults.kill_and_restart]), self.check(11, 8, kinds)
         )
         self.assertEqual(found, [[], []])
 
@@ -111,8 +111,8 @@
         await self.set("a", "old")
         # The fleet's own client closes links that do not reply.
         dialler = self.fleet.new_client().diallers[old]
-        await processes.until(lambda: dialler.link)
-        self.fleet.keepers[old].freeze()
+        await processes.wait_until(lambda: dialler.link)
+        self.fleet.keepers[old].pause()
         read = asyncio.ensure_future(dialler.call(keeper.Get("a"), 30))
         write = asyncio.ensure_future(
             dialler.call(
@@ -125,7 +125,7 @@
         await self.fleet.wait_leader(but=old)
         self.assertEqual(await self.get("a"), "old")
         await self.set("a", "new")
-        self.fleet.keepers[old].wake()
+        self.fleet.keepers[old].resume()
         with self.assertRaises(errors.RefusedError):
             await read
         with self.assertRaises(errors.RefusedError):
@@ -163,7 +163,7 @@
         await self.status_where(lambda s: s.role != "leader", old)
         self.assertEqual(caught.exception.outcome, errors.Outcome.NOT_RUN)
         self.fleet.heal()
-        await faults.settled(self.fleet)
+        await faults.wait_converged(self.fleet)
         self.assertEqual(await self.get("a"), "2")
 
     async def test_return_of_an_isolated_keeper_deposes_nobody(self):
@@ -177,7 +177,7 @@
         await asyncio.sleep(10 * FAST["election_seconds"])
         self.fleet.heal()
         await self.add(50, 60)
-        await faults.settled(self.fleet)
+        await faults.wait_converged(self.fleet)
         after = await self.fleet.status(leader)
         self.assertEqual((after.role, after.term), ("leader", before.term))
 
@@ -194,7 +194,7 @@
         lost, other = self.others(leader)
         old_disk = (await self.fleet.status(lost)).disk
         self.fleet.keepers[lost].kill()
-        self.fleet.keepers[lost].lose_disk()
+        self.fleet.keepers[lost].remove_data()
         await self.status_where(lambda s: s.safe_losses == 0)
         await self.fleet.restart(lost)
         seen = []
@@ -223,8 +223,8 @@
         self.fleet.isolate(behind)
         await self.set("a", "accepted")
         self.fleet.keepers[lost].kill()
-        self.fleet.keepers[leader].freeze()
-        self.fleet.keepers[lost].lose_disk()
+        self.fleet.keepers[leader].pause()
+        self.fleet.keepers[lost].remove_data()
         self.fleet.heal()
         await self.fleet.restart(lost)
         end = time.monotonic() + 6 * FAST["election_seconds"]
@@ -232,7 +232,7 @@
             for name in (lost, behind):
                 status = await self.fleet.status(name)
                 self.assertNotEqual(status and status.role, "leader")
-        self.fleet.keepers[leader].wake()
+        self.fleet.keepers[leader].resume()
         self.assertEqual(await self.get("a"), "accepted")
 
     async def test_foreign_disk_is_refused(self):
@@ -244,7 +244,7 @@
             self.fleet.keepers[name].kill()
         swapped = self.fleet.keepers[two].data
         swapped.rename(self.fleet.keepers[one].folder / "swapped")
-        self.fleet.keepers[one].lose_disk()
+        self.fleet.keepers[one].remove_data()
         (self.fleet.keepers[one].folder / "swapped").rename(
             self.fleet.keepers[one].data
         )
@@ -269,7 +269,7 @@
         broken.start()
         self.assertEqual(await self.exit_code(name), 1)
         self.assertIn("empty the folder and start again", broken.errors)
-        broken.lose_disk()
+        broken.remove_data()
         await self.fleet.restart(name)
         await self.status_where(lambda s: s.safe_losses == 1)
 
@@ -288,7 +288,7 @@
         full.unlink()
         self.fleet.keepers[leader].kill()
         await self.fleet.restart(leader)
-        dumps = await faults.settled(self.fleet)
+        dumps = await faults.wait_converged(self.fleet)
         self.assertEqual([len(dump.seen) for dump in dumps], [40] * 3)
 
     async def test_change_on_one_disk_only_is_not_acknowledged(self):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,8 +28,8 @@
         progress end whole, then the process ends with 0; a second SIGTERM
         changes nothing.
         """
-        balancer = asyncio.ensure_future(self.callers.balance())
-        chats = asyncio.ensure_future(self.keep_chatting(max_tokens=20))
+        balancer = asyncio.ensure_future(self.callers.run_health_checks())
+        chats = asyncio.ensure_future(self.chat_until_stopped(max_tokens=20))
         codes = []
         for name in self.names:
             process = self.fleet.processes.pop(name)
@@ -44,8 +44,8 @@
         balancer.cancel()
         self.assertEqual(codes, [0] * self.routers)
         self.assertEqual(self.tally.refused, {})
-        self.assertEqual((self.tally.cut, self.tally.wrong), (0, 0))
-        self.assertGreater(self.tally.whole, 100)
+        self.assertEqual((self.tally.truncated, self.tally.mismatched), (0, 0))
+        self.assertGreater(self.tally.complete, 100)
 
 
 class TestBookingsUnderFailure(fleet_case.FleetCase):
@@ -60,17 +60,17 @@
         car if the frozen router woke and sent its call again.
         """
         chance = random.Random(SEED)
-        balancer = asyncio.ensure_future(self.callers.balance())
+        balancer = asyncio.ensure_future(self.callers.run_health_checks())
         faults = asyncio.ensure_future(self.fail(chance))
         told = {}
 
         async def book(number):
             await asyncio.sleep(number * 0.02)
             key = f"key-{number}-of-{SEED}"
-            outcome, _ = await self.callers.book_until_told("s", key)
+            outcome, _ = await self.callers.book_until_final("s", key)
             told[key] = outcome
 
-        await load.together(*[book(number) for number in range(200)])
+        await load.run_all(*[book(number) for number in range(200)])
         await faults
         balancer.cancel()
         self.assertEqual(len(told), 200)
@@ -110,7 +110,7 @@
         router. Chats that ran beside it end whole and are never refused.
         """
         running = [self.callers.chat(3, 30) for _ in range(12)]
-        chats = asyncio.ensure_future(load.together(*running))
+        chats = asyncio.ensure_future(load.run_all(*running))
         await asyncio.sleep(0.1)
         bad = {
             "model": "m1",
@@ -124,8 +124,8 @@
                 break
         await chats
         self.assertEqual(self.tally.refused, {})
-        self.assertEqual((self.tally.cut, self.tally.wrong), (0, 0))
-        self.assertEqual(self.tally.whole, 36)
+        self.assertEqual((self.tally.truncated, self.tally.mismatched), (0, 0))
+        self.assertEqual(self.tally.complete, 36)
         dead = [
             name
             for name in ("engine-1", "engine-2", "engine-3")
@@ -146,7 +146,7 @@
 class TestDataCentreCut(fleet_case.FleetCase):
     """One data centre is cut off from the other two."""
 
-    through = True
+    map_addresses = True
 
     async def asyncSetUp(self):
         self.cuts = {}
@@ -157,16 +157,16 @@
         """Return a relay's address for one way between data centres."""
         key = (place, other, address)
         if key not in self.cuts:
-            cut = cuts.Cut(address)
+            cut = cuts.Relay(address)
             cut.port = local_fleet.free_ports(1)[0]
             self.cuts[key] = cut
         return self.cuts[key].address
 
-    def bring_up(self):
+    def start_processes(self):
         loop_calls = [self.listen(cut) for cut in self.cuts.values()]
         for call in loop_calls:
             asyncio.run_coroutine_threadsafe(call, self.loop).result(5)
-        super().bring_up()
+        super().start_processes()
 
     async def listen(self, cut):
         await cut.start()
@@ -191,15 +191,15 @@
         inside = self.side("viana")
         outside = self.side("porto", "braga")
         for callers in (inside, outside):
-            await load.together(*[callers.chat(2) for _ in range(5)])
+            await load.run_all(*[callers.chat(2) for _ in range(5)])
             self.assertEqual(callers.tally.refused, {})
-            self.assertEqual(callers.tally.whole, 10)
+            self.assertEqual(callers.tally.complete, 10)
         await self.refused_without_quorum(inside)
-        told, _ = await outside.book_until_told("s", "with-quorum")
+        told, _ = await outside.book_until_final("s", "with-quorum")
         self.assertEqual(told, "ran")
         for cut in self.cuts.values():
             cut.heal()
-        told, _ = await inside.book_until_told("s", "cut-off")
+        told, _ = await inside.book_until_final("s", "cut-off")
         self.assertEqual(told, "ran")
         keys = {"cut-off": "ran", "with-quorum": "ran"}
         await self.blocking(self.assert_run_at_most_once, keys)
@@ -222,7 +222,7 @@
 
     def side(self, *places):
         urls = [
-            self.fleet.callers(name)
+            self.fleet.callers_url(name)
             for name in self.names
             if self.fleet.settings[name].process.data_centre in places
         ]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -56,7 +56,7 @@
             self.router.targets.merge(target.record())
 
     async def ask(self, path, method="GET", body=b"", **headers):
-        return await scripted.ask(
+        return await scripted.send_request(
             self.router.address, path, method, body, **headers
         )
 
@@ -73,7 +73,7 @@
     """Responses to callers while targets are healthy."""
 
     async def test_request_and_response_are_unchanged(self):
-        await self.begin(scripted.whole(b"entry", status=201))
+        await self.begin(scripted.respond(b"entry", status=201))
         got = await self.ask("/b/x?y=1", "POST", b"text", X_Other="1")
         self.assertEqual((201, b"entry"), (got.status, got.body))
         self.assertEqual("yes", got.headers[scripted.SIGNED])
@@ -85,20 +85,20 @@
         self.assertEqual("t0", seen.headers[scripted.EXPECTED])
 
     async def test_remaining_time_is_forwarded(self):
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         await self.ask("/b/x", Test_Patience="1.5")
-        left = float(self.targets[0].seen[0].headers[scripted.PATIENCE])
+        left = float(self.targets[0].seen[0].headers[scripted.TIMEOUT])
         self.assertLess(1.0, left)
         self.assertLessEqual(left, 1.5)
 
     async def test_events_of_a_stream_are_forwarded(self):
-        await self.begin(scripted.events(4))
+        await self.begin(scripted.stream_events(4))
         got = await self.ask("/d/x", "POST")
-        self.assertTrue(got.whole)
+        self.assertTrue(got.complete)
         self.assertEqual(b"".join(map(scripted.event, range(1, 5))), got.body)
 
     async def test_unknown_route_and_unknown_key_are_refused(self):
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         self.assertEqual(404, (await self.ask("/z/x")).status)
         self.assertEqual(401, (await self.ask("/e/x")).status)
         self.assertEqual(0, self.ran())
@@ -109,7 +109,7 @@
         self.assertNotIn(scripted.KEY, seen.headers)
 
     async def test_limits_of_the_plan(self):
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         big = await self.ask("/b/x", "POST", b"x" * 1001)
         self.assertEqual(413, big.status)
         long = await self.ask("/b/x", X_Long="y" * 2001)
@@ -125,7 +125,7 @@
 
         The router must not accept the revoked key for ever.
         """
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         self.router.fresh = False
         got = await self.ask("/e/x", Test_Key="key-1")
         self.assertEqual(503, got.status)
@@ -139,7 +139,7 @@
         Its callers should retry at once and on a new connection, which leads
         to another router.
         """
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         self.router.relay.startup.started_at -= startup.START_SECONDS
         self.router.fresh = False
         got = await self.ask("/e/x", Test_Key="key-1")
@@ -158,7 +158,7 @@
     """
 
     async def begin_without_plan(self):
-        await self.begin(scripted.events(3))
+        await self.begin(scripted.stream_events(3))
         table, self.router.table = self.router.table, None
         self.router.first_plan.clear()
         return table
@@ -228,10 +228,10 @@
         refusal, may send the request again.
         """
         for script in (
-            scripted.reset(),
-            scripted.whole(signed=False),
+            scripted.reset_connection(),
+            scripted.respond(signed=False),
             scripted.raw(lambda _: b"garbage\r\n\r\n"),
-            scripted.raw(lambda seen: scripted.head(
+            scripted.raw(lambda seen: scripted.response_head(
                 seen, Content_Length="10") + b"half"),
         ):  # fmt: skip
             await self.begin(script, script, script)
@@ -240,15 +240,15 @@
             self.assertEqual(1, self.ran())
 
     async def test_refused_request_goes_to_another_target(self):
-        await self.begin(scripted.refuse(), scripted.refuse())
+        await self.begin(scripted.respond_not_run(), scripted.respond_not_run())
         got = await self.ask("/b/x", "POST", b"1")
         self.assertEqual(503, got.status)
         self.assertIn("Retry-After", got.headers)
         self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
 
     async def test_unreachable_target_fails_no_request(self):
-        await self.begin(scripted.whole())
-        stopped = scripted.ScriptedTarget("t9", scripted.whole())
+        await self.begin(scripted.respond())
+        stopped = scripted.ScriptedTarget("t9", scripted.respond())
         await stopped.start()
         stopped.stop()
         await stopped.server.wait_closed()
@@ -257,14 +257,14 @@
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
 
     async def test_silent_target_gives_504_at_the_deadline(self):
-        await self.begin(scripted.mute(), scripted.mute())
+        await self.begin(scripted.never_respond(), scripted.never_respond())
         got = await self.ask("/b/x", "POST", Test_Patience="0.4")
         self.assertEqual(504, got.status)
         self.assertLess(got.seconds, 0.45)
         self.assertEqual(1, self.ran())
 
     async def test_error_response_of_the_target_is_forwarded(self):
-        await self.begin(scripted.whole(b"no", status=500))
+        await self.begin(scripted.respond(b"no", status=500))
         got = await self.ask("/b/x", "POST")
         self.assertEqual((500, b"no"), (got.status, got.body))
         self.assertIn(scripted.SIGNED, got.headers)
@@ -275,7 +275,7 @@
 
     async def script(seen, writer):
         refused = seen.uri.startswith(path)
-        await (scripted.refuse() if refused else otherwise)(seen, writer)
+        await (scripted.respond_not_run() if refused else otherwise)(seen, writer)
 
     return script
 
@@ -289,7 +289,7 @@
         This must not count as a failure of the engines, or all callers of
         the router would get 503.
         """
-        script = refuse_path("/a/odd", scripted.whole())
+        script = refuse_path("/a/odd", scripted.respond())
         await self.begin(script, script, script)
         for _ in range(3):
             self.assertEqual(503, (await self.ask("/a/odd")).status)
@@ -303,7 +303,7 @@
         Each request that goes there first would cost a round trip and a part
         of the retry budget.
         """
-        await self.begin(scripted.refuse(), scripted.whole())
+        await self.begin(scripted.respond_not_run(), scripted.respond())
         for _ in range(12):
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
         self.assertLess(len(self.targets[0].seen), 6)
@@ -314,15 +314,15 @@
 
     async def test_failed_requests_are_retried_at_another_target(self):
         bad = (
-            scripted.reset(),
-            scripted.whole(status=500),
-            scripted.whole(signed=False),
-            scripted.mute(),
+            scripted.reset_connection(),
+            scripted.respond(status=500),
+            scripted.respond(signed=False),
+            scripted.never_respond(),
         )
         for script in bad:
             await self.begin(script)
             self.router.placer.choose(self._context_without_targets())
-            good = scripted.ScriptedTarget("good", scripted.whole())
+            good = scripted.ScriptedTarget("good", scripted.respond())
             await good.start()
             self.addCleanup(good.stop)
             # Load at the good target makes the bad one the first choice.
@@ -344,7 +344,7 @@
         return Context
 
     async def test_number_of_attempts_is_limited(self):
-        await self.begin(*[scripted.reset()] * 4)
+        await self.begin(*[scripted.reset_connection()] * 4)
         got = await self.ask("/a/x")
         self.assertEqual(502, got.status)
         self.assertEqual(SAFE.attempts_most, self.ran())
@@ -355,7 +355,7 @@
         Unlimited retries would double the load and prevent the service from
         recovering.
         """
-        await self.begin(scripted.reset(), scripted.reset(), allowance=2.0)
+        await self.begin(scripted.reset_connection(), scripted.reset_connection(), allowance=2.0)
         for _ in range(20):
             await self.ask("/a/x")
         self.assertLessEqual(self.ran(), 20 + 0.2 * 20 + 2)
@@ -368,7 +368,7 @@
 
         def foreign(seen):
             seen.headers[scripted.ID] = "another"
-            return scripted.head(seen, Content_Length="3") + b"bad"
+            return scripted.response_head(seen, Content_Length="3") + b"bad"
 
         await self.begin(scripted.raw(foreign), scripted.raw(foreign))
         got = await self.ask("/a/x")
@@ -377,10 +377,10 @@
 
     async def test_reset_unframed_response_is_incomplete(self):
         async def script(seen, writer):
-            writer.write(scripted.head(seen) + b"part")
+            writer.write(scripted.response_head(seen) + b"part")
             await writer.drain()
             await asyncio.sleep(0.05)
-            scripted.break_off(writer)
+            scripted.abort_connection(writer)
 
         await self.begin(script, script)
         got = await self.ask("/a/x")
@@ -388,7 +388,7 @@
 
     async def test_closed_unframed_response_is_complete(self):
         await self.begin(
-            scripted.raw(lambda seen: scripted.head(seen) + b"all")
+            scripted.raw(lambda seen: scripted.response_head(seen) + b"all")
         )
         got = await self.ask("/a/x")
         self.assertEqual((200, b"all"), (got.status, got.body))
@@ -404,16 +404,16 @@
         missing, duplicated or corrupted.
         """
         await self.begin(
-            scripted.events(6, breaks_after=3),
-            scripted.events(6, breaks_after=3),
-            scripted.events(6),
+            scripted.stream_events(6, breaks_after=3),
+            scripted.stream_events(6, breaks_after=3),
+            scripted.stream_events(6),
         )
         self.router.placer.views["t2"].running = 5
         got = await self.ask("/c/x", "POST")
-        self.assertTrue(got.whole)
+        self.assertTrue(got.complete)
         self.assertEqual(b"".join(map(scripted.event, range(1, 7))), got.body)
         last_ids = [
-            seen.headers.get(scripted.LAST)
+            seen.headers.get(scripted.LAST_EVENT_ID)
             for target in self.targets
             for seen in target.seen
         ]
@@ -428,15 +428,15 @@
         async def head_only(seen, writer):
             more = {"Content_Type": "text/event-stream", "X_By": "dead"}
             more["Transfer_Encoding"] = "chunked"
-            writer.write(scripted.head(seen, **more))
+            writer.write(scripted.response_head(seen, **more))
             await writer.drain()
             await asyncio.sleep(0.05)
-            scripted.break_off(writer)
+            scripted.abort_connection(writer)
 
-        await self.begin(head_only, scripted.events(3))
+        await self.begin(head_only, scripted.stream_events(3))
         self.router.placer.views["t1"].running = 5
         got = await self.ask("/c/x", "POST")
-        self.assertTrue(got.whole)
+        self.assertTrue(got.complete)
         self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
         self.assertNotIn("X-By", got.headers)
 
@@ -446,14 +446,14 @@
         Another engine must be tried early enough for the first event to meet
         the objective.
         """
-        await self.begin(scripted.mute(), scripted.events(3))
+        await self.begin(scripted.never_respond(), scripted.stream_events(3))
         # The second target is tried after 0.3 s, which leaves 0.2 s of slack
         # on a busy machine.
         for _ in range(10):
             self.router.relay.response_times.record("s", 0, 0.15)
         self.router.placer.views["t1"].running = 3
         got = await self.ask("/c/x", "POST")
-        self.assertTrue(got.whole)
+        self.assertTrue(got.complete)
         self.assertLess(got.seconds, RESUMABLE.objective)
         self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
 
@@ -476,7 +476,7 @@
         self.assertLess(learned, 1.0)
 
     async def test_stream_that_may_run_once_waits_for_its_target(self):
-        await self.begin(scripted.mute(), scripted.events(3))
+        await self.begin(scripted.never_respond(), scripted.stream_events(3))
         for _ in range(10):
             self.router.relay.response_times.record("s", 0, 0.02)
         self.router.placer.views["t1"].running = 3
@@ -490,16 +490,16 @@
         The caller must not take the partial response for a complete one.
         """
         await self.begin(
-            scripted.events(6, breaks_after=3),
-            scripted.events(6, breaks_after=3),
+            scripted.stream_events(6, breaks_after=3),
+            scripted.stream_events(6, breaks_after=3),
         )
         got = await self.ask("/d/x", "POST")
-        self.assertFalse(got.whole)
+        self.assertFalse(got.complete)
         self.assertEqual(b"".join(map(scripted.event, range(1, 4))), got.body)
         self.assertEqual(1, self.ran())
 
     async def test_caller_resumes_after_its_last_event(self):
-        await self.begin(scripted.events(6))
+        await self.begin(scripted.stream_events(6))
         got = await self.ask("/c/x", "POST", Last_Event_Id="4")
         self.assertEqual(scripted.event(5) + scripted.event(6), got.body)
 
@@ -509,7 +509,7 @@
         The target's connection must be closed as well, or the target would
         continue and occupy a slot.
         """
-        await self.begin(scripted.mute())
+        await self.begin(scripted.never_respond())
         request = asyncio.ensure_future(self.ask("/d/x", "POST"))
         await self.until(self.ran)
         request.cancel()
@@ -545,18 +545,18 @@
         self.addCleanup(patched.stop)
 
     async def test_stall_before_it_connects(self):
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         self.stall_connecting(self.stall)
         self.assertEqual(200, (await self.ask("/a/x")).status)
 
     async def test_stall_while_it_connects(self):
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         self.stall_connecting(self.stall_next)
         self.assertEqual(200, (await self.ask("/a/x")).status)
 
     async def test_stall_while_the_head_arrives(self):
         async def respond(seen, writer):
-            writer.write(scripted.head(seen, Content_Length="4"))
+            writer.write(scripted.response_head(seen, Content_Length="4"))
             self.stall(0.3)
             await asyncio.sleep(0.05)
             writer.write(b"good")
@@ -569,7 +569,7 @@
         """The deadline passes while the response is readable but unread."""
 
         async def respond(seen, writer):
-            writer.write(scripted.head(seen, Content_Length="4") + b"good")
+            writer.write(scripted.response_head(seen, Content_Length="4") + b"good")
             self.stall(0.5)
 
         await self.begin(respond)
@@ -581,7 +581,7 @@
     """Requests during a planned shutdown of a router."""
 
     async def test_response_closes_the_connection(self):
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         self.router.front.closing = True
         got = await self.ask("/a/x")
         self.assertEqual("close", got.headers["Connection"])
@@ -591,7 +591,7 @@
 
         It would be aborted; if refused, it can run elsewhere.
         """
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         self.router.front.closing = True
         self.router.front.shutdown_at = 0.0
         got = await self.ask("/b/x", "POST")
@@ -604,7 +604,7 @@
         The caller sees it closed and sends the request to another router. It
         must not be forwarded here too.
         """
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         reader, writer = await asyncio.open_connection(*self.router.address)
         await self.until(lambda: self.router.front.idle)
         writer.write(b"GET /a/x HTTP/1.1\r\nHost: h\r\nTest-Id: r\r\n\r\n")
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -15,7 +15,7 @@
     """One router with small bounds before an engine and a replica."""
 
     async def asyncSetUp(self):
-        self.local = local.Local(
+        self.local = local.Harness(
             body_bytes_most=BODY_MOST,
             header_bytes_most=4096,
             header_seconds=0.3,
@@ -35,7 +35,7 @@
         name = answer.headers["Amaranthring-Request-Id"]
         self.assertEqual(error["request_id"], name)
         self.assertTrue(error["message"] and error["expected"])
-        self.assertEqual((self.engine.ran, self.replica.received), ([], 0))
+        self.assertEqual((self.engine.runs, self.replica.received), ([], 0))
         self.assertEqual(self.router.fakes.needs.drain.in_flight, 0)
 
     async def raw_answer(self, data, rest=b""):
@@ -58,7 +58,7 @@
             {"model": 7, "messages": [message]},
             {"model": "m1", "messages": [{"content": "x"}]},
             {"model": "m1", "messages": [message], "stream": "yes"},
-            local.chat(prompt_cache_key="x" * 300),
+            local.chat_body(prompt_cache_key="x" * 300),
         ]
         for body in bad:
             with self.subTest(body):
@@ -66,7 +66,7 @@
                 self.assert_refused(answer, 400, "bad-request")
 
     async def test_unknown_model_service_path_and_method(self):
-        answer = await self.router.chat(local.chat(model="nix"))
+        answer = await self.router.chat(local.chat_body(model="nix"))
         self.assert_refused(answer, 404, "not-found")
         answer = await self.router.post("/services/nix/x", {})
         self.assert_refused(answer, 404, "not-found")
@@ -78,7 +78,7 @@
     async def test_unknown_account(self):
         for token in ("wrong", ""):
             answer = await self.router.post(
-                "/v1/chat/completions", local.chat(), token
+                "/v1/chat/completions", local.chat_body(), token
             )
             self.assert_refused(answer, 401, "unauthenticated")
 
@@ -91,7 +91,7 @@
         ]
         for headers in bad:
             with self.subTest(headers):
-                answer = await self.router.chat(local.chat(), **headers)
+                answer = await self.router.chat(local.chat_body(), **headers)
                 self.assert_refused(answer, 400, "bad-request")
         for key in ("two words", "x" * 256):
             answer = await self.router.post(
@@ -108,12 +108,12 @@
         A router that answers and closes on unread bytes resets the
         connection, and its caller sees no answer at all.
         """
-        data = local.raw_chat(local.chat("x" * 400 * BODY_MOST))
+        data = local.raw_chat_request(local.chat_body("x" * 400 * BODY_MOST))
         async with self.router.raw(data) as stream:
             answer = await stream.read_until(b'"request_id"')
         self.assertIn(b" 413 ", answer.split(b"\r\n")[0])
         self.assertIn(b"too-large", answer)
-        self.assertEqual(self.engine.ran, [])
+        self.assertEqual(self.engine.runs, [])
 
     async def test_chunked_body_above_the_bound(self):
         head = (
@@ -126,7 +126,7 @@
         self.assertIn(b"too-large", answer)
 
     async def test_headers_above_the_bound(self):
-        answer = await self.router.chat(local.chat(), X_Long="x" * 5000)
+        answer = await self.router.chat(local.chat_body(), X_Long="x" * 5000)
         self.assert_refused(answer, 431, "headers-too-large")
 
     async def test_slow_headers_are_refused_while_idle_is_not(self):
@@ -134,35 +134,35 @@
             answer = await self.raw_answer(b"POST /v1/chat/comple")
             self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
             self.assertIn(b"headers-late", answer)
-            await idle.write(local.raw_chat(local.chat()))
+            await idle.write(local.raw_chat_request(local.chat_body()))
             await idle.read_until(b"data: [DONE]")
 
     async def test_slow_body_is_refused(self):
-        data = local.raw_chat(local.chat())
+        data = local.raw_chat_request(local.chat_body())
         answer = await self.raw_answer(data[:-10])
         self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
         self.assertIn(b"body-late", answer)
-        self.assertEqual(self.engine.ran, [])
+        self.assertEqual(self.engine.runs, [])
 
     async def test_caller_that_leaves_within_its_body(self):
-        data = local.raw_chat(local.chat())
+        data = local.raw_chat_request(local.chat_body())
         async with self.router.raw(data[:-10]):
-            await local.until(lambda: self.router.fakes.needs.drain.in_flight)
-        await local.until(lambda: not self.router.fakes.needs.drain.in_flight)
+            await local.wait_until(lambda: self.router.fakes.needs.drain.in_flight)
+        await local.wait_until(lambda: not self.router.fakes.needs.drain.in_flight)
 
     async def test_connection_is_kept_alive_after_a_refusal(self):
-        bad = local.raw_chat(local.chat(model="nix"))
+        bad = local.raw_chat_request(local.chat_body(model="nix"))
         async with self.router.raw(bad) as stream:
             await stream.read_until(b"not-found")
-            await stream.write(local.raw_chat(local.chat()))
+            await stream.write(local.raw_chat_request(local.chat_body()))
             await stream.read_until(b"data: [DONE]")
 
     async def test_http_1_0_caller_gets_no_chunks(self):
-        data = local.raw_chat(local.chat()).replace(b"HTTP/1.1", b"HTTP/1.0")
+        data = local.raw_chat_request(local.chat_body()).replace(b"HTTP/1.1", b"HTTP/1.0")
         answer = await self.raw_answer(data)
         head, _, body = answer.partition(b"\r\n\r\n")
         self.assertNotIn(b"chunked", head)
-        self.assertEqual(local.events_of(body)[-1].data, "[DONE]")
+        self.assertEqual(local.parse_events(body)[-1].data, "[DONE]")
 
     async def test_query_and_method_reach_the_service(self):
         answer = await self.router.client.fetch(
--- a/tests/test_keeper_client.py
+++ b/tests/test_keeper_client.py
@@ -48,7 +48,7 @@
         self.client.start()
         self.addCleanup(self.client.stop)
         diallers = self.client.diallers.values()
-        await processes.until(lambda: all(d.link for d in diallers))
+        await processes.wait_until(lambda: all(d.link for d in diallers))
         self.client.leader = "k1"
 
     def answer_of(self, name):
@@ -108,7 +108,7 @@
                 await self.client.propose(keeper.Set("a", "1"), 0.5)
             self.assertEqual(self.asked, ["k1"])
             dialler = self.client.diallers["k1"]
-            await processes.until(lambda d=dialler: d.link)
+            await processes.wait_until(lambda d=dialler: d.link)
 
     async def test_idempotent_command_is_retried(self):
         self.answers = dict.fromkeys(("k2", "k3"), keeper.Value("1"))
@@ -158,7 +158,7 @@
         self.assertEqual(set(self.asked), {"k3"})
         self.heal()
         dialler = self.client.diallers["k1"]
-        await processes.until(lambda: dialler.link)
+        await processes.wait_until(lambda: dialler.link)
         for name in ("k2", "k3"):
             # Either link may be the first to be reconnected.
             self.answers[name] = errors.NotLeaderError("k1", expected="k1")
@@ -177,5 +177,5 @@
         self.silent.clear()
 
     async def hang(self, stream, _address):
-        await processes.until(lambda: not self.silent)
+        await processes.wait_until(lambda: not self.silent)
         stream.close()
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -239,7 +239,7 @@
         wire = LinkModel(LINK_RATE)
         with sending_over(wire, self.leader.handlers):
             back = self.keepers.start(lost)
-            await plan_keepers.until(lambda: back.machine.version == 12)
+            await plan_keepers.wait_until(lambda: back.machine.version == 12)
         self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
 
     def address(self):
@@ -279,7 +279,7 @@
                 await self.keepers.put(version, newest, at)
         self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
         for one in self.keepers.running.values():
-            await plan_keepers.until(lambda k=one: k.machine.version == 13)
+            await plan_keepers.wait_until(lambda k=one: k.machine.version == 13)
             found = plans.decompress(one.machine.body)
             self.assertEqual(newest, found)
 
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -23,23 +23,23 @@
     """Intact connections carry several calls."""
 
     async def test_calls_share_a_connection(self):
-        await self.begin(scripted.whole(b"good"))
+        await self.begin(scripted.respond(b"good"))
         for _ in range(5):
             got = await self.ask("/b/x", "POST", b"text")
             self.assertEqual((200, b"good"), (got.status, got.body))
         self.assertEqual((5, 1), (self.ran(), self.target.connections))
 
     async def test_streams_share_a_connection(self):
-        await self.begin(scripted.events(3))
+        await self.begin(scripted.stream_events(3))
         for _ in range(3):
             got = await self.ask("/d/x", "POST")
-            self.assertTrue(got.whole)
+            self.assertTrue(got.complete)
         self.assertEqual(1, self.target.connections)
 
     async def test_idle_connections_are_bounded(self):
         async def slow(seen, writer):
             await asyncio.sleep(0.1)
-            await scripted.whole()(seen, writer)
+            await scripted.respond()(seen, writer)
 
         await self.begin(slow)
         self.router.relay.connections.max_idle = lambda: 2
@@ -48,7 +48,7 @@
         self.assertEqual(2, len(idle))
 
     async def test_idle_connections_expire(self):
-        await self.begin(scripted.whole())
+        await self.begin(scripted.respond())
         await self.ask("/b/x", "POST")
         pool = self.router.relay.connections
         now = pool.clock()
@@ -71,14 +71,14 @@
     async def test_connection_close_header(self):
         async def script(seen, writer):
             headers = {"Content_Length": "2", "Connection": "close"}
-            writer.write(scripted.head(seen, **headers) + b"ok")
+            writer.write(scripted.response_head(seen, **headers) + b"ok")
 
         await self.check_not_reused(script)
 
     async def test_keep_alive_timeout_of_zero(self):
         async def script(seen, writer):
             headers = {"Content_Length": "2", "Keep_Alive": "timeout=0"}
-            writer.write(scripted.head(seen, **headers) + b"ok")
+            writer.write(scripted.response_head(seen, **headers) + b"ok")
 
         await self.check_not_reused(script)
 
@@ -87,13 +87,13 @@
 
         async def script(seen, writer):
             headers = {"Content_Length": "2"}
-            writer.write(scripted.head(seen, **headers) + b"ok and more")
+            writer.write(scripted.response_head(seen, **headers) + b"ok and more")
 
         await self.check_not_reused(script)
 
     async def test_bytes_on_an_idle_connection(self):
         async def script(seen, writer):
-            await scripted.whole()(seen, writer)
+            await scripted.respond()(seen, writer)
             await asyncio.sleep(0.01)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
@@ -101,14 +101,14 @@
 
     async def test_answer_ended_by_close(self):
         async def script(seen, writer):
-            writer.write(scripted.head(seen) + b"all")
+            writer.write(scripted.response_head(seen) + b"all")
             writer.close()
 
         await self.check_not_reused(script)
 
     async def test_idle_connection_closed_by_target(self):
         async def script(seen, writer):
-            await scripted.whole()(seen, writer)
+            await scripted.respond()(seen, writer)
             writer.close()
 
         await self.check_not_reused(script)
@@ -123,7 +123,7 @@
             repeated.clear()
             body = seen.headers[scripted.ID].encode()
             size = str(len(body))
-            data = scripted.head(seen, Content_Length=size) + body
+            data = scripted.response_head(seen, Content_Length=size) + body
             repeated.append(data)
             writer.write(data)
 
@@ -139,9 +139,9 @@
         async def script(seen, writer):
             calls.append(seen)
             if len(calls) == 2:
-                scripted.break_off(writer)
+                scripted.abort_connection(writer)
             else:
-                await scripted.whole()(seen, writer)
+                await scripted.respond()(seen, writer)
 
         await self.begin(script)
         statuses = [(await self.ask("/b/x", "POST")).status for _ in range(3)]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -23,7 +23,7 @@
         self.stamp = 10_000.0
 
     def apply(self, command):
-        return self.machine.apply(1, self.stamp, state.copied(command)).claim
+        return self.machine.apply(1, self.stamp, state.round_trip(command)).claim
 
     def claim(self, attempt, key="k", body=BODY, hold=30.0):
         return self.apply(
--- a/tests/test_linearizable.py
+++ b/tests/test_linearizable.py
@@ -19,35 +19,35 @@
             call(2, 3, "write", "b"),
             call(4, 5, "read", "a"),
         ]
-        self.assertFalse(linearizable.explainable(calls))
+        self.assertFalse(linearizable.is_linearizable(calls))
         calls[2].began = 2.5
-        self.assertTrue(linearizable.explainable(calls))
+        self.assertTrue(linearizable.is_linearizable(calls))
 
     def test_lost_write_is_found(self):
         calls = [call(0, 1, "write", "a"), call(2, 3, "read", "")]
-        self.assertFalse(linearizable.explainable(calls))
+        self.assertFalse(linearizable.is_linearizable(calls))
 
     def test_write_of_unknown_fate_may_come_late_or_never(self):
         unknown = call(0, math.inf, "write", "a")
         for value in ("", "a"):
             calls = [unknown, call(5, 6, "read", value)]
-            self.assertTrue(linearizable.explainable(calls))
+            self.assertTrue(linearizable.is_linearizable(calls))
         flicker = [
             unknown,
             call(5, 6, "read", "a"),
             call(7, 8, "read", ""),
         ]
-        self.assertFalse(linearizable.explainable(flicker))
+        self.assertFalse(linearizable.is_linearizable(flicker))
 
     def test_two_swaps_cannot_both_win(self):
         calls = [
             call(0, 9, "swap", "a", ""),
             call(0, 9, "swap", "b", ""),
         ]
-        self.assertFalse(linearizable.explainable(calls))
+        self.assertFalse(linearizable.is_linearizable(calls))
         calls[1].expected = "a"
-        self.assertTrue(linearizable.explainable(calls))
+        self.assertTrue(linearizable.is_linearizable(calls))
 
     def test_refused_swap_saw_what_was_held(self):
         calls = [call(0, 1, "write", "a"), call(2, 3, "held", "b")]
-        self.assertFalse(linearizable.explainable(calls))
+        self.assertFalse(linearizable.is_linearizable(calls))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -56,10 +56,10 @@
     async def test_handshake_in_progress_does_not_outlive_the_server(self):
         # A process is told to stop while a peer is in its handshake. The
         # link that came of it was served on, and the process never ended.
-        relay = cuts.Cut(self.address)
+        relay = cuts.Relay(self.address)
         await relay.start()
         self.addAsyncCleanup(relay.stop)
-        relay.cut(to_target=False, to_client=True)
+        relay.block(to_target=False, to_client=True)
         self.address = relay.address
         dialling = asyncio.ensure_future(self.dial())
         await asyncio.sleep(0.1)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -30,7 +30,7 @@
 
     def apply(self, command):
         self.stamp += 1
-        return self.machine.apply(0, self.stamp, state.copied(command))
+        return self.machine.apply(0, self.stamp, state.round_trip(command))
 
     def switch(self, name, command_id, if_match, operator="ana"):
         return self.apply(
@@ -214,7 +214,7 @@
         self.machine = state_machine.StateMachine()
         self.machine.apply(1, 1.0, state.bootstrap(20, True))
         self.copy = parts.Parts()
-        self.copy.apply(state.copied(self.machine.config_since(0)))
+        self.copy.apply(state.round_trip(self.machine.config_since(0)))
 
     def change(self, revision):
         policy = fleet.AccountPolicy(weight=float(revision))
@@ -225,7 +225,7 @@
     def test_applied_delta_equals_source(self):
         self.change(1)
         self.change(2)
-        delta = state.copied(self.machine.config_since(1))
+        delta = state.round_trip(self.machine.config_since(1))
         self.assertTrue(self.copy.apply(delta))
         self.assertEqual(self.copy.items, self.machine.book.parts.items)
         self.assertEqual(self.copy.config(), self.machine.book.parts.config())
@@ -241,7 +241,7 @@
                 continue
             before = copy.deepcopy(config)
             known = self.machine.config_since(config.revision)
-            delta = state.copied(known)
+            delta = state.round_trip(known)
             new = parts.apply_changes(
                 config, delta.revision, delta.changed, delta.removed
             )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,7 +19,7 @@
         self.fleet = members.Fleet(self.data_centres)
         await self.fleet.start()
         count = len(self.data_centres)
-        await members.until(
+        await members.wait_until(
             lambda: all(len(m.mesh.live()) == count for m in self.all)
         )
 
@@ -34,7 +34,7 @@
         chosen = (
             self.all if numbers is None else [self.all[n] for n in numbers]
         )
-        return await members.until(
+        return await members.wait_until(
             lambda: all(m.eligible() == names for m in chosen)
         )
 
@@ -46,14 +46,14 @@
         self.fleet.renew(members.target("e1", "dc1"), [0])
         self.fleet.renew(members.target("e2", "dc1"), [2])
         await self.until_eligible(["e1", "e2"])
-        await members.until(
+        await members.wait_until(
             lambda: all(m.table.report("e2") is not None for m in self.all)
         )
 
     async def test_leave_is_known_everywhere_at_once(self):
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
-        self.fleet.silence("e1")
+        self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
         took = await self.until_eligible([])
         self.assertLess(took, 1.0)
@@ -67,8 +67,8 @@
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
-        self.fleet.near[2].cut()
-        self.fleet.silence("e1")
+        self.fleet.local_relays[2].block()
+        self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
         await asyncio.sleep(3.0)
         self.assertEqual(self.all[2].eligible(), [])
@@ -80,9 +80,9 @@
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
-        self.fleet.near[1].cut()
+        self.fleet.local_relays[1].block()
         self.all[0].table.leave("e1", 1)
-        await members.until(
+        await members.wait_until(
             lambda: self.all[1].table.state("e1") == "leaving", 3.0
         )
 
@@ -103,7 +103,7 @@
 
         mesh.broadcast = lossy
         self.all[0].table.leave("e1", 1)
-        await members.until(
+        await members.wait_until(
             lambda: all(m.table.state("e1") == "leaving" for m in self.all),
             3.0,
         )
@@ -117,18 +117,18 @@
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         lost = self.all[2].table.when_lost("e1")
-        self.fleet.near[1].cut()
-        self.fleet.near[2].cut()
+        self.fleet.local_relays[1].block()
+        self.fleet.local_relays[2].block()
         self.fleet.renew(members.target("e2", "dc1"), [1])
         await asyncio.wait_for(asyncio.shield(lost), 20)
-        await members.until(
+        await members.wait_until(
             lambda: all(len(m.mesh.live()) == 1 for m in self.all)
         )
         self.assertEqual(self.all[0].eligible(), ["e1"])
         self.assertEqual(self.all[1].eligible(), ["e2"])
         self.fleet.heal()
         await self.until_eligible(["e1", "e2"])
-        await members.until(
+        await members.wait_until(
             lambda: len({m.table.digests["dc1"] for m in self.all}) == 1
         )
 
@@ -139,7 +139,7 @@
         """
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
-        self.fleet.silence("e1")
+        self.fleet.stop_renewing("e1")
         for member in self.all:
             member.target_sync.task.cancel()
         await asyncio.sleep(table.MOVED_SECONDS + 0.1)
@@ -160,9 +160,9 @@
         await self.until_eligible(["e1"])
         member.table.subscribe(fail)
         lost = member.table.when_lost("e1")
-        self.fleet.silence("e1")
+        self.fleet.stop_renewing("e1")
         await asyncio.wait_for(asyncio.shield(lost), 20)
-        await members.until(
+        await members.wait_until(
             lambda: member.metrics.counters["targets.ticks_failed"] == 1
         )
         self.assertFalse(member.table.task.done())
@@ -175,7 +175,7 @@
         changes = []
         self.all[1].mesh.subscribe(lambda: changes.append(1))
         self.all[0].mesh.leave()
-        await members.until(
+        await members.wait_until(
             lambda: all(m.mesh.live() == ["r1", "r2"] for m in self.all)
         )
         self.assertTrue(changes)
@@ -183,16 +183,16 @@
 
     async def test_restarted_router_rejoins(self):
         self.all[1].mesh.leave()
-        await members.until(lambda: "r1" not in self.all[0].mesh.live())
+        await members.wait_until(lambda: "r1" not in self.all[0].mesh.live())
         self.fleet.restart(1)
-        await members.until(
+        await members.wait_until(
             lambda: all(len(m.mesh.live()) == 3 for m in self.all)
         )
 
     async def test_killed_router_is_removed_at_once(self):
         self.all[1].stop()
         others = [self.all[0], self.all[2]]
-        took = await members.until(
+        took = await members.wait_until(
             lambda: all(m.mesh.live() == ["r0", "r2"] for m in others)
         )
         self.assertLess(took, 2.0)
@@ -202,21 +202,21 @@
 
         It must be dropped without delaying messages to the others.
         """
-        self.fleet.near[1].cut()
-        await members.until(
+        self.fleet.local_relays[1].block()
+        await members.wait_until(
             lambda: self.all[0].mesh.live() == ["r0", "r2"], 20
         )
         self.assertIsNone(self.all[0].mesh.peers["r1"].link)
         self.fleet.renew(members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"], [0, 2])
         self.fleet.heal()
-        await members.until(lambda: len(self.all[0].mesh.live()) == 3)
+        await members.wait_until(lambda: len(self.all[0].mesh.live()) == 3)
         await self.until_eligible(["e1"])
 
     async def test_one_way_cut_is_detected_on_both_sides(self):
-        self.fleet.near[1].cut(to_target=True, to_client=False)
-        await members.until(lambda: "r0" not in self.all[1].mesh.live())
-        await members.until(lambda: "r1" not in self.all[0].mesh.live())
+        self.fleet.local_relays[1].block(to_target=True, to_client=False)
+        await members.wait_until(lambda: "r0" not in self.all[1].mesh.live())
+        await members.wait_until(lambda: "r1" not in self.all[0].mesh.live())
 
     async def test_calls_to_itself_and_to_unknown_routers(self):
         pull = target_sync_messages.Pull("dc1", [])
@@ -235,7 +235,7 @@
         self.fleet.renew(members.target("e1", "dc1"), [0])
         self.fleet.renew(members.target("e2", "dc2"), [4])
         await self.until_eligible(["e1", "e2"])
-        self.fleet.silence("e1")
+        self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
         await self.until_eligible(["e2"])
         self.assertEqual(self.all[5].table.state("e1"), "leaving")
@@ -249,20 +249,20 @@
         self.fleet.renew(members.target("e1", "dc1"), [0])
         self.fleet.renew(members.target("e2", "dc2"), [4])
         await self.until_eligible(["e1", "e2"])
-        self.fleet.cut_off("dc2")
+        self.fleet.isolate("dc2")
         await self.until_eligible(["e1"], [0, 1, 2])
         await self.until_eligible(["e2"], [3, 4, 5])
-        await members.until(
+        await members.wait_until(
             lambda: self.all[0].mesh.live() == ["r0", "r1", "r2"]
         )
         await asyncio.sleep(1.5)
         self.assertEqual(self.all[0].table.state("e2"), "suspended")
-        self.fleet.silence("e1")
+        self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
         self.fleet.renew(members.target("e3", "dc1"), [0])
         self.fleet.heal()
         await self.until_eligible(["e2", "e3"])
-        await members.until(
+        await members.wait_until(
             lambda: all(len(m.mesh.live()) == 6 for m in self.all)
         )
 
@@ -276,7 +276,7 @@
         rest = [n for n in (0, 1, 2) if n != dead]
         self.fleet.renew(members.target("e4", "dc2"), [4])
         await self.until_eligible(["e2", "e4"], rest)
-        await members.until(lambda: first not in self.all[5].mesh.live("dc1"))
+        await members.wait_until(lambda: first not in self.all[5].mesh.live("dc1"))
 
     async def test_second_relay_forwards_when_the_first_is_cut(self):
         """The first relay is alive but receives no remote digests.
@@ -308,8 +308,8 @@
         one = next(m for m in self.all[:3] if m.name not in here)
         other = next(m for m in self.all[3:] if m.name not in there)
         answer = target_sync_messages.Digest("dc1", 0, 0, 0, [], False)
-        await members.until(lambda: one.mesh.send(other.name, answer))
-        await members.until(lambda: other.mesh.peers[one.name].link)
+        await members.wait_until(lambda: one.mesh.send(other.name, answer))
+        await members.wait_until(lambda: other.mesh.peers[one.name].link)
         await asyncio.sleep(0.2)
         self.assertNotIn(one.name, other.target_sync.remote_links())
 
@@ -333,7 +333,7 @@
                 links += [one, other]
             return links
 
-        await members.until(linked)
+        await members.wait_until(linked)
         await asyncio.sleep(1.0)
         before = linked()
         await asyncio.sleep(1.0)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -147,7 +147,7 @@
     def test_lost_answer_is_unknown_and_resent_through_another_router(self):
         # The command took hold but its answer was lost. Saying that it was
         # refused would be a lie; the resend through r2 gets the answer.
-        self.group.lose_answers = 1
+        self.group.lost_replies = 1
         response, body = self.switch("peak", "command-1", "1")
         self.assertEqual(response.code, 503)
         self.assertEqual(body["error"]["outcome"], "unknown")
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -18,7 +18,7 @@
 
     def setUp(self):
         self.fleet = assembled.Routers(4, 4, capacity=2)
-        self.fleet.net.pause = skip_timeout
+        self.fleet.network.pause = skip_timeout
 
     def other(self):
         owner = self.fleet.owner()
@@ -32,7 +32,7 @@
         # Only the first request may wait for a frozen owner's timeout.
         await self.fill(1)
         at = self.other()
-        self.fleet.net.frozen.add(self.fleet.owner().name)
+        self.fleet.network.frozen.add(self.fleet.owner().name)
         for number in range(5):
             await self.fleet.admit(number + 1, at.name, chat="c")
         silent = at.placer.metrics.counters["placing.owner-silent"]
@@ -43,11 +43,11 @@
         await self.fill(1)
         at = self.other().name
         await self.fill(7, at)
-        self.fleet.net.frozen.add(self.fleet.owner().name)
+        self.fleet.network.frozen.add(self.fleet.owner().name)
         full = asyncio.ensure_future(self.fleet.admit(9, at, chat="x"))
         await asyncio.sleep(0.01)
         self.assertFalse(full.done())
-        self.assertLessEqual(max(self.fleet.running().values()), 2)
+        self.assertLessEqual(max(self.fleet.in_flight().values()), 2)
         full.cancel()
 
     async def test_queued_request_is_repeated_when_its_owner_dies(self):
@@ -67,13 +67,13 @@
     async def test_lost_release_is_repaired(self):
         # A lost release must not keep an engine's capacity in use.
         await self.fill(4)
-        self.fleet.net.lose = lambda *_: True
+        self.fleet.network.is_dropped = lambda *_: True
         for _, grant in list(self.fleet.grants.values()):
             self.fleet.release(grant)
-        self.fleet.net.lose = lambda *_: False
-        self.fleet.renew()
-        self.fleet.tick(leases.LEASE_SECONDS)
-        self.assertEqual(self.fleet.counted(), 0)
+        self.fleet.network.is_dropped = lambda *_: False
+        self.fleet.renew_leases()
+        self.fleet.advance(leases.LEASE_SECONDS)
+        self.assertEqual(self.fleet.counted_in_flight(), 0)
 
     async def test_lost_grant_message_is_repeated(self):
         # A lost grant message must not leave the request queued until its
@@ -84,31 +84,31 @@
         waits = asyncio.ensure_future(self.fleet.admit(9, at.name, chat="w"))
         await asyncio.sleep(0.01)
         _, grant = next(iter(self.fleet.grants.values()))
-        self.fleet.net.lose = lambda _from, to, _message: to == at.name
+        self.fleet.network.is_dropped = lambda _from, to, _message: to == at.name
         self.fleet.release(grant)
-        self.fleet.net.lose = lambda *_: False
+        self.fleet.network.is_dropped = lambda *_: False
         self.assertFalse(waits.done())
-        self.fleet.renew()
+        self.fleet.renew_leases()
         self.assertIsNotNone(await asyncio.wait_for(waits, 5))
 
     async def test_leases_of_a_dead_entry_router_expire(self):
         await self.fill(1)
         at = self.other()
         await self.fill(7, at.name)
-        self.fleet.net.frozen.add(at.name)
-        self.fleet.tick(leases.LEASE_SECONDS + 0.1)
+        self.fleet.network.frozen.add(at.name)
+        self.fleet.advance(leases.LEASE_SECONDS + 0.1)
         self.assertEqual(len(self.fleet.owner().owners.cells), 1)
-        self.assertEqual(self.fleet.counted(), 0)
+        self.assertEqual(self.fleet.counted_in_flight(), 0)
 
     async def test_leaving_owner_transfers_its_counts(self):
         await self.fill(8)
         owner = self.fleet.owner()
         self.fleet.leave(owner.name)
         self.assertEqual(owner.owners.cells, {})
-        self.assertEqual(self.fleet.counted(), 8)
+        self.assertEqual(self.fleet.counted_in_flight(), 8)
         for _, grant in list(self.fleet.grants.values()):
             self.fleet.release(grant)
-        self.assertEqual(self.fleet.counted(), 0)
+        self.assertEqual(self.fleet.counted_in_flight(), 0)
 
     async def test_cancelled_caller_leaves_the_queue(self):
         await self.fill(8)
@@ -134,7 +134,7 @@
         for router in self.fleet.live():
             router.owners.config_changed()
         await self.fill(5)
-        self.assertLessEqual(self.fleet.running()["e0"], 1)
+        self.assertLessEqual(self.fleet.in_flight()["e0"], 1)
 
 
 class TestDataCentres(unittest.IsolatedAsyncioTestCase):
@@ -144,7 +144,7 @@
         self.fleet = assembled.Routers(
             4, 40, data_centres=("dc1", "dc2"), capacity=1
         )
-        self.fleet.net.pause = skip_timeout
+        self.fleet.network.pause = skip_timeout
 
     def data_centre(self, grant):
         return grant.target.data_centre
@@ -156,7 +156,7 @@
     async def test_full_data_centre_spills(self):
         data_centres = []
         for number in range(30):
-            self.fleet.digest()
+            self.fleet.send_digests()
             grant = await self.fleet.admit(number, "r0", chat=str(number))
             data_centres.append(self.data_centre(grant))
         self.assertEqual(data_centres.count("dc1"), 20)
@@ -165,7 +165,7 @@
         # Partitioned data centres must serve from their own free engines.
         names = ["r0", "r1", "r2", "r3"]
         sides = {"r0": 0, "r2": 0, "r1": 1, "r3": 1}
-        self.fleet.net.cut = {
+        self.fleet.network.cut = {
             (a, b) for a in names for b in names if sides[a] != sides[b]
         }
         for router in self.fleet.live():
@@ -175,14 +175,14 @@
         for router in ("r0", "r1", "r2", "r3"):
             for number in range(5):
                 grant = await self.fleet.admit(number, router, chat="c")
-                here = self.fleet.net.data_centres[router]
+                here = self.fleet.network.data_centres[router]
                 self.assertEqual(self.data_centre(grant), here)
 
     async def test_unreachable_owners_fall_back_to_local_estimates(self):
         # A router without any link must serve from local estimates.
         at = self.fleet.by_name["r0"]
         names = ["r1", "r2", "r3"]
-        self.fleet.net.cut = {("r0", n) for n in names}
+        self.fleet.network.cut = {("r0", n) for n in names}
         grant = await self.fleet.admit(0, "r0", chat="c")
         self.assertIn(grant.owner, ("", "r0"))
         self.assertEqual(
@@ -197,11 +197,11 @@
         # A deputy that knows only the grants of the first router that asks
         # would exceed the bound.
         fleet = assembled.Routers(6, 5)
-        fleet.net.pause = skip_timeout
+        fleet.network.pause = skip_timeout
         for number in range(15):
             await fleet.admit(number, chat=str(number))
         owner = fleet.owner().name
-        fleet.net.frozen.add(owner)
+        fleet.network.frozen.add(owner)
         at = next(r.name for r in fleet.live() if r.name != owner)
         await fleet.admit(20, at, chat="0")
         deputy = next(
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -15,10 +15,10 @@
 
     async def test_bound_is_kept_over_all_routers(self):
         grants = [await self.fleet.admit(n, chat="one") for n in range(15)]
-        self.assertEqual(max(self.fleet.running().values()), 4)
+        self.assertEqual(max(self.fleet.in_flight().values()), 4)
         for grant in grants:
             self.fleet.release(grant)
-        self.assertEqual(self.fleet.counted(), 0)
+        self.assertEqual(self.fleet.counted_in_flight(), 0)
 
     async def test_chat_returns_to_its_target_through_another_router(self):
         first = await self.fleet.admit(0, chat="c")
@@ -47,6 +47,6 @@
         # queued at that bound while engines are free.
         for number in range(60):
             if number % 20 == 0:
-                self.fleet.digest()
+                self.fleet.send_digests()
             await asyncio.wait_for(self.fleet.admit(number, chat="c"), 5)
-        self.assertLessEqual(max(self.fleet.running().values()), 4)
+        self.assertLessEqual(max(self.fleet.in_flight().values()), 4)
--- a/tests/test_plan_keepers.py
+++ b/tests/test_plan_keepers.py
@@ -25,12 +25,12 @@
 
     def follower(self, name="router-1"):
         taken = []
-        made = plan_keepers.follower(name, self.keepers.seeds, taken)
+        made = plan_keepers.make_subscriber(name, self.keepers.seeds, taken)
         self.addCleanup(made.stop)
         return made, taken
 
     async def until(self, condition, seconds=10.0):
-        return await plan_keepers.until(condition, seconds)
+        return await plan_keepers.wait_until(condition, seconds)
 
     def a_follower_keeper(self):
         leader = self.keepers.leader()
@@ -84,7 +84,7 @@
 
     async def fill(self, keeper):
         """Fill the disk of `keeper` and wait for its fault."""
-        self.keepers.full.add(keeper.config.address)
+        self.keepers.full_disks.add(keeper.config.address)
         version = self.version = getattr(self, "version", 1) + 1
         await self.keepers.put(version, b"while full")
         await self.until(lambda: keeper.group.fault)
@@ -98,7 +98,7 @@
         others = [k for k in self.keepers.running.values() if k is not leader]
         for keeper in (others[0], leader):
             await self.fill(keeper)
-            self.keepers.full.clear()
+            self.keepers.full_disks.clear()
             await self.until(lambda k=keeper: k.group.fault is None)
         await self.fill(others[1])
         self.assertEqual(9, await self.keepers.put(9, b"nine"))
@@ -110,7 +110,7 @@
         await self.keepers.put(1, b"one")
         await self.fill(keeper)
         await self.keepers.put(7, b"seven")
-        self.keepers.full.clear()
+        self.keepers.full_disks.clear()
         await self.until(lambda: keeper.machine.version == 7)
         self.assertEqual(b"seven", plans.decompress(keeper.machine.body))
 
@@ -145,7 +145,7 @@
             await self.until(lambda: sent)
             await asyncio.sleep(1.2)
             self.assertLessEqual(len(sent), 2)
-            self.keepers.full.clear()
+            self.keepers.full_disks.clear()
             await self.until(lambda: keeper.machine.version == 29)
 
     async def test_full_disk_is_retried_until_it_is_freed(self):
@@ -288,8 +288,8 @@
             keepers.start(address, first=True)
         await asyncio.sleep(1.5)
         keepers.start(keepers.seeds[0], first=True)
-        await plan_keepers.until(keepers.leader)
-        await plan_keepers.until(lambda: len(keepers.voters()) == 5)
+        await plan_keepers.wait_until(keepers.leader)
+        await plan_keepers.wait_until(lambda: len(keepers.voters()) == 5)
         self.assertEqual(1, await keepers.put(1, b"one", others[0]))
         for address in keepers.running:
             self.assertEqual(1, (await keepers.read(address)).version)
@@ -480,7 +480,7 @@
         await self.until(lambda: one.home_link() and two.home_link())
         record = messages.TargetRecord("a", "s", "v:1", "here", sequence=1)
         hub = self.a_follower_keeper().hub
-        await plan_keepers.again(lambda: self._announce(hub, record))
+        await plan_keepers.retry(lambda: self._announce(hub, record))
         for follower in (one, two):
             await self.until(lambda f=follower: "a" in f.table.entries)
         hub.leave("a")
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -310,7 +310,7 @@
             ),
             (routing.Service("s", "/health", 10, ENGINE),),
         )  # fmt: skip
-        await self.begin(scripted.events(3), scripted.events(3))
+        await self.begin(scripted.stream_events(3), scripted.stream_events(3))
         self.router.table = routing.RouteTable(plan)
         prompt = {"Test_Prompt": "long:10000,own:10"}
         await self.ask("/a/x", "POST", **prompt)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -21,7 +21,7 @@
     """Two routers with one ledger before one replica."""
 
     async def asyncSetUp(self):
-        self.local = local.Local()
+        self.local = local.Harness()
         self.addAsyncCleanup(self.local.close)
         self.replica = self.local.add_booking()
         self.ledger = self.local.ledger
@@ -60,7 +60,7 @@
         first = asyncio.ensure_future(
             self.one.book("a", "k", fault="slow", seconds=1.0)
         )
-        await local.until(lambda: self.replica.running)
+        await local.wait_until(lambda: self.replica.running)
         again = await self.two.book("a", "k", fault="slow", seconds=1.0)
         self.assert_told(again, 409, UNKNOWN)
         self.assertEqual(code_of(again), "claim-in-progress")
@@ -151,7 +151,7 @@
             f"Idempotency-Key: k\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         async with self.one.raw(head.encode() + body):
-            await local.until(lambda: self.replica.running)
+            await local.wait_until(lambda: self.replica.running)
         drain = self.one.fakes.needs.drain
         self.assertTrue(await drain.wait_idle(10))
         again = await self.two.post(
@@ -204,7 +204,7 @@
         gate, first = await self.frozen("claim after")
         again = await self.two.book("a", "k")
         self.assertEqual(code_of(again), "claim-in-progress")
-        self.ledger.lose_holder("acme", "k")
+        self.ledger.mark_unknown("acme", "k")
         again = await self.two.book("a", "k")
         self.assertEqual(code_of(again), "claim-unknown")
         self.assertEqual(self.runs(), 0)
@@ -231,7 +231,7 @@
     async def test_frozen_or_killed_between_dispatch_and_settle(self):
         gate, first = await self.frozen("settle before")
         self.assertEqual(self.runs(), 1)
-        self.ledger.lose_holder("acme", "k")
+        self.ledger.mark_unknown("acme", "k")
         again = await self.two.book("a", "k")
         self.assertEqual(code_of(again), "claim-unknown")
         gate.set()
@@ -314,7 +314,7 @@
         self.assert_told(answer, 503, UNKNOWN)
         self.assertEqual(code_of(answer), "commit-unknown")
         settlements = self.one.fakes.needs.settlements
-        await local.until(lambda: not settlements.pending)
+        await local.wait_until(lambda: not settlements.pending)
         self.assert_told(await self.two.book("a", "k"), 200, RAN)
         self.assertEqual(self.runs(), 1)
 
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -31,7 +31,7 @@
             # The section [keeper] is the last of these files.
             path.write_text(path.read_text() + self.extra)
         self.fleet = local_fleet.LocalFleet(folder, folder / "logs")
-        self.addCleanup(self.fleet.end)
+        self.addCleanup(self.fleet.stop_all)
         self.keepers = self.fleet.names("keeper")
         self.routers = self.fleet.names("router")
         for name in [*self.keepers, *self.routers]:
@@ -43,10 +43,10 @@
 
     def ask(self, method, path, headers=None, body=None):
         router = self.rng.choice(self.routers)
-        url = f"{self.fleet.internal(router)}/operators/{path}"
+        url = f"{self.fleet.internal_url(router)}/operators/{path}"
         sent = self.headers | (headers or {})
         data = None if body is None else json.dumps(body).encode()
-        status, answer = local_fleet.ask(method, url, sent, data)
+        status, answer = local_fleet.http_request(method, url, sent, data)
         return status, json.loads(answer or b"{}")
 
     def switch(self, name, revision, command_id):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -182,7 +182,7 @@
 
         Otherwise shutdown cuts off an answer in the router's send buffer.
         """
-        made = local.Local()
+        made = local.Harness()
         self.addAsyncCleanup(made.close)
         router = made.add_router()
         drain = router.fakes.needs.drain
@@ -194,7 +194,7 @@
             self.assertEqual(drain.in_flight, 1)
             rest = await stream.read_until(b"model-199999")
             self.assertGreater(len(head + rest), 1_000_000)
-            await local.until(lambda: not drain.in_flight)
+            await local.wait_until(lambda: not drain.in_flight)
 
 
 def _models_request():
@@ -216,7 +216,7 @@
         extra = "[callers]\nleave_seconds = 1.5\n"
         local_fleet.write_settings(path, self.routers, extra=extra)
         self.fleet = local_fleet.LocalFleet(path, path / "logs")
-        self.addCleanup(self.fleet.end)
+        self.addCleanup(self.fleet.stop_all)
         await asyncio.to_thread(self.bring_up)
         self.answered = 0
         self.lost = []
@@ -291,16 +291,16 @@
         If it closed its listener a second after the check began to fail,
         their requests would be lost or refused.
         """
-        chats = asyncio.ensure_future(self.keep_chatting(max_tokens=10))
+        chats = asyncio.ensure_future(self.chat_until_stopped(max_tokens=10))
         name = self.names[0]
         process = self.fleet.processes.pop(name)
         process.signal(signal.SIGTERM)
         await asyncio.sleep(self.late_seconds)
-        self.callers.drop(self.fleet.callers(name))
+        self.callers.remove_router(self.fleet.callers_url(name))
         code = await self.blocking(process.stop)
         self.chatting = False
         await chats
         self.assertEqual(code, 0)
         self.assertEqual(self.tally.refused, {})
-        self.assertEqual((self.tally.cut, self.tally.wrong), (0, 0))
-        self.assertGreater(self.tally.whole, 50)
+        self.assertEqual((self.tally.truncated, self.tally.mismatched), (0, 0))
+        self.assertGreater(self.tally.complete, 50)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -41,7 +41,7 @@
             lines += f"{prefix}certificate_key_file = {self.key}\n"
         path.write_text(path.read_text().replace("[listen]\n", lines))
         fleet = local_fleet.LocalFleet(self.folder, self.folder / "logs")
-        self.addCleanup(fleet.end)
+        self.addCleanup(fleet.stop_all)
         fleet.start("router-1")
         return fleet.settings["router-1"].listen
 
