--- a/amaranthring/app.py
+++ b/amaranthring/app.py
@@ -113,7 +113,7 @@
     stop = signals.stop_event()
     keeper, served = keeper_parts.make(settings)
     routes = [
-        ("/metrics", figures.FiguresHandler, {"figures": keeper.metrics})
+        ("/metrics", figures.MetricsHandler, {"figures": keeper.metrics})
     ]
     internal = listen_internal(settings, routes)
     keeper.start(listeners.bind_sockets(settings.listen.fleet))
--- a/amaranthring/cli/commands.py
+++ b/amaranthring/cli/commands.py
@@ -14,7 +14,7 @@
 class SettingsCommands:
     """Check settings files and print examples."""
 
-    @fleet_commands.as_text(file=str, role=str)
+    @fleet_commands.parse_as_text(file=str, role=str)
     def check(self, file: str, role: str = "router") -> str:
         """Check FILE as settings of a router, keeper or operator."""
         model = settings_module.ROLES.get(role)
@@ -29,7 +29,7 @@
             settings_module.check_files(made, role)
         return f"{file}: good settings of a {role}"
 
-    @fleet_commands.as_text(role=str)
+    @fleet_commands.parse_as_text(role=str)
     def example(self, role: str = "router") -> str:
         """Print every key of ROLE with its meaning and default."""
         return settings_module.example(role)
@@ -52,13 +52,13 @@
         super().__init__(operator)
         self.settings = SettingsCommands()
 
-    @fleet_commands.as_text(settings=str)
+    @fleet_commands.parse_as_text(settings=str)
     def router(self, settings: str) -> None:
         """Run a router with the settings file SETTINGS until it is stopped."""
         app = importlib.import_module("amaranthring.app")
         app.run("router", settings_module.read(settings))
 
-    @fleet_commands.as_text(name=str)
+    @fleet_commands.parse_as_text(name=str)
     def bench(self, name: str = "", json: bool = False, **parameters) -> None:
         """Run benchmark NAME; exit 1 if a figure is out of its bounds."""
         known = sorted(
@@ -79,4 +79,4 @@
     def version(self) -> str:
         """Print the version."""
         package = importlib.import_module("amaranthring")
-        return output.pairs({"amaranthring": package.__version__})
+        return output.format_mapping({"amaranthring": package.__version__})
--- a/amaranthring/cli/fleet_commands.py
+++ b/amaranthring/cli/fleet_commands.py
@@ -19,24 +19,24 @@
 
 # Names and ids must reach the fleet as they were typed; fire would make a
 # number of 007 and a list of a,b.
-as_text = fire.decorators.SetParseFns
+parse_as_text = fire.decorators.SetParseFns
 
 
 def _quoted(name: str) -> str:
     return urllib.parse.quote(str(name), safe="")
 
 
-class Group:
+class CommandGroup:
     """Base of the command groups: reaches the fleet when first asked."""
 
     def __init__(self, operator: str = ""):
         self._operator = operator
 
-    def _fleet(self) -> remote.Remote:
+    def _fleet(self) -> remote.RouterClient:
         path = self._operator or os.environ.get(OPERATOR_VARIABLE, "")
         path = path or os.path.expanduser(DEFAULT_OPERATOR_FILE)
         model = settings_module.OperatorSettings
-        return remote.Remote(settings_module.read(path, model))
+        return remote.RouterClient(settings_module.read(path, model))
 
     def _change(self, method, path, body, command_id, revision=None) -> str:
         command_id = str(command_id or uuid.uuid4().hex)
@@ -44,7 +44,7 @@
         if revision is None:
             revision = fleet.get("/operators/status")["revision"]
         try:
-            answer = fleet.change(method, path, body, command_id, revision)
+            answer = fleet.send_command(method, path, body, command_id, revision)
         except errors.AmaranthringError as error:
             if error.outcome != errors.Outcome.NOT_RUN:
                 error.detail += (
@@ -56,21 +56,21 @@
         return f"accepted as revision {answer['revision']}"
 
 
-class PresetCommands(Group):
+class PresetCommands(CommandGroup):
     """See, change and switch presets; exactly one is in force."""
 
     def list(self, json: bool = False) -> str:
         """List presets; the one in force is marked."""
         answer = self._fleet().get("/operators/presets")
-        return output.shown(answer, json, views.presets)
+        return output.render(answer, json, views.presets)
 
-    @as_text(name=str)
+    @parse_as_text(name=str)
     def show(self, name: str, json: bool = False) -> str:
         """Show preset NAME."""
         answer = self._fleet().get(f"/operators/presets/{_quoted(name)}")
-        return output.shown(answer, json, output.pairs)
+        return output.render(answer, json, output.format_mapping)
 
-    @as_text(name=str, file=str, command_id=str)
+    @parse_as_text(name=str, file=str, command_id=str)
     def put(
         self,
         name: str,
@@ -87,7 +87,7 @@
         path = f"/operators/presets/{_quoted(name)}"
         return self._change("PUT", path, body, command_id, revision)
 
-    @as_text(name=str, command_id=str)
+    @parse_as_text(name=str, command_id=str)
     def switch(
         self,
         name: str,
@@ -102,9 +102,9 @@
     def history(self, json: bool = False) -> str:
         """List accepted changes, newest last."""
         answer = self._fleet().get("/operators/history")
-        return output.shown(answer, json, views.history)
+        return output.render(answer, json, views.history)
 
-    @as_text(command_id=str)
+    @parse_as_text(command_id=str)
     def restore(
         self,
         to_revision: int,
@@ -117,21 +117,21 @@
         return self._change("POST", path, body, command_id, revision)
 
 
-class TargetCommands(Group):
+class TargetCommands(CommandGroup):
     """See and drain targets."""
 
     def list(self, json: bool = False) -> str:
         """List targets with state and load."""
         answer = self._fleet().get("/operators/targets")
-        return output.shown(answer, json, views.targets)
+        return output.render(answer, json, views.targets)
 
-    @as_text(name=str)
+    @parse_as_text(name=str)
     def show(self, name: str, json: bool = False) -> str:
         """Show target NAME."""
         answer = self._fleet().get(f"/operators/targets/{_quoted(name)}")
-        return output.shown(answer, json, output.pairs)
+        return output.render(answer, json, output.format_mapping)
 
-    @as_text(name=str, reason=str, command_id=str)
+    @parse_as_text(name=str, reason=str, command_id=str)
     def drain(
         self,
         name: str,
@@ -144,7 +144,7 @@
         body = {"reason": reason}
         return self._change("POST", path, body, command_id, revision)
 
-    @as_text(name=str, command_id=str)
+    @parse_as_text(name=str, command_id=str)
     def undrain(
         self,
         name: str,
@@ -156,24 +156,24 @@
         return self._change("POST", path, {}, command_id, revision)
 
 
-class AccountCommands(Group):
+class AccountCommands(CommandGroup):
     """See client accounts."""
 
     def list(self, json: bool = False) -> str:
         """List client accounts with their limits in the preset in force."""
         answer = self._fleet().get("/operators/accounts")
         columns = ("name", "weight", "rate_per_second", "burst")
-        return output.shown(
-            answer, json, lambda a: output.table(a["accounts"], columns)
+        return output.render(
+            answer, json, lambda a: output.format_table(a["accounts"], columns)
         )
 
-    @as_text(name=str)
+    @parse_as_text(name=str)
     def show(self, name: str, json: bool = False) -> str:
         """Show client account NAME."""
         answer = self._fleet().get(f"/operators/accounts/{_quoted(name)}")
-        return output.shown(answer, json, output.pairs)
+        return output.render(answer, json, output.format_mapping)
 
-    @as_text(name=str, file=str, command_id=str)
+    @parse_as_text(name=str, file=str, command_id=str)
     def put(
         self,
         name: str,
@@ -189,7 +189,7 @@
         path = f"/operators/accounts/{_quoted(name)}"
         return self._change("PUT", path, body, command_id, revision)
 
-    @as_text(name=str, command_id=str)
+    @parse_as_text(name=str, command_id=str)
     def remove(
         self,
         name: str,
@@ -201,15 +201,15 @@
         return self._change("DELETE", path, None, command_id, revision)
 
 
-class QuarantineCommands(Group):
+class QuarantineCommands(CommandGroup):
     """See and lift the quarantine of requests that crashed targets."""
 
     def list(self, json: bool = False) -> str:
         """List quarantined requests by fingerprint."""
         answer = self._fleet().get("/operators/quarantine")
-        return output.shown(answer, json, views.quarantine)
+        return output.render(answer, json, views.quarantine)
 
-    @as_text(fingerprint=str, command_id=str)
+    @parse_as_text(fingerprint=str, command_id=str)
     def lift(
         self,
         fingerprint: str,
@@ -221,14 +221,14 @@
         return self._change("DELETE", path, None, command_id, revision)
 
 
-class KeeperCommands(Group):
+class KeeperCommands(CommandGroup):
     """Run a keeper with --settings FILE; see and change the group."""
 
     def __init__(self, operator: str = ""):
         super().__init__(operator)
         # fire reads how to parse the words of a callable object from the
         # object itself, not from its method.
-        as_text(settings=str)(self)
+        parse_as_text(settings=str)(self)
 
     def __call__(self, settings: str) -> None:
         """Run a keeper with the file SETTINGS until it is stopped."""
@@ -238,9 +238,9 @@
     def status(self, json: bool = False) -> str:
         """Show leader, members and how many more losses are safe."""
         answer = self._fleet().get("/operators/keepers")
-        return output.shown(answer, json, views.keepers)
+        return output.render(answer, json, views.keepers)
 
-    @as_text(name=str, address=str, data_centre=str, command_id=str)
+    @parse_as_text(name=str, address=str, data_centre=str, command_id=str)
     def add(
         self, name: str, data_centre: str, address: str, command_id: str = ""
     ) -> str:
@@ -249,32 +249,32 @@
         path = "/operators/keepers/add"
         return self._change("POST", path, body, command_id)
 
-    @as_text(name=str, command_id=str)
+    @parse_as_text(name=str, command_id=str)
     def remove(self, name: str, command_id: str = "") -> str:
         """Remove keeper NAME from the group."""
         path = "/operators/keepers/remove"
         return self._change("POST", path, {"name": name}, command_id)
 
 
-class OrderCommands(Group):
+class OrderCommands(CommandGroup):
     """See orders to targets."""
 
     def list(self, json: bool = False) -> str:
         """List orders with their progress."""
         answer = self._fleet().get("/operators/orders")
         columns = ("order", "target", "action", "state", "fencing", "detail")
-        return output.shown(
-            answer, json, lambda a: output.table(a["orders"], columns)
+        return output.render(
+            answer, json, lambda a: output.format_table(a["orders"], columns)
         )
 
-    @as_text(order=str)
+    @parse_as_text(order=str)
     def show(self, order: str, json: bool = False) -> str:
         """Show ORDER."""
         answer = self._fleet().get(f"/operators/orders/{_quoted(order)}")
-        return output.shown(answer, json, output.pairs)
+        return output.render(answer, json, output.format_mapping)
 
 
-class FleetCommands(Group):
+class FleetCommands(CommandGroup):
     """Commands that ask the fleet, gathered under the program's name."""
 
     def __init__(self, operator: str = ""):
@@ -289,13 +289,13 @@
     def status(self, json: bool = False) -> str:
         """Show revision, routers, targets and keepers at a glance."""
         answer = self._fleet().get("/operators/status")
-        return output.shown(answer, json, views.status)
+        return output.render(answer, json, views.status)
 
-    @as_text(request_id=str)
+    @parse_as_text(request_id=str)
     def explain(self, request_id: str, json: bool = False) -> str:
         """Show what was decided about REQUEST_ID, and on what grounds."""
         path = f"/operators/explain/{_quoted(request_id)}"
-        return output.shown(self._fleet().get(path), json, views.explained)
+        return output.render(self._fleet().get(path), json, views.explanation)
 
 
 def _json_file(path: str):
--- a/amaranthring/cli/output.py
+++ b/amaranthring/cli/output.py
@@ -5,14 +5,14 @@
 import typing as t
 
 
-def shown(value: t.Any, as_json: bool, table: t.Callable[[t.Any], str]) -> str:
+def render(value: t.Any, as_json: bool, table: t.Callable[[t.Any], str]) -> str:
     """Return `value` as JSON, or as what `table` makes of it."""
     if as_json:
         return json.dumps(value, indent=2, sort_keys=True)
     return table(value)
 
 
-def table(
+def format_table(
     rows: collections.abc.Sequence[collections.abc.Mapping[str, t.Any]],
     columns: collections.abc.Sequence[str],
 ) -> str:
@@ -31,14 +31,14 @@
     return "\n".join(lines)
 
 
-def pairs(value: collections.abc.Mapping[str, t.Any], indent: int = 0) -> str:
+def format_mapping(value: collections.abc.Mapping[str, t.Any], indent: int = 0) -> str:
     """Return a mapping as indented ``name: value`` lines."""
     lines = []
     margin = "  " * indent
     for key, inner in value.items():
         if isinstance(inner, collections.abc.Mapping) and inner:
             lines.append(f"{margin}{key}:")
-            lines.append(pairs(inner, indent + 1))
+            lines.append(format_mapping(inner, indent + 1))
         else:
             lines.append(f"{margin}{key}: {_cell(inner)}")
     return "\n".join(lines)
--- a/amaranthring/cli/program.py
+++ b/amaranthring/cli/program.py
@@ -11,7 +11,7 @@
 from amaranthring import errors
 from amaranthring.cli import commands
 
-EXIT_REFUSED = 1
+EXIT_FAILURE = 1
 EXIT_USAGE = 2
 USAGE_ERRORS = (errors.SettingsError, errors.UsageError)
 
@@ -28,12 +28,12 @@
     except errors.AmaranthringError as error:
         _complain(error)
         usage = isinstance(error, USAGE_ERRORS)
-        sys.exit(EXIT_USAGE if usage else EXIT_REFUSED)
+        sys.exit(EXIT_USAGE if usage else EXIT_FAILURE)
     except KeyboardInterrupt:
-        sys.exit(EXIT_REFUSED)
+        sys.exit(EXIT_FAILURE)
     except BrokenPipeError:
         sys.stderr.close()
-        sys.exit(EXIT_REFUSED)
+        sys.exit(EXIT_FAILURE)
 
 
 def _taken(words: list[str], flag: str) -> str:
--- a/amaranthring/cli/remote.py
+++ b/amaranthring/cli/remote.py
@@ -10,10 +10,10 @@
 from amaranthring import errors
 from amaranthring import settings
 
-COMMAND_HEADER = "Amaranthring-Command-Id"
+COMMAND_ID_HEADER = "Amaranthring-Command-Id"
 
 
-class Remote:
+class RouterClient:
     """Requests to the routers' internal listeners, tried in order.
 
     Parameters
@@ -30,17 +30,17 @@
     def __init__(self, operator: settings.OperatorSettings):
         section = operator.operator
         self.routers = section.routers.split()
-        tokens = settings.secret_lines(section.token_file)
+        tokens = settings.read_secrets(section.token_file)
         self.token = next(iter(tokens.values()))
         self.timeout = section.timeout_seconds
-        self.authority = section.certificate_file
+        self.ca_file = section.certificate_file
         self.client = tornado.httpclient.HTTPClient()
 
     def get(self, path: str) -> t.Any:
         """Return the decoded answer to a read."""
         return self._ask("GET", path, None, {})
 
-    def change(
+    def send_command(
         self,
         method: str,
         path: str,
@@ -49,7 +49,7 @@
         revision: int | None = None,
     ) -> t.Any:
         """Return the decoded answer to a change."""
-        headers = {COMMAND_HEADER: command_id}
+        headers = {COMMAND_ID_HEADER: command_id}
         if revision is not None:
             headers["If-Match"] = f'"{revision}"'
         return self._ask(method, path, body, headers)
@@ -72,7 +72,7 @@
     def _ask_one(self, router, method, path, body, headers):
         context = None
         if router.startswith("https"):
-            context = ssl.create_default_context(cafile=self.authority or None)
+            context = ssl.create_default_context(cafile=self.ca_file or None)
         request = tornado.httpclient.HTTPRequest(
             urllib.parse.urljoin(router, path),
             method=method,
--- a/amaranthring/cli/views.py
+++ b/amaranthring/cli/views.py
@@ -23,7 +23,7 @@
         lines.append(f"confirmed by all {len(routers)} routers")
     rows = [{"router": name, **row} for name, row in sorted(routers.items())]
     columns = ("router", "data_centre", "revision", "age_seconds")
-    return "\n".join([*lines, output.table(rows, columns)])
+    return "\n".join([*lines, output.format_table(rows, columns)])
 
 
 def keepers(answer: Answer) -> str:
@@ -52,7 +52,7 @@
         "silent_seconds",
         "fault",
     )
-    return "\n".join([*lines, output.table(rows, columns)])
+    return "\n".join([*lines, output.format_table(rows, columns)])
 
 
 def _keeper(name: str, state: Answer, members: dict[str, Answer]) -> Answer:
@@ -76,13 +76,13 @@
         rows.append({**preset, "preset": name, "state": mark})
     columns = ("preset", "state", "load_bound", "retry_budget")
     heading = f"revision {answer['revision']}"
-    return heading + "\n" + output.table(rows, columns)
+    return heading + "\n" + output.format_table(rows, columns)
 
 
 def history(answer: Answer) -> str:
     """Return accepted changes, newest last."""
-    rows = [{**row, "at": moment(row["at"])} for row in answer["history"]]
-    return output.table(rows, ("revision", "at", "operator", "change"))
+    rows = [{**row, "at": format_time(row["at"])} for row in answer["history"]]
+    return output.format_table(rows, ("revision", "at", "operator", "change"))
 
 
 def targets(answer: Answer) -> str:
@@ -103,31 +103,31 @@
         "waiting",
         "address",
     )
-    return (heading or "none") + "\n" + output.table(rows, columns)
+    return (heading or "none") + "\n" + output.format_table(rows, columns)
 
 
 def quarantine(answer: Answer) -> str:
     """Return quarantined requests with their expiry."""
     rows = [
-        {"fingerprint": name, "expires": moment(expiry)}
+        {"fingerprint": name, "expires": format_time(expiry)}
         for name, expiry in sorted(answer["quarantine"].items())
     ]
-    return output.table(rows, ("fingerprint", "expires"))
+    return output.format_table(rows, ("fingerprint", "expires"))
 
 
-def explained(answer: Answer) -> str:
+def explanation(answer: Answer) -> str:
     """Return the decisions about one request in order."""
     rows = []
     for decision in answer["decisions"]:
         fields = decision["fields"].items()
         said = " ".join(f"{key}={value}" for key, value in fields)
         rows.append({**decision, "on": said})
-    begun = moment(answer["begun"])
+    begun = format_time(answer["begun"])
     heading = f"request {answer['request_id']}, begun {begun}"
-    return heading + "\n" + output.table(rows, ("seconds", "event", "on"))
+    return heading + "\n" + output.format_table(rows, ("seconds", "event", "on"))
 
 
-def moment(seconds: float) -> str:
+def format_time(seconds: float) -> str:
     """Return wall time `seconds` in UTC, to the second."""
     when = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
     return when.strftime("%Y-%m-%dT%H:%M:%SZ")
--- a/amaranthring/keepers/initial_config.py
+++ b/amaranthring/keepers/initial_config.py
@@ -38,7 +38,7 @@
             f"{path}: malformed", given=str(error), expected="JSON or INI"
         ) from error
     try:
-        return conventions.bootstrap(raw)
+        return conventions.parse_bootstrap(raw)
     except errors.BadRequestError as error:
         raise errors.SettingsError(f"{path}: {error.detail}") from error
 
--- a/amaranthring/monitoring/figures.py
+++ b/amaranthring/monitoring/figures.py
@@ -16,11 +16,11 @@
 PERCENTILES = (50, 95, 99)
 MICROSECONDS = 1e6
 MILLISECONDS = 1e3
-UNSAFE = re.compile(r"[^a-zA-Z0-9_\-]")
-DATAGRAM_BYTES = 1400
+UNSAFE_CHARACTERS = re.compile(r"[^a-zA-Z0-9_\-]")
+MAX_DATAGRAM_BYTES = 1400
 
 
-def summary(figures: metrics.Metrics) -> dict:
+def summarize(figures: metrics.Metrics) -> dict:
     """Return counters, gauges and histogram summaries, durations in s."""
     histograms = []
     for (name, account, cls), histogram in figures.histograms.items():
@@ -42,16 +42,16 @@
     }
 
 
-class FiguresHandler(tornado.web.RequestHandler):
+class MetricsHandler(tornado.web.RequestHandler):
     """``GET /metrics``: the figures of this process as JSON."""
 
     def initialize(self, figures: metrics.Metrics):
         """Take the figures that are served."""
-        self.figures = figures
+        self.metrics = figures
 
     def get(self):
         """Answer with all figures."""
-        self.write(summary(self.figures))
+        self.write(summarize(self.metrics))
 
 
 class StatsdSender:
@@ -62,38 +62,38 @@
     """
 
     def __init__(self, figures: metrics.Metrics, settings):
-        self.figures = figures
-        self.every_seconds = settings.every_seconds
-        self.sent: dict[str, int] = {}
+        self.metrics = figures
+        self.interval_seconds = settings.every_seconds
+        self.last_sent: dict[str, int] = {}
         self.client = statsd.StatsClient(
             settings.host,
             settings.port,
             prefix=settings.prefix,
-            maxudpsize=DATAGRAM_BYTES,
+            maxudpsize=MAX_DATAGRAM_BYTES,
         )
 
     async def run(self) -> None:
         """Send until cancelled."""
         while True:
-            await asyncio.sleep(self.every_seconds)
+            await asyncio.sleep(self.interval_seconds)
             self.send()
 
     def send(self) -> None:
         """Send what changed since the last sending."""
         with self.client.pipeline() as pipe:
-            for name, value in self.figures.counters.items():
-                grown = value - self.sent.get(name, 0)
+            for name, value in self.metrics.counters.items():
+                grown = value - self.last_sent.get(name, 0)
                 if grown:
                     pipe.incr(name, grown)
-                self.sent[name] = value
-            for name, value in self.figures.gauges.items():
+                self.last_sent[name] = value
+            for name, value in self.metrics.gauges.items():
                 pipe.gauge(name, value)
-            for row in summary(self.figures)["histograms"]:
+            for row in summarize(self.metrics)["histograms"]:
                 self._send_histogram(pipe, row)
 
     def _send_histogram(self, pipe, row) -> None:
         parts = [row["name"], row["account"], row["class"]]
-        clean = [UNSAFE.sub("_", part) for part in parts if part]
+        clean = [UNSAFE_CHARACTERS.sub("_", part) for part in parts if part]
         for percentile in PERCENTILES:
             value = row[f"p{percentile}"] * MILLISECONDS
             pipe.gauge(".".join([*clean, f"p{percentile}"]), value)
--- a/amaranthring/operators/base.py
+++ b/amaranthring/operators/base.py
@@ -22,11 +22,11 @@
 COMMAND_SECONDS = 5.0
 QUERY_SECONDS = 3.0
 RETRY_AFTER_SECONDS = 1.0
-NAMES_SHOWN = 50
+MAX_NAMES_SHOWN = 50
 
 
 @dataclasses.dataclass
-class Operators:
+class Dependencies:
     """What the handlers need, gathered by the composition root.
 
     Attributes
@@ -66,14 +66,14 @@
 class Handler(tornado.web.RequestHandler):
     """Base: authenticates, validates, and answers in one JSON form."""
 
-    def initialize(self, operators: Operators) -> None:
+    def initialize(self, operators: Dependencies) -> None:
         """Take over what the composition root gathered."""
-        self.operators = operators
-        self.operators.drain.request_started()
+        self.dependencies = operators
+        self.dependencies.drain.request_started()
 
     def on_finish(self) -> None:
         """Count the request out once its answer is sent."""
-        leave = self.operators.drain.request_finished
+        leave = self.dependencies.drain.request_finished
         connections.call_when_sent(self.request.connection, leave)
 
     def prepare(self) -> None:
@@ -92,12 +92,12 @@
 
     def _named(self, digest: str) -> str:
         found = ""
-        for name, known in self.operators.tokens.items():
+        for name, known in self.dependencies.tokens.items():
             if hmac.compare_digest(known, digest):
                 found = name
         return found
 
-    def answer(self, body: t.Any, revision: int | None = None) -> None:
+    def respond(self, body: t.Any, revision: int | None = None) -> None:
         """Answer 200 with `body`, and the revision as ``ETag``."""
         if revision is not None:
             self.set_header("ETag", f'"{revision}"')
@@ -128,25 +128,25 @@
         """Make no ETag of the body; it is the revision."""
         return
 
-    def body(self) -> dict[str, t.Any]:
+    def json_body(self) -> dict[str, t.Any]:
         """Return the JSON object sent."""
-        return conventions.json_body(self.request.body)
+        return conventions.parse_json_body(self.request.body)
 
-    def operated(self) -> dict[str, t.Any]:
+    def command_fields(self) -> dict[str, t.Any]:
         """Return what every command of an operator carries."""
         headers = self.request.headers
         return {
-            "command_id": conventions.command_id(
+            "command_id": conventions.parse_command_id(
                 headers.get(conventions.COMMAND_ID_HEADER)
             ),
             "operator": self.operator,
-            "if_match": conventions.if_match(headers.get("If-Match")),
+            "if_match": conventions.parse_if_match(headers.get("If-Match")),
         }
 
     async def propose(self, command: commands.OperatorCommand) -> None:
         """Propose `command` and answer with what was accepted."""
         try:
-            done = await self.operators.propose(command, COMMAND_SECONDS)
+            done = await self.dependencies.propose(command, COMMAND_SECONDS)
         except (errors.LinkError, errors.CommitUnknownError) as error:
             if error.outcome == errors.Outcome.NOT_RUN:
                 raise
@@ -157,24 +157,24 @@
                 retry_after=RETRY_AFTER_SECONDS,
             ) from error
         body = {"revision": done.revision, "in_force": done.in_force}
-        self.answer(body, done.revision)
+        self.respond(body, done.revision)
 
-    async def view(self, what: str, name: str = "") -> t.Any:
+    async def fetch_view(self, what: str, name: str = "") -> t.Any:
         """Return a view of the state from the leader."""
         ask = commands.StateQuery(what, name)
-        return (await self.operators.query(ask, QUERY_SECONDS)).view
+        return (await self.dependencies.query(ask, QUERY_SECONDS)).view
 
-    async def config(self) -> fleet.FleetConfig:
+    async def fetch_config(self) -> fleet.FleetConfig:
         """Return the configuration in force, from the leader.
 
         Without keepers it is the one that this router runs, and the header
         ``Amaranthring-Source`` says so.
         """
         try:
-            found = await self.view("config")
+            found = await self.fetch_view("config")
         except (errors.NoQuorumError, errors.LinkError):
             self.set_header("Amaranthring-Source", "router")
-            return self.operators.revisions.current
+            return self.dependencies.revisions.current
         self.set_header("Amaranthring-Source", "keepers")
         return parts.build_config(found["revision"], found["items"])
 
@@ -189,7 +189,7 @@
     return errors.InternalError("failed")
 
 
-def named(found: dict[str, t.Any], kind: str, name: str) -> t.Any:
+def get_or_404(found: dict[str, t.Any], kind: str, name: str) -> t.Any:
     """Return `found[name]`.
 
     Raises
@@ -201,6 +201,6 @@
         raise errors.NotFoundError(
             f"no such {kind}",
             given=name,
-            expected=f"one of {sorted(found)[:NAMES_SHOWN]}",
+            expected=f"one of {sorted(found)[:MAX_NAMES_SHOWN]}",
         )
     return found[name]
--- a/amaranthring/operators/conventions.py
+++ b/amaranthring/operators/conventions.py
@@ -17,7 +17,7 @@
 from amaranthring.settings import models
 
 COMMAND_ID_HEADER = "Amaranthring-Command-Id"
-FAULTS_MOST = 50
+MAX_FAULTS = 50
 
 Name = t.Annotated[
     str, pydantic.Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._:\-]{0,63}$")
@@ -30,7 +30,7 @@
 Seconds = t.Annotated[float, pydantic.Field(gt=0, le=3600)]
 Method = t.Literal["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"]
 Role = t.Literal["mixed", "prefill", "decode"]
-COMMAND_ID = re.compile(r"^[A-Za-z0-9._:\-]{8,64}$")
+COMMAND_ID_PATTERN = re.compile(r"^[A-Za-z0-9._:\-]{8,64}$")
 
 
 class Model(pydantic.BaseModel):
@@ -134,21 +134,21 @@
     address: models.Address | t.Literal[""] = ""
 
 
-NAME = pydantic.TypeAdapter(Name)
+NAME_ADAPTER = pydantic.TypeAdapter(Name)
 
 
 def _validated(validate: t.Callable[[], t.Any]) -> t.Any:
     try:
         return validate()
     except pydantic.ValidationError as error:
-        faults = [fault_line(fault) for fault in error.errors()]
-        more = len(faults) - FAULTS_MOST
+        faults = [format_fault(fault) for fault in error.errors()]
+        more = len(faults) - MAX_FAULTS
         if more > 0:
-            faults = [*faults[:FAULTS_MOST], f"and {more} more"]
+            faults = [*faults[:MAX_FAULTS], f"and {more} more"]
         raise errors.BadRequestError("\n".join(faults)) from error
 
 
-def fault_line(fault: t.Any) -> str:
+def format_fault(fault: t.Any) -> str:
     """Return one line for a fault found by pydantic."""
     place = ".".join(str(part) for part in fault["loc"]) or "body"
     if fault["type"] == "missing":
@@ -157,7 +157,7 @@
     return f"{place}: given {given!r}, expected: {fault['msg']}"
 
 
-def json_body(body: bytes) -> t.Any:
+def parse_json_body(body: bytes) -> t.Any:
     """Return the JSON object in `body`; an empty body is an empty object.
 
     Raises
@@ -178,7 +178,7 @@
     return made
 
 
-def model(kind: type[Model], raw: t.Any) -> t.Any:
+def validate(kind: type[Model], raw: t.Any) -> t.Any:
     """Return `raw` validated as `kind`.
 
     Raises
@@ -189,7 +189,7 @@
     return _validated(lambda: kind.model_validate(raw))
 
 
-def name(text: str) -> str:
+def validate_name(text: str) -> str:
     """Return `text` if it may name a preset, account or target.
 
     Raises
@@ -197,16 +197,16 @@
     errors.BadRequestError
         If it may not.
     """
-    return _validated(lambda: NAME.validate_python(text))
+    return _validated(lambda: NAME_ADAPTER.validate_python(text))
 
 
-def preset(preset_name: str, raw: t.Any) -> fleet.Preset:
+def parse_preset(preset_name: str, raw: t.Any) -> fleet.Preset:
     """Return the preset that `raw` describes."""
-    made = model(PresetModel, raw)
-    return _preset(name(preset_name), made)
+    made = validate(PresetModel, raw)
+    return _preset(validate_name(preset_name), made)
 
 
-def account(account_name: str, raw: t.Any) -> fleet.Account:
+def parse_account(account_name: str, raw: t.Any) -> fleet.Account:
     """Return the client account that `raw` describes.
 
     ``tokens`` may be given in place of ``token_hashes``; they are hashed
@@ -222,13 +222,13 @@
                 "tokens", given="other", expected="16 characters or more each"
             )
         raw["token_hashes"] = [hashing.token_hash(token) for token in tokens]
-    made = model(AccountModel, raw)
-    return fleet.Account(name(account_name), **made.model_dump())
+    made = validate(AccountModel, raw)
+    return fleet.Account(validate_name(account_name), **made.model_dump())
 
 
-def bootstrap(raw: t.Any) -> commands.Bootstrap:
+def parse_bootstrap(raw: t.Any) -> commands.Bootstrap:
     """Return the first configuration that `raw` describes."""
-    made = model(BootstrapModel, raw)
+    made = validate(BootstrapModel, raw)
     return commands.Bootstrap(
         made.in_force,
         [_preset(n, preset) for n, preset in made.presets.items()],
@@ -253,7 +253,7 @@
     return found
 
 
-def if_match(header: str | None) -> int:
+def parse_if_match(header: str | None) -> int:
     """Return the revision in an ``If-Match`` header.
 
     Raises
@@ -277,7 +277,7 @@
     return int(text)
 
 
-def command_id(header: str | None) -> str:
+def parse_command_id(header: str | None) -> str:
     """Return the id in an ``Amaranthring-Command-Id`` header.
 
     Raises
@@ -285,7 +285,7 @@
     errors.BadRequestError
         If it is missing or malformed.
     """
-    if header is None or not COMMAND_ID.match(header):
+    if header is None or not COMMAND_ID_PATTERN.match(header):
         raise errors.BadRequestError(
             COMMAND_ID_HEADER,
             given=None if header is None else header[:80],
--- a/amaranthring/operators/handlers.py
+++ b/amaranthring/operators/handlers.py
@@ -21,9 +21,9 @@
 
     async def get(self) -> None:
         """Answer with the revision in force and every router's."""
-        revisions = self.operators.revisions
+        revisions = self.dependencies.revisions
         try:
-            found = await self.view("status")
+            found = await self.fetch_view("status")
             found["source"] = "keepers"
         except (errors.NoQuorumError, errors.LinkError):
             found = {
@@ -34,11 +34,11 @@
             }
         found["answered_by"] = revisions.name
         found["not_confirmed"] = self._not_confirmed(found)
-        self.answer(found, found["revision"])
+        self.respond(found, found["revision"])
 
     def _not_confirmed(self, found: dict[str, t.Any]) -> list[str]:
         known = found["routers"]
-        configured = self.operators.routers
+        configured = self.dependencies.routers
         for name, data_centre in configured.items():
             unheard = {
                 "data_centre": data_centre,
@@ -63,7 +63,7 @@
 
     async def get(self) -> None:
         """List the presets."""
-        config = await self.config()
+        config = await self.fetch_config()
         body = {
             "revision": config.revision,
             "in_force": config.in_force,
@@ -72,7 +72,7 @@
                 for name, preset in sorted(config.presets.items())
             },
         }
-        self.answer(body, config.revision)
+        self.respond(body, config.revision)
 
 
 class Preset(base.Handler):
@@ -80,24 +80,24 @@
 
     async def get(self, name: str) -> None:
         """Show the preset."""
-        config = await self.config()
-        found = base.named(config.presets, "preset", name)
+        config = await self.fetch_config()
+        found = base.get_or_404(config.presets, "preset", name)
         body = {
             "revision": config.revision,
             "in_force": config.in_force == name,
             "preset": parts.to_plain(found),
         }
         body["preset"].pop("name")
-        self.answer(body, config.revision)
+        self.respond(body, config.revision)
 
     async def put(self, name: str) -> None:
         """Create or replace the preset."""
-        made = conventions.preset(name, self.body())
-        await self.propose(commands.PutPreset(made, **self.operated()))
+        made = conventions.parse_preset(name, self.json_body())
+        await self.propose(commands.PutPreset(made, **self.command_fields()))
 
     async def delete(self, name: str) -> None:
         """Remove the preset."""
-        await self.propose(commands.RemovePreset(name, **self.operated()))
+        await self.propose(commands.RemovePreset(name, **self.command_fields()))
 
 
 class Restore(base.Handler):
@@ -105,9 +105,9 @@
 
     async def post(self) -> None:
         """Take what presets held at an earlier revision again."""
-        made = conventions.model(conventions.RestoreModel, self.body())
+        made = conventions.validate(conventions.RestoreModel, self.json_body())
         command = commands.RestorePresets(
-            made.revision, made.preset, **self.operated()
+            made.revision, made.preset, **self.command_fields()
         )
         await self.propose(command)
 
@@ -117,8 +117,8 @@
 
     async def post(self) -> None:
         """Put another preset in force."""
-        made = conventions.model(conventions.SwitchModel, self.body())
-        command = commands.SwitchPreset(made.preset, **self.operated())
+        made = conventions.validate(conventions.SwitchModel, self.json_body())
+        command = commands.SwitchPreset(made.preset, **self.command_fields())
         await self.propose(command)
 
 
@@ -127,7 +127,7 @@
 
     async def get(self) -> None:
         """List the client accounts."""
-        config = await self.config()
+        config = await self.fetch_config()
         body = {
             "revision": config.revision,
             "accounts": [
@@ -136,7 +136,7 @@
                 for name in sorted(config.accounts)
             ],
         }
-        self.answer(body, config.revision)
+        self.respond(body, config.revision)
 
 
 class Account(base.Handler):
@@ -144,8 +144,8 @@
 
     async def get(self, name: str) -> None:
         """Show the account, without anything that lets one in."""
-        config = await self.config()
-        found = base.named(config.accounts, "account", name)
+        config = await self.fetch_config()
+        found = base.get_or_404(config.accounts, "account", name)
         body = {
             "revision": config.revision,
             "name": name,
@@ -153,16 +153,16 @@
             "tokens": [digest[:8] for digest in found.token_hashes],
             "policy": parts.to_plain(config.preset.account_policy(name)),
         }
-        self.answer(body, config.revision)
+        self.respond(body, config.revision)
 
     async def put(self, name: str) -> None:
         """Create or replace the account."""
-        made = conventions.account(name, self.body())
-        await self.propose(commands.PutAccount(made, **self.operated()))
+        made = conventions.parse_account(name, self.json_body())
+        await self.propose(commands.PutAccount(made, **self.command_fields()))
 
     async def delete(self, name: str) -> None:
         """Remove the account."""
-        await self.propose(commands.RemoveAccount(name, **self.operated()))
+        await self.propose(commands.RemoveAccount(name, **self.command_fields()))
 
 
 class Targets(base.Handler):
@@ -170,11 +170,11 @@
 
     async def get(self) -> None:
         """List the targets."""
-        drained = self.operators.revisions.current.drained
-        rows = self.operators.targets()
+        drained = self.dependencies.revisions.current.drained
+        rows = self.dependencies.targets()
         for row in rows:
             row["drained"] = drained.get(row["name"])
-        self.answer({"targets": rows, "drained": drained})
+        self.respond({"targets": rows, "drained": drained})
 
 
 class Target(base.Handler):
@@ -182,11 +182,11 @@
 
     async def get(self, name: str) -> None:
         """Show the target."""
-        rows = {row["name"]: row for row in self.operators.targets()}
-        row = dict(base.named(rows, "target", name))
-        drained = self.operators.revisions.current.drained
+        rows = {row["name"]: row for row in self.dependencies.targets()}
+        row = dict(base.get_or_404(rows, "target", name))
+        drained = self.dependencies.revisions.current.drained
         row["drained"] = drained.get(name)
-        self.answer(row)
+        self.respond(row)
 
 
 class Drain(base.Handler):
@@ -194,9 +194,9 @@
 
     async def post(self, name: str) -> None:
         """Give the target no new work."""
-        made = conventions.model(conventions.DrainModel, self.body())
+        made = conventions.validate(conventions.DrainModel, self.json_body())
         command = commands.DrainTarget(
-            conventions.name(name), made.reason, **self.operated()
+            conventions.validate_name(name), made.reason, **self.command_fields()
         )
         await self.propose(command)
 
@@ -206,29 +206,29 @@
 
     async def post(self, name: str) -> None:
         """Give the target work again."""
-        await self.propose(commands.UndrainTarget(name, **self.operated()))
+        await self.propose(commands.UndrainTarget(name, **self.command_fields()))
 
 
-class View(base.Handler):
+class StateView(base.Handler):
     """A view of the keepers' state as it is; `what` names it."""
 
-    def initialize(self, operators: base.Operators, what: str = "") -> None:
+    def initialize(self, operators: base.Dependencies, what: str = "") -> None:
         """Take over the name of the view."""
         super().initialize(operators)
-        self.what = what
+        self.view_name = what
 
     async def get(self) -> None:
         """Show the view, narrowed by the argument ``name``."""
         name = self.get_query_argument("name", "")
-        self.answer({self.what: await self.view(self.what, name)})
+        self.respond({self.view_name: await self.fetch_view(self.view_name, name)})
 
 
-class Quarantined(base.Handler):
+class QuarantineEntry(base.Handler):
     """``/operators/quarantine/FINGERPRINT``."""
 
     async def delete(self, fingerprint: str) -> None:
         """Take the request off the list."""
-        command = commands.LiftQuarantine(fingerprint, **self.operated())
+        command = commands.LiftQuarantine(fingerprint, **self.command_fields())
         await self.propose(command)
 
 
@@ -237,8 +237,8 @@
 
     async def get(self, number: str) -> None:
         """Show one order."""
-        rows = {row["order"]: row for row in await self.view("orders")}
-        self.answer(base.named(rows, "order", number))
+        rows = {row["order"]: row for row in await self.fetch_view("orders")}
+        self.respond(base.get_or_404(rows, "order", number))
 
 
 class Keepers(base.Handler):
@@ -246,9 +246,9 @@
 
     async def get(self) -> None:
         """Show the status of the group of keepers."""
-        if self.operators.keepers is None:
+        if self.dependencies.keepers is None:
             raise errors.NotFoundError("no keepers here")
-        self.answer(parts.to_plain(await self.operators.keepers()))
+        self.respond(parts.to_plain(await self.dependencies.keepers()))
 
 
 class ChangeKeepers(base.Handler):
@@ -256,9 +256,9 @@
 
     async def post(self, action: str) -> None:
         """Add a keeper as a learner to be voted in, or remove one."""
-        if self.operators.change_keepers is None:
+        if self.dependencies.change_keepers is None:
             raise errors.NotFoundError("no keepers here")
-        made = conventions.model(conventions.KeeperModel, self.body())
+        made = conventions.validate(conventions.KeeperModel, self.json_body())
         adds = action == "add"
         if adds and not (made.address and made.data_centre):
             raise errors.BadRequestError(
@@ -266,9 +266,9 @@
                 given=made.name,
                 expected="also data_centre and address",
             )
-        await self.operators.change_keepers(adds, made)
-        revision = self.operators.revisions.parts.revision
-        self.answer({"revision": revision, "keeper": made.name})
+        await self.dependencies.change_keepers(adds, made)
+        revision = self.dependencies.revisions.parts.revision
+        self.respond({"revision": revision, "keeper": made.name})
 
 
 class Explain(base.Handler):
@@ -276,12 +276,12 @@
 
     async def get(self, request_id: str) -> None:
         """Show what was decided on the request's way."""
-        if self.operators.explain is None:
+        if self.dependencies.explain is None:
             raise errors.NotFoundError("explain is off")
-        self.answer(await self.operators.explain(request_id))
+        self.respond(await self.dependencies.explain(request_id))
 
 
-class Missing(base.Handler):
+class NotFound(base.Handler):
     """Any other path below ``/operators``."""
 
     def prepare(self) -> None:
@@ -290,14 +290,14 @@
         raise errors.NotFoundError("no such path", given=self.request.path)
 
 
-def routes(operators: base.Operators) -> list[t.Any]:
+def routes(operators: base.Dependencies) -> list[t.Any]:
     """Return the routes for the internal listener."""
     shared = {"operators": operators}
     name = r"([^/]+)"
     root = r"/operators"
 
     def view(what: str) -> tuple:
-        return (f"{root}/{what}", View, shared | {"what": what})
+        return (f"{root}/{what}", StateView, shared | {"what": what})
 
     return [
         (f"{root}/status", Status, shared),
@@ -315,9 +315,9 @@
         view("quarantine"),
         view("orders"),
         (f"{root}/orders/{name}", Order, shared),
-        (f"{root}/quarantine/{name}", Quarantined, shared),
+        (f"{root}/quarantine/{name}", QuarantineEntry, shared),
         (f"{root}/keepers", Keepers, shared),
         (f"{root}/keepers/(add|remove)", ChangeKeepers, shared),
         (f"{root}/explain/{name}", Explain, shared),
-        (f"{root}/.*", Missing, shared),
+        (f"{root}/.*", NotFound, shared),
     ]
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -82,7 +82,7 @@
         self.stopping = False
         self.tasks: list[asyncio.Task] = []
         section = settings.fleet
-        self.keys = links.Keys(settings_module.keys(section.keys_file))
+        self.keys = links.Keys(settings_module.read_keys(section.keys_file))
         self.handlers = links.Handlers()
         self._make_mesh()
         self._make_admission()
@@ -233,7 +233,7 @@
 
     def _resume_keys(self) -> links.Keys:
         path = self.settings.fleet.resume_key_file
-        return links.Keys(settings_module.keys(path)) if path else self.keys
+        return links.Keys(settings_module.read_keys(path)) if path else self.keys
 
     def config(self):
         """Return the active configuration revision of this router."""
@@ -316,18 +316,18 @@
         """Return the routes of the internal listener."""
         fleet = self.settings.fleet
         routes = [
-            ("/metrics", figures.FiguresHandler, {"figures": self.metrics})
+            ("/metrics", figures.MetricsHandler, {"figures": self.metrics})
         ]
         if fleet.targets_key_file:
-            keys = settings_module.keys(fleet.targets_key_file)
+            keys = settings_module.read_keys(fleet.targets_key_file)
             routes += announce.routes(self.table, keys, self.metrics)
         if fleet.operators_file:
-            tokens = settings_module.secret_lines(fleet.operators_file)
+            tokens = settings_module.read_secrets(fleet.operators_file)
             routes += operators.routes(self._operators(tokens))
         return routes
 
-    def _operators(self, tokens: dict[str, str]) -> operators_base.Operators:
-        return operators_base.Operators(
+    def _operators(self, tokens: dict[str, str]) -> operators_base.Dependencies:
+        return operators_base.Dependencies(
             tokens=tokens,
             propose=self.keepers.propose,
             query=self.keepers.query,
--- a/amaranthring/settings/__init__.py
+++ b/amaranthring/settings/__init__.py
@@ -6,14 +6,14 @@
 from amaranthring.settings.models import KeeperSection
 from amaranthring.settings.models import OperatorSettings
 from amaranthring.settings.models import PeerAddress
-from amaranthring.settings.models import peers
+from amaranthring.settings.models import parse_peers
 from amaranthring.settings.models import ROLES
 from amaranthring.settings.models import Settings
 from amaranthring.settings.reference import example
 from amaranthring.settings.reference import reference
-from amaranthring.settings.secrets import check_private
-from amaranthring.settings.secrets import keys
-from amaranthring.settings.secrets import secret_lines
+from amaranthring.settings.secrets import check_file_mode
+from amaranthring.settings.secrets import read_keys
+from amaranthring.settings.secrets import read_secrets
 
 __all__ = [
     "ROLES",
@@ -23,11 +23,11 @@
     "PeerAddress",
     "Settings",
     "check_files",
-    "check_private",
+    "check_file_mode",
     "example",
-    "keys",
-    "peers",
+    "read_keys",
+    "parse_peers",
     "read",
     "reference",
-    "secret_lines",
+    "read_secrets",
 ]
--- a/amaranthring/settings/files.py
+++ b/amaranthring/settings/files.py
@@ -17,14 +17,14 @@
         With every fault, one a line.
     """
     checks = [
-        lambda: secrets.keys(made.fleet.keys_file),
+        lambda: secrets.read_keys(made.fleet.keys_file),
         lambda: _optional_keys(made.fleet.targets_key_file),
         lambda: _optional_keys(made.fleet.resume_key_file),
         lambda: _listed(made, role),
         lambda: _data_folder(made, role),
     ]
     if made.fleet.operators_file:
-        checks.append(lambda: secrets.secret_lines(made.fleet.operators_file))
+        checks.append(lambda: secrets.read_secrets(made.fleet.operators_file))
     listen = made.listen
     for certificate, key in (
         (listen.certificate_file, listen.certificate_key_file),
@@ -60,7 +60,7 @@
             given=certificate or key,
             expected="both files or neither",
         )
-    secrets.check_private(key)
+    secrets.check_file_mode(key)
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     try:
         context.load_cert_chain(certificate, key)
@@ -75,7 +75,7 @@
 
 def _optional_keys(path: str) -> None:
     if path:
-        secrets.keys(path)
+        secrets.read_keys(path)
 
 
 def _listed(made: models.Settings, role: str) -> None:
--- a/amaranthring/settings/models.py
+++ b/amaranthring/settings/models.py
@@ -16,7 +16,7 @@
 Address = t.Annotated[str, pydantic.Field(pattern=ADDRESS_PATTERN)]
 
 
-def described(default: t.Any, text: str, **bounds: t.Any) -> t.Any:
+def documented_field(default: t.Any, text: str, **bounds: t.Any) -> t.Any:
     """Return a field with a default and the sentence that documents it."""
     return pydantic.Field(default, description=text, **bounds)
 
@@ -30,18 +30,18 @@
 class ProcessSection(Section):
     """Who and where this process is."""
 
-    name: Name = described(..., "Unique name in the fleet.")
-    data_centre: Name = described(..., "Data centre of this VM.")
-    region: str = described("default", "Region of the data centre.")
-    data_folder: str = described(
+    name: Name = documented_field(..., "Unique name in the fleet.")
+    data_centre: Name = documented_field(..., "Data centre of this VM.")
+    region: str = documented_field("default", "Region of the data centre.")
+    data_folder: str = documented_field(
         "",
         "Folder for durable state; required for a keeper. A router keeps "
         "its last revision there.",
     )
-    log_level: t.Literal["DEBUG", "INFO", "WARNING", "ERROR"] = described(
+    log_level: t.Literal["DEBUG", "INFO", "WARNING", "ERROR"] = documented_field(
         "INFO", "Lowest level of log lines."
     )
-    log_format: t.Literal["text", "json"] = described(
+    log_format: t.Literal["text", "json"] = documented_field(
         "text", "Form of log lines."
     )
 
@@ -49,25 +49,25 @@
 class ListenSection(Section):
     """Addresses of this process, and TLS for them."""
 
-    callers: Address = described(
+    callers: Address = documented_field(
         "127.0.0.1:8080", "Chats, plain services and the health check."
     )
-    internal: Address = described(
+    internal: Address = documented_field(
         "127.0.0.1:8081", "Targets, operators and figures."
     )
-    fleet: Address = described(
+    fleet: Address = documented_field(
         "127.0.0.1:8082", "Streams of our own processes."
     )
-    certificate_file: str = described(
+    certificate_file: str = documented_field(
         "", "Certificate chain for callers; empty serves plain HTTP."
     )
-    certificate_key_file: str = described(
+    certificate_key_file: str = documented_field(
         "", "Private key of that certificate; readable by its owner only."
     )
-    internal_certificate_file: str = described(
+    internal_certificate_file: str = documented_field(
         "", "Certificate chain for targets and operators."
     )
-    internal_certificate_key_file: str = described(
+    internal_certificate_key_file: str = documented_field(
         "", "Private key of that certificate; readable by its owner only."
     )
 
@@ -75,25 +75,25 @@
 class FleetSection(Section):
     """The other processes, and the keys shared with them."""
 
-    routers: str = described(
+    routers: str = documented_field(
         "", "All routers, one 'name data_centre host:port' a line."
     )
-    keepers: str = described(
+    keepers: str = documented_field(
         "", "All keepers, one 'name data_centre host:port' a line."
     )
-    group: str = described("fleet", "Name of the keepers' group.")
-    keys_file: str = described(
+    group: str = documented_field("fleet", "Name of the keepers' group.")
+    keys_file: str = documented_field(
         ...,
         "Keys of the fleet, one 'id hex' a line; the first signs, all are "
         "accepted.",
     )
-    targets_key_file: str = described(
+    targets_key_file: str = documented_field(
         "", "Keys shared with targets, in the same form."
     )
-    operators_file: str = described(
+    operators_file: str = documented_field(
         "", "Operators, one 'name sha256-of-token' a line."
     )
-    resume_key_file: str = described(
+    resume_key_file: str = documented_field(
         "",
         "Keys that sign resume tokens, in the same form; empty uses those "
         "of the fleet.",
@@ -102,36 +102,36 @@
     @pydantic.field_validator("routers", "keepers")
     @classmethod
     def _lines_are_well_formed(cls, text: str) -> str:
-        peers(text)
+        parse_peers(text)
         return text
 
 
 class CallersSection(Section):
     """Bounds towards callers."""
 
-    header_bytes_most: Bytes = described(16 * 1024, "Bytes of all headers.")
-    body_bytes_most: Bytes = described(
+    header_bytes_most: Bytes = documented_field(16 * 1024, "Bytes of all headers.")
+    body_bytes_most: Bytes = documented_field(
         4 * 1024 * 1024, "Bytes of a request body."
     )
-    header_seconds: Seconds = described(5.0, "Time for all headers.")
-    body_seconds: Seconds = described(20.0, "Time for the whole body.")
-    idle_seconds: Seconds = described(
+    header_seconds: Seconds = documented_field(5.0, "Time for all headers.")
+    body_seconds: Seconds = documented_field(20.0, "Time for the whole body.")
+    idle_seconds: Seconds = documented_field(
         60.0, "Time a kept connection may be idle."
     )
-    write_buffer_bytes: Bytes = described(
+    write_buffer_bytes: Bytes = documented_field(
         256 * 1024, "Bytes held for a slow reader before its target waits."
     )
-    shutdown_seconds: Seconds = described(
+    shutdown_seconds: Seconds = documented_field(
         30.0, "Time that requests in progress have at a shutdown."
     )
-    health_grace_seconds: float = described(
+    health_grace_seconds: float = documented_field(
         1.0,
         "Time without a new request, after the health check has begun to "
         "fail, until the listener closes.",
         ge=0,
         le=60,
     )
-    leave_seconds: Seconds = described(
+    leave_seconds: Seconds = documented_field(
         10.0,
         "Time at most in which a stopping router still serves callers who "
         "come although its health check fails.",
@@ -141,54 +141,54 @@
 class StatsdSection(Section):
     """Where figures go."""
 
-    host: str = described("", "Host of statsd; empty sends nothing.")
-    port: int = described(8125, "UDP port of statsd.", ge=1, le=65535)
-    prefix: str = described("amaranthring", "First part of every name.")
-    every_seconds: Seconds = described(10.0, "Time between sendings.")
+    host: str = documented_field("", "Host of statsd; empty sends nothing.")
+    port: int = documented_field(8125, "UDP port of statsd.", ge=1, le=65535)
+    prefix: str = documented_field("amaranthring", "First part of every name.")
+    every_seconds: Seconds = documented_field(10.0, "Time between sendings.")
 
 
 class KeeperSection(Section):
     """Timing and bounds of the durable log."""
 
-    initial_file: str = described(
+    initial_file: str = documented_field(
         "",
         "Fleet configuration taken when the group starts with no state.",
     )
-    heartbeat_seconds: Seconds = described(
+    heartbeat_seconds: Seconds = documented_field(
         0.1, "Time between a leader's heartbeats."
     )
-    election_seconds: Seconds = described(
+    election_seconds: Seconds = documented_field(
         0.6, "Least time without a leader before an election."
     )
-    snapshot_entries: int = described(
+    snapshot_entries: int = documented_field(
         5000, "Entries of the log between snapshots.", ge=10, le=1_000_000
     )
-    answer_bytes_most: Bytes = described(
+    answer_bytes_most: Bytes = documented_field(
         16 * 1024, "Bytes of a stored answer of a non-idempotent call."
     )
-    claim_hours: float = described(
+    claim_hours: float = documented_field(
         72.0, "Hours that a settled claim is kept.", gt=0, le=24 * 365
     )
-    order_seconds: Seconds = described(
+    order_seconds: Seconds = documented_field(
         60.0, "Longest time of one order to a target."
     )
-    order_patience_seconds: float = described(
+    order_patience_seconds: float = documented_field(
         10.0,
         "Time for which an order must be wanted before it is given.",
         ge=0,
         le=3600,
     )
-    order_listen_seconds: float = described(
+    order_listen_seconds: float = documented_field(
         35.0,
         "Time in which a new leader hears of all targets, above the 30 s of "
         "their reports.",
         ge=0,
         le=3600,
     )
-    loads_at_once: int = described(
+    loads_at_once: int = documented_field(
         4, "Loads from the weight store at the same time.", ge=1, le=1000
     )
-    loads_per_minute: int = described(
+    loads_per_minute: int = documented_field(
         30, "Loads from the weight store in a minute.", ge=1, le=100_000
     )
 
@@ -215,29 +215,29 @@
 
     def routers(self) -> list[PeerAddress]:
         """Return every configured router, this one included."""
-        return peers(self.fleet.routers)
+        return parse_peers(self.fleet.routers)
 
     def keepers(self) -> list[PeerAddress]:
         """Return every configured keeper."""
-        return peers(self.fleet.keepers)
+        return parse_peers(self.fleet.keepers)
 
 
 class OperatorSection(Section):
     """How the command line reaches the fleet."""
 
-    routers: str = described(
+    routers: str = documented_field(
         "http://127.0.0.1:8081",
         "Internal addresses of routers, separated by blanks; the next is "
         "tried when one does not answer.",
         min_length=1,
     )
-    token_file: str = described(
+    token_file: str = documented_field(
         ..., "File with one line 'name token', readable by its owner only."
     )
-    certificate_file: str = described(
+    certificate_file: str = documented_field(
         "", "Certificate authority that signs the routers' certificates."
     )
-    timeout_seconds: Seconds = described(10.0, "Time for one answer.")
+    timeout_seconds: Seconds = documented_field(10.0, "Time for one answer.")
 
 
 class OperatorSettings(pydantic.BaseModel):
@@ -255,7 +255,7 @@
 }
 
 
-def peers(text: str) -> list[PeerAddress]:
+def parse_peers(text: str) -> list[PeerAddress]:
     """Return the processes named in `text`, one a line.
 
     Raises
--- a/amaranthring/settings/secrets.py
+++ b/amaranthring/settings/secrets.py
@@ -6,10 +6,10 @@
 
 from amaranthring import errors
 
-KEY_BYTES_LEAST = 16
+MIN_KEY_BYTES = 16
 
 
-def secret_lines(path: str) -> dict[str, str]:
+def read_secrets(path: str) -> dict[str, str]:
     """Return ``name value`` lines of the secret file at `path`, in order.
 
     Raises
@@ -38,7 +38,7 @@
     return found
 
 
-def keys(path: str) -> dict[str, bytes]:
+def read_keys(path: str) -> dict[str, bytes]:
     """Return keys by id from the file at `path`, in its order.
 
     Raises
@@ -47,12 +47,12 @@
         As :func:`secret_lines`, or if a key is not 32 hex digits or more.
     """
     found = {}
-    for key_id, text in secret_lines(path).items():
+    for key_id, text in read_secrets(path).items():
         try:
             found[key_id] = bytes.fromhex(text)
         except ValueError:
             found[key_id] = b""
-        if len(found[key_id]) < KEY_BYTES_LEAST:
+        if len(found[key_id]) < MIN_KEY_BYTES:
             raise errors.SettingsError(
                 f"{path}: key {key_id} is too short or not hex",
                 given=f"{len(text)} characters",
@@ -61,7 +61,7 @@
     return found
 
 
-def check_private(path: str) -> None:
+def check_file_mode(path: str) -> None:
     """Check that only the owner of the file at `path` can read it.
 
     Raises
@@ -86,7 +86,7 @@
 
 
 def _private_text(path: str) -> str:
-    check_private(path)
+    check_file_mode(path)
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/amaranthring/testing/standin.py
+++ b/amaranthring/testing/standin.py
@@ -74,7 +74,7 @@
     stopped = signals.stop_event()
     announcer = None
     if given.announce:
-        key_id, key = next(iter(settings.keys(given.key_file).items()))
+        key_id, key = next(iter(settings.read_keys(given.key_file).items()))
         announcer = announcing.Announcer(
             announced,
             given.announce,
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -34,7 +34,7 @@
         made = metrics.Metrics()
         for milliseconds in range(1, 101):
             made.record("first-token", milliseconds / 1e3, "vanua", "chat")
-        every, own = figures.summary(made)["histograms"]
+        every, own = figures.summarize(made)["histograms"]
         self.assertEqual((every["account"], every["class"]), ("", "chat"))
         self.assertEqual((own["account"], own["class"]), ("vanua", "chat"))
         self.assertAlmostEqual(every["p50"], 0.050, delta=0.002)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -25,7 +25,7 @@
             made, _ = state.make_revisions(name, "dc1", self.group, {})
             made.parts.apply(self.group.machine.config_since(0))
             made.current = made.parts.config()
-            operators = base.Operators(
+            operators = base.Dependencies(
                 {"ana": hashing.token_hash(TOKEN)},
                 self.propose,
                 self.query,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -80,7 +80,7 @@
     def test_secret_open_to_others_is_refused(self):
         os.chmod(self.keys, 0o644)
         with self.assertRaises(errors.SettingsError) as caught:
-            settings.keys(self.keys)
+            settings.read_keys(self.keys)
         self.assertIn("open to others", str(caught.exception))
         self.assertNotIn("abab", str(caught.exception))
 
@@ -89,7 +89,7 @@
         words = self.write("words", "k1 sec ret\n")
         for path in (short, words):
             with self.assertRaises(errors.SettingsError) as caught:
-                settings.keys(path)
+                settings.read_keys(path)
             self.assertNotIn("abcdef", str(caught.exception))
             self.assertNotIn(
                 "sec", str(caught.exception).replace("secret", "")
--- a/tools/attribution.py
+++ b/tools/attribution.py
@@ -21,11 +21,11 @@
 import sys
 import typing as t
 
-LINE = re.compile(r"^\s*(?:(-?[\d.]+) (\S+) )?(\{.*\})\s*$")
+LOG_LINE = re.compile(r"^\s*(?:(-?[\d.]+) (\S+) )?(\{.*\})\s*$")
 # A part that nobody asked for in so long would have yielded to others.
-LATELY_SECONDS = 10.0
-BEING_READ_SECONDS = 0.4
-ANSWERED_SECONDS = 2.0
+RECENT_USE_SECONDS = 10.0
+PREFILL_SECONDS = 0.4
+RECENT_ANSWER_SECONDS = 2.0
 
 
 @dataclasses.dataclass
@@ -46,7 +46,7 @@
         Shared parts of its prompt, with their tokens.
     """
 
-    at: float
+    arrived_at: float
     seconds: float
     router: str
     route: str
@@ -61,7 +61,7 @@
     """What an engine has read, and when it last answered."""
 
     data_centre: str = ""
-    parts: dict[str, float] = dataclasses.field(default_factory=dict)
+    last_read_at: dict[str, float] = dataclasses.field(default_factory=dict)
     answered_at: float = float("-inf")
 
 
@@ -73,10 +73,10 @@
         self.engines: dict[str, Engine] = collections.defaultdict(Engine)
         for line in lines:
             self._take(line)
-        self.requests.sort(key=lambda one: one.at)
+        self.requests.sort(key=lambda one: one.arrived_at)
 
     def _take(self, line: str) -> None:
-        found = LINE.match(line)
+        found = LOG_LINE.match(line)
         if found is None:
             return
         try:
@@ -118,15 +118,15 @@
     return name, int(tokens)
 
 
-def outcomes(log: Log, span: float) -> dict[float, collections.Counter]:
+def count_outcomes(log: Log, span: float) -> dict[float, collections.Counter]:
     """Return how many requests ended how, by the span of their arrival."""
     found = collections.defaultdict(collections.Counter)
     for one in log.requests:
-        found[_span(one.at, span)][f"{one.route} {one.outcome}"] += 1
+        found[_span(one.arrived_at, span)][f"{one.route} {one.outcome}"] += 1
     return found
 
 
-def read_again(log: Log, span: float) -> dict[float, collections.Counter]:
+def count_reprocessed_tokens(log: Log, span: float) -> dict[float, collections.Counter]:
     """Return the tokens read or copied again, by span and cause."""
     found = collections.defaultdict(collections.Counter)
     used: dict[str, float] = {}
@@ -138,7 +138,7 @@
             lacking = _lacking(one, engine, used)
             if tokens := sum(size for _, size in lacking):
                 cause = _cause(log, one, target, lacking)
-                found[_span(one.at, span)][cause] += tokens
+                found[_span(one.arrived_at, span)][cause] += tokens
             _note(one, engine, outcome, used)
     return found
 
@@ -149,7 +149,7 @@
     return [
         (name, size)
         for name, size in one.parts[begin:]
-        if one.at - used.get(name, float("-inf")) < LATELY_SECONDS
+        if one.at - used.get(name, float("-inf")) < RECENT_USE_SECONDS
     ]
 
 
@@ -160,14 +160,14 @@
     holders = [
         engine
         for name, engine in log.engines.items()
-        if name != target and any(part in engine.parts for part in names)
+        if name != target and any(part in engine.last_read_at for part in names)
     ]
-    live = [h for h in holders if one.at - h.answered_at < ANSWERED_SECONDS]
+    live = [h for h in holders if one.arrived_at - h.answered_at < RECENT_ANSWER_SECONDS]
     if not live:
         return "quiet"
-    newest = max(h.parts.get(n, 0.0) for h in live for n in names)
-    oldest = min(h.parts[n] for h in live for n in names if n in h.parts)
-    if newest - oldest < BEING_READ_SECONDS > one.at - oldest:
+    newest = max(h.last_read_at.get(n, 0.0) for h in live for n in names)
+    oldest = min(h.last_read_at[n] for h in live for n in names if n in h.last_read_at)
+    if newest - oldest < PREFILL_SECONDS > one.arrived_at - oldest:
         return "being-read"
     near = any(h.data_centre and h.data_centre in one.router for h in live)
     return "near" if near else "elsewhere"
@@ -175,9 +175,9 @@
 
 def _note(one: Request, engine: Engine, outcome: str, used) -> None:
     for name, _ in one.parts:
-        engine.parts[name] = used[name] = one.at
+        engine.last_read_at[name] = used[name] = one.arrived_at
     if outcome == "200":
-        engine.answered_at = one.at + one.seconds
+        engine.answered_at = one.arrived_at + one.seconds
 
 
 def _span(at: float, span: float) -> float:
@@ -189,8 +189,8 @@
     with open(path, encoding="utf-8", errors="replace") as lines:
         log = Log(lines)
     for title, table in (
-        ("requests", outcomes(log, span)),
-        ("tokens read again", read_again(log, span)),
+        ("requests", count_outcomes(log, span)),
+        ("tokens read again", count_reprocessed_tokens(log, span)),
     ):
         total = sum(table.values(), collections.Counter())
         print(title, *_cells(total))
--- a/tools/verdict.py
+++ b/tools/verdict.py
@@ -19,16 +19,16 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-KNOWN_RED_MOST = 3
+MAX_KNOWN_RED = 3
 # Second field of a line whose test fails in some runs only.
 SOMETIMES = "sometimes"
 # Whole fleets run in some modules; more at once would make their waiting
 # times a matter of the machine.
-AT_ONCE = 4
+MAX_WORKERS = 4
 
 
 @dataclasses.dataclass
-class Ran:
+class ModuleResult:
     """What one test module did.
 
     Attributes
@@ -55,7 +55,7 @@
     return sorted(names, key=lambda name: "fleet" not in name)
 
 
-def run(module: str, folder: pathlib.Path) -> Ran:
+def run(module: str, folder: pathlib.Path) -> ModuleResult:
     """Run one test module."""
     results = folder / f"{module}.xml"
     command = [sys.executable, "-m", "nose2", "--quiet"]
@@ -71,7 +71,7 @@
     )
     passed, failed, seconds = outcomes(results)
     crashed = ended.returncode != 0 and not failed
-    return Ran(module, passed, failed, crashed, ended.stdout, seconds)
+    return ModuleResult(module, passed, failed, crashed, ended.stdout, seconds)
 
 
 def outcomes(results: pathlib.Path) -> tuple[list[str], list[str], float]:
@@ -93,7 +93,7 @@
     return passed, failed, seconds
 
 
-def known_red() -> dict[str, str]:
+def read_known_red() -> dict[str, str]:
     """Return the listed test names, each mapped to its whole line."""
     if not KNOWN_RED.exists():
         return {}
@@ -107,7 +107,7 @@
     return len(fields) > 1 and fields[1] == SOMETIMES
 
 
-def line_share() -> tuple[int, int]:
+def count_lines() -> tuple[int, int]:
     """Return the lines of tests and of all Python files."""
 
     def lines(folder: str) -> int:
@@ -118,11 +118,11 @@
     return tests, tests + lines("amaranthring") + lines("tools")
 
 
-def judge(ran: list[Ran]) -> bool:
+def report(ran: list[ModuleResult]) -> bool:
     """Print what failed and the counts; return whether the run is good."""
     passed = [name for one in ran for name in one.passed]
     failed = [name for one in ran for name in one.failed]
-    listed = known_red()
+    listed = read_known_red()
     unlisted = [name for name in failed if name not in listed]
     stale = [
         name
@@ -136,11 +136,11 @@
         print(f"failed: {name}")
     for name in crashed:
         print(f"crashed: {name}")
-    tests, total = line_share()
+    tests, total = count_lines()
     print(f"test lines: {tests} of {total} ({tests / total:.1%})")
     print(f"{len(passed)} passed, {len(failed) + len(crashed)} failed")
     good = not unlisted and not stale and not crashed
-    return good and bool(passed) and len(listed) <= KNOWN_RED_MOST
+    return good and bool(passed) and len(listed) <= MAX_KNOWN_RED
 
 
 def main() -> int:
@@ -149,7 +149,7 @@
     ran = []
     with (
         tempfile.TemporaryDirectory() as folder,
-        concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool,
+        concurrent.futures.ThreadPoolExecutor(MAX_WORKERS) as pool,
     ):
         started = [pool.submit(run, n, pathlib.Path(folder)) for n in names]
         for future in concurrent.futures.as_completed(started):
@@ -159,7 +159,7 @@
             print(f"{one.module}: {count} in {one.seconds:.1f} s", flush=True)
             if one.failed or one.crashed:
                 print(one.output)
-    return 0 if judge(ran) else 1
+    return 0 if report(ran) else 1
 
 
 if __name__ == "__main__":
