--- a/amaranthring/app.py
+++ b/amaranthring/app.py
@@ -57,7 +57,7 @@
     bounds = settings.callers
     server = tornado.httpserver.HTTPServer(
         tornado.web.Application(routes, log_function=_no_access_log),
-        ssl_options=files.tls_context(
+        ssl_options=files.load_tls_context(
             listen.internal_certificate_file,
             listen.internal_certificate_key_file,
         ),
@@ -100,7 +100,7 @@
     routes = [("/health", health.HealthHandler, options)]
     app = server.make_app(router.needs, settings.callers, routes)
     listen = settings.listen
-    context = files.tls_context(
+    context = files.load_tls_context(
         listen.certificate_file, listen.certificate_key_file
     )
     sockets = listeners.bind_sockets(listen.callers)
--- a/amaranthring/bench/keepers.py
+++ b/amaranthring/bench/keepers.py
@@ -218,7 +218,7 @@
         await _add(fleet, f"{kind}{number}")
         await asyncio.sleep(source.uniform(0.2, 0.4))
         lost = fleet.keepers[old]
-        (lost.kill if kind == "kill" else lost.freeze)()
+        (lost.kill if kind == "kill" else lost.pause)()
         began = time.perf_counter()
         call = asyncio.ensure_future(_add(fleet, f"{kind}-after{number}"))
         await processes.wait_until(
@@ -230,7 +230,7 @@
         if kind == "kill":
             await fleet.restart(old)
         else:
-            lost.wake()
+            lost.resume()
         await _whole(fleet)
     made.add(f"without a leader after a {kind}, worst", max(led), "s", 1.5)
     made.add(
--- a/amaranthring/bench/model.py
+++ b/amaranthring/bench/model.py
@@ -118,7 +118,7 @@
         self.number = 0
         self.factor = 1.0
         self.on_start = _nothing
-        fleet.net.pause = _at_once
+        fleet.network.pause = _at_once
 
     # -- running --
 
@@ -167,7 +167,7 @@
         rate = self.load.per_second * self.factor
         self.after(self.random.expovariate(rate), self._arrive)
         chat = self.pick_chat()
-        router = self.random.choice(self.fleet.entries())
+        router = self.random.choice(self.fleet.accepting())
         self.number += 1
         await self.send(router.name, f"chat-{chat}")
 
@@ -207,7 +207,7 @@
         return [
             each.name
             for each in self.fleet.targets
-            if self.fleet.truth_of(each.name) == records.TargetState.READY
+            if self.fleet.state_of(each.name) == records.TargetState.READY
         ]
 
     def _check(self, name: str) -> None:
@@ -240,7 +240,7 @@
 
     def _tick(self) -> None:
         for router in self.fleet.live():
-            if router.name not in self.fleet.net.frozen:
+            if router.name not in self.fleet.network.frozen:
                 router.owners.tick(self.fleet.clock.now)
                 router.directory.flush()
                 router.directory.move_some()
--- a/amaranthring/bench/way_fleet.py
+++ b/amaranthring/bench/way_fleet.py
@@ -52,7 +52,7 @@
 async def _run(made, fleet, streams, tokens, requests) -> None:
     router = fleet.names("router")[0]
     pid = fleet.processes[router].popen.pid
-    port = int(fleet.callers(router).rpartition(":")[2])
+    port = int(fleet.callers_url(router).rpartition(":")[2])
     addresses = [
         fleet.processes[f"engine-{n + 1}"].log.read_text().split()[1]
         for n in range(ENGINES)
--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -140,7 +140,7 @@
     if not attempt.sent:
         raise error
     timed_out = isinstance(error, errors.UpstreamTimeoutError)
-    if delivery.opened and not attempt.lost and not timed_out:
+    if delivery.opened and not attempt.target_lost and not timed_out:
         for _ in range(MAX_RESUMES):
             try:
                 await _resume(needs, attempt.target, name, delivery)
@@ -148,17 +148,17 @@
                 return
             except errors.NotFoundError:
                 # The process that ran it is gone; another took its port.
-                attempt.lost = True
+                attempt.target_lost = True
                 break
             except errors.UpstreamError as again:
                 if again.outcome is errors.Outcome.NOT_RUN:
                     break
-    if not attempt.lost:
+    if not attempt.target_lost:
         await way.detect_target_loss(attempt)
-    if not attempt.lost:
+    if not attempt.target_lost:
         await cancel(attempt.target, name)
     if delivery.begun:
-        attempt.repeatable = (
+        attempt.retryable = (
             continuation_body(request.body, delivery.events) is not None
         )
     raise error
--- a/amaranthring/callers/output.py
+++ b/amaranthring/callers/output.py
@@ -39,7 +39,7 @@
 
         Raises
         ------
-        errors.CallerGoneError
+        errors.CallerDisconnectedError
             If the caller has left.
         """
         stream = self.stream
--- a/amaranthring/callers/services.py
+++ b/amaranthring/callers/services.py
@@ -110,8 +110,8 @@
 async def _claimed(needs, request, attempt, headers) -> way.Response:
     """Claim, send, settle; or answer from an earlier claim."""
     name = f"{request.request_id}.{attempt.number}"
-    attempt.repeatable = False
-    needs.attempts.add(name)
+    attempt.retryable = False
+    needs.running_attempts.add(name)
     try:
         claim = await _claim(needs, request, name, attempt.target.name)
         claim = await _checked(
@@ -122,7 +122,7 @@
             return await _earlier(needs, request, name, headers, claim)
         return await _run_claimed(needs, request, attempt, headers, name)
     finally:
-        needs.attempts.discard(name)
+        needs.running_attempts.discard(name)
 
 
 async def _checked(needs, request, name, target, claim) -> records.Claim:
@@ -184,7 +184,7 @@
         settled = await _settle(needs, request, name, outcome, None)
         # Another target needs a claim of its own, because a claim names the
         # one target that may be asked again; so this one must be closed.
-        attempt.repeatable = never_ran and settled
+        attempt.retryable = never_ran and settled
         # The ledger granted the claim to this attempt, so what is said here
         # holds for the key and not for this call alone.
         error.claimed = never_ran
@@ -241,7 +241,7 @@
     nothing ran under it, so that the refusal may say so.
     """
     name = f"{request.request_id}.none"
-    needs.attempts.add(name)
+    needs.running_attempts.add(name)
     try:
         claim = await _claim(needs, request, name, "")
         claim = await _checked(needs, request, name, "", claim)
@@ -249,7 +249,7 @@
             return await _earlier(needs, request, name, headers, claim)
         await _settle(needs, request, name, errors.Outcome.NOT_RUN, None)
     finally:
-        needs.attempts.discard(name)
+        needs.running_attempts.discard(name)
     error.claimed = True
     raise error
 
@@ -295,7 +295,7 @@
     Any other target, or one that restarted under another incarnation and
     may have forgotten the key, could run the call a second time.
     """
-    target = needs.target(claim.target) if claim.target else None
+    target = needs.get_target(claim.target) if claim.target else None
     if target is None or not target.honours_keys:
         raise _unknown(request)
     again = way.Attempt(0, records.Grant("", "", target), retryable=False)
--- a/amaranthring/callers/way.py
+++ b/amaranthring/callers/way.py
@@ -244,9 +244,9 @@
     try:
         await needs.report_crash(request, attempt.target)
     except errors.AmaranthringError:
-        attempt.repeatable = False
+        attempt.retryable = False
     if needs.is_quarantined(request.body_digest):
-        attempt.repeatable = False
+        attempt.retryable = False
 
 
 async def _released(needs, request, attempt, once):
@@ -255,7 +255,7 @@
     broken = needs.when_lost(attempt.target.name)
 
     def note_lost(_) -> None:
-        attempt.lost = True
+        attempt.target_lost = True
 
     broken.add_done_callback(note_lost)
     try:
@@ -266,7 +266,7 @@
         end = records.AttemptEnd.CANCELLED
         raise
     except errors.AmaranthringError as error:
-        if attempt.lost:
+        if attempt.target_lost:
             end = records.AttemptEnd.TARGET_LOST
         elif not attempt.sent and isinstance(error, errors.UpstreamError):
             end = records.AttemptEnd.UNREACHABLE
@@ -276,17 +276,17 @@
     finally:
         broken.remove_done_callback(note_lost)
         needs.release(attempt.grant, end)
-        needs.note(
+        needs.record_decision(
             request.request_id,
             "attempt-ended",
             target=attempt.target.name,
             end=str(end),
-            lost=attempt.lost,
+            lost=attempt.target_lost,
         )
 
 
 def _may_repeat(needs, request, attempt, failed, maybe_ran) -> bool:
-    if not attempt.repeatable or attempt.number + 1 >= MAX_ATTEMPTS:
+    if not attempt.retryable or attempt.number + 1 >= MAX_ATTEMPTS:
         return False
     if isinstance(failed, errors.BadRequestError):
         return False
@@ -319,7 +319,7 @@
     needs.metrics.record(
         "queueing", grant.queued_seconds, request.account, request.cls
     )
-    needs.note(
+    needs.record_decision(
         request.request_id,
         "granted",
         target=grant.target.name,
--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -205,7 +205,7 @@
         ------
         errors.UpstreamError
             If the stream broke off; only complete events were forwarded.
-        errors.CallerGoneError
+        errors.CallerDisconnectedError
             If the caller has closed its connection.
         """
         self.exchange.set_timeout(timeout)
--- a/amaranthring/forwarding/events.py
+++ b/amaranthring/forwarding/events.py
@@ -39,7 +39,7 @@
 
         Raises
         ------
-        errors.TruncatedAnswerError
+        errors.TruncatedResponseError
             If an event is missing.
         errors.UpstreamError
             If an event is too large.
--- a/amaranthring/forwarding/responses.py
+++ b/amaranthring/forwarding/responses.py
@@ -80,7 +80,7 @@
 
         Raises
         ------
-        errors.CallerGoneError
+        errors.CallerDisconnectedError
             If the caller has closed its connection.
         """
         try:
--- a/amaranthring/keepers/replication.py
+++ b/amaranthring/keepers/replication.py
@@ -168,7 +168,7 @@
     """
     if not _is_catching_up(group, peer):
         return BATCH_BYTES
-    return min(snapshots.CHUNK_BYTES, int(group.pacer.claim()))
+    return min(snapshots.CHUNK_BYTES, int(group.pacer.reserve()))
 
 
 def _send(group, peer: Peer, max_bytes: int) -> None:
@@ -392,7 +392,7 @@
                 group.store.snapshot_thread, reader.read, offset
             )
             if group.pacer is not None:
-                await group.pacer.turn()
+                await group.pacer.acquire()
             offset = await _send_chunk(group, peer, reader, offset, data)
             if offset is None or epoch != peer.epoch:
                 return
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -428,7 +428,7 @@
         self.owners.hand_over()
         self.directory.hand_over()
         await self.drain.wait_idle(bounds.shutdown_seconds)
-        await callers.server.waiting.end(time.monotonic() + CLOSE_SECONDS)
+        await callers.server.waiting.drain(time.monotonic() + CLOSE_SECONDS)
         await internal.close()
         await self.operator_drain.wait_idle(operators_base.COMMAND_SECONDS)
         self.needs.settlements.stop()
--- a/amaranthring/routers/mesh.py
+++ b/amaranthring/routers/mesh.py
@@ -64,7 +64,7 @@
     Notes
     -----
     The composition root creates the ``links.LinkServer`` with
-    ``on_link=mesh.accept`` and ``on_gone=mesh.remove_link``.
+    ``on_link=mesh.accept`` and ``on_close=mesh.remove_link``.
     """
 
     def __init__(
--- a/amaranthring/settings/files.py
+++ b/amaranthring/settings/files.py
@@ -33,7 +33,7 @@
             listen.internal_certificate_key_file,
         ),
     ):
-        checks.append(lambda c=certificate, k=key: tls_context(c, k))
+        checks.append(lambda c=certificate, k=key: load_tls_context(c, k))
     faults = []
     for check in checks:
         try:
@@ -44,7 +44,7 @@
         raise errors.SettingsError("\n".join(faults))
 
 
-def tls_context(certificate: str, key: str) -> ssl.SSLContext | None:
+def load_tls_context(certificate: str, key: str) -> ssl.SSLContext | None:
     """Return the TLS context of a listener, or None without a certificate.
 
     Raises
--- a/amaranthring/targets/protocol.py
+++ b/amaranthring/targets/protocol.py
@@ -82,7 +82,7 @@
 
 
 class LoadReport(pydantic.BaseModel):
-    """Body of ``/targets/report``: the fields of ``records.Report``."""
+    """Body of ``/targets/report``: the fields of ``records.LoadReport``."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
--- a/amaranthring/testing/faults.py
+++ b/amaranthring/testing/faults.py
@@ -146,9 +146,9 @@
 async def pause_and_resume(fleet, source: random.Random) -> None:
     """Freeze a keeper and wake it a little later."""
     name = source.choice(fleet.names)
-    fleet.keepers[name].freeze()
+    fleet.keepers[name].pause()
     await asyncio.sleep(source.uniform(0.2, 1.2))
-    fleet.keepers[name].wake()
+    fleet.keepers[name].resume()
 
 
 async def isolate_and_heal(fleet, source: random.Random) -> None:
--- a/amaranthring/testing/routers.py
+++ b/amaranthring/testing/routers.py
@@ -217,7 +217,7 @@
             return False
         if name in self.net.frozen:
             return True
-        if self.net.lose(self.name, name, message):
+        if self.net.is_dropped(self.name, name, message):
             return True
         self.net.meshes[name]._handle(self.name, self.net.count(message))
         return True
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -29,7 +29,7 @@
     def causes(self, *lines):
         places = [changed("e0", "north"), changed("e1", "south")]
         log = attribution.Log([*places, *lines, "no line of a log"])
-        table = attribution.read_again(log, 100.0)
+        table = attribution.count_reprocessed_tokens(log, 100.0)
         return dict(sum(table.values(), attribution.collections.Counter()))
 
     def test_causes(self):
@@ -55,5 +55,5 @@
                 line(1.1, "edge-north-1", "e0", "", outcome="no-target"),
             ]
         )
-        table = attribution.outcomes(log, 2.0)
+        table = attribution.count_outcomes(log, 2.0)
         self.assertEqual({"r 200": 1, "r no-target": 1}, dict(table[0.0]))
--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -40,7 +40,7 @@
     def assert_idle(self, router):
         """Check that every grant was given back and nothing is counted in."""
         self.assertEqual(set(router.fakes.running.values()) - {0}, set())
-        self.assertEqual(router.fakes.needs.drain.running, 0)
+        self.assertEqual(router.fakes.needs.drain.in_flight, 0)
 
 
 class TestStreamedChat(ChatCase):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -186,7 +186,7 @@
         """
         for (place, other, _), cut in self.cuts.items():
             if "viana" in (place, other):
-                cut.cut()
+                cut.block()
         await asyncio.sleep(5.0)
         inside = self.side("viana")
         outside = self.side("porto", "braga")
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -66,7 +66,7 @@
                 await asyncio.sleep(0.01)
 
     def ran(self):
-        return sum(len(target.seen) for target in self.targets)
+        return sum(len(target.requests) for target in self.targets)
 
 
 class TestResponses(RouterCase):
@@ -77,7 +77,7 @@
         got = await self.ask("/b/x?y=1", "POST", b"text", X_Other="1")
         self.assertEqual((201, b"entry"), (got.status, got.body))
         self.assertEqual("yes", got.headers[scripted.SIGNED])
-        seen = self.targets[0].seen[0]
+        seen = self.targets[0].requests[0]
         self.assertEqual("POST", seen.method)
         self.assertEqual("/b/x?y=1", seen.uri)
         self.assertEqual(b"text", seen.body)
@@ -87,7 +87,7 @@
     async def test_remaining_time_is_forwarded(self):
         await self.begin(scripted.respond())
         await self.ask("/b/x", Test_Patience="1.5")
-        left = float(self.targets[0].seen[0].headers[scripted.TIMEOUT])
+        left = float(self.targets[0].requests[0].headers[scripted.TIMEOUT])
         self.assertLess(1.0, left)
         self.assertLessEqual(left, 1.5)
 
@@ -104,7 +104,7 @@
         self.assertEqual(0, self.ran())
         got = await self.ask("/e/x", Test_Key="key-2", Test_Account="forged")
         self.assertEqual(200, got.status)
-        seen = self.targets[0].seen[0]
+        seen = self.targets[0].requests[0]
         self.assertEqual("alba", seen.headers[scripted.ACCOUNT])
         self.assertNotIn(scripted.KEY, seen.headers)
 
@@ -244,7 +244,7 @@
         got = await self.ask("/b/x", "POST", b"1")
         self.assertEqual(503, got.status)
         self.assertIn("Retry-After", got.headers)
-        self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
+        self.assertEqual([1, 1], [len(one.requests) for one in self.targets])
 
     async def test_unreachable_target_fails_no_request(self):
         await self.begin(scripted.respond())
@@ -306,7 +306,7 @@
         await self.begin(scripted.respond_not_run(), scripted.respond())
         for _ in range(12):
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
-        self.assertLess(len(self.targets[0].seen), 6)
+        self.assertLess(len(self.targets[0].requests), 6)
 
 
 class TestIdempotent(RouterCase):
@@ -330,7 +330,7 @@
             self.router.placer.views["good"].running = 5
             got = await self.ask("/a/x", Test_Patience="1.0")
             self.assertEqual((200, b"good"), (got.status, got.body))
-            self.assertEqual(1, len(self.targets[0].seen))
+            self.assertEqual(1, len(self.targets[0].requests))
 
     def _context_without_targets(self):
         class Context:
@@ -415,7 +415,7 @@
         last_ids = [
             seen.headers.get(scripted.LAST_EVENT_ID)
             for target in self.targets
-            for seen in target.seen
+            for seen in target.requests
         ]
         self.assertCountEqual([None, "3", "3"], last_ids)
 
@@ -437,7 +437,7 @@
         self.router.placer.views["t1"].running = 5
         got = await self.ask("/c/x", "POST")
         self.assertTrue(got.complete)
-        self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
+        self.assertEqual([1, 1], [len(one.requests) for one in self.targets])
         self.assertNotIn("X-By", got.headers)
 
     async def test_silent_target_is_replaced_within_the_objective(self):
@@ -455,7 +455,7 @@
         got = await self.ask("/c/x", "POST")
         self.assertTrue(got.complete)
         self.assertLess(got.seconds, RESUMABLE.objective)
-        self.assertEqual([1, 1], [len(one.seen) for one in self.targets])
+        self.assertEqual([1, 1], [len(one.requests) for one in self.targets])
 
     async def test_missing_response_does_not_spoil_the_estimate(self):
         """A request that has no timeout for the head runs at a hung target.
@@ -482,7 +482,7 @@
         self.router.placer.views["t1"].running = 3
         got = await self.ask("/d/x", "POST", Test_Patience="0.7")
         self.assertEqual(504, got.status)
-        self.assertEqual(0, len(self.targets[1].seen))
+        self.assertEqual(0, len(self.targets[1].requests))
 
     async def test_stream_that_is_not_resumable_is_aborted(self):
         """A stream that may run only once breaks off.
@@ -513,7 +513,7 @@
         request = asyncio.ensure_future(self.ask("/d/x", "POST"))
         await self.until(self.ran)
         request.cancel()
-        await self.until(lambda: self.targets[0].left)
+        await self.until(lambda: self.targets[0].aborted)
 
 
 class TestRouterStall(RouterCase):
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -12,7 +12,7 @@
     async def begin(self, *scripts, allowance=10.0):
         await super().begin(*scripts, allowance=allowance)
         for target in self.targets:
-            target.keeps = True
+            target.keep_alive = True
 
     @property
     def target(self):
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -314,10 +314,10 @@
         self.router.table = routing.RouteTable(plan)
         prompt = {"Test_Prompt": "long:10000,own:10"}
         await self.ask("/a/x", "POST", **prompt)
-        first = next(one for one in self.targets if one.seen)
-        other = next(one for one in self.targets if not one.seen)
-        self.assertNotIn(scripted.COPY, first.seen[0].headers)
+        first = next(one for one in self.targets if one.requests)
+        other = next(one for one in self.targets if not one.requests)
+        self.assertNotIn(scripted.COPY, first.requests[0].headers)
         entry = self.router.targets.entries[first.name]
         entry.record.state = messages.State.DRAINING
         await self.ask("/a/x", "POST", **prompt)
-        self.assertEqual(first.address, other.seen[0].headers[scripted.COPY])
+        self.assertEqual(first.address, other.requests[0].headers[scripted.COPY])
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -217,11 +217,11 @@
         local_fleet.write_settings(path, self.routers, extra=extra)
         self.fleet = local_fleet.LocalFleet(path, path / "logs")
         self.addCleanup(self.fleet.stop_all)
-        await asyncio.to_thread(self.bring_up)
+        await asyncio.to_thread(self.start_processes)
         self.answered = 0
         self.lost = []
 
-    def bring_up(self):
+    def start_processes(self):
         names = self.fleet.names("router")
         for name in [*self.fleet.names("keeper"), *names]:
             self.fleet.start(name)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -92,12 +92,12 @@
 
     def test_certificate_and_key_go_together(self):
         with self.assertRaises(errors.SettingsError):
-            files.tls_context(self.certificate, "")
+            files.load_tls_context(self.certificate, "")
         with self.assertRaises(errors.SettingsError):
-            files.tls_context(self.key, self.key)
+            files.load_tls_context(self.key, self.key)
         (self.folder / "loopback.key").chmod(0o644)
         with self.assertRaises(errors.SettingsError) as caught:
-            files.tls_context(self.certificate, self.key)
+            files.load_tls_context(self.certificate, self.key)
         self.assertIn("open to others", str(caught.exception))
 
     def test_settings_name_all_four_files(self):
--- a/tools/attribution.py
+++ b/tools/attribution.py
@@ -144,12 +144,12 @@
 
 
 def _lacking(one, engine, used) -> list[tuple[str, int]]:
-    held = [name in engine.parts for name, _ in one.parts]
+    held = [name in engine.last_read_at for name, _ in one.parts]
     begin = held.index(False) if False in held else len(held)
     return [
         (name, size)
         for name, size in one.parts[begin:]
-        if one.at - used.get(name, float("-inf")) < RECENT_USE_SECONDS
+        if one.arrived_at - used.get(name, float("-inf")) < RECENT_USE_SECONDS
     ]
 
 
