--- a/amaranthring/app.py
+++ b/amaranthring/app.py
@@ -16,14 +16,14 @@
 from amaranthring import router_parts
 from amaranthring import settings as settings_module
 from amaranthring.callers import server
-from amaranthring.core import collection
+from amaranthring.core import garbage_collection
 from amaranthring.core import links
 from amaranthring.core import listeners
 from amaranthring.core import logs
 from amaranthring.core import signals
-from amaranthring.monitoring import figures
+from amaranthring.monitoring import exporters
 from amaranthring.monitoring import health
-from amaranthring.settings import files
+from amaranthring.settings import file_checks
 
 log = logbook.Logger(__name__)
 
@@ -57,7 +57,7 @@
     bounds = settings.callers
     server = tornado.httpserver.HTTPServer(
         tornado.web.Application(routes, log_function=_no_access_log),
-        ssl_options=files.load_tls_context(
+        ssl_options=file_checks.load_tls_context(
             listen.internal_certificate_file,
             listen.internal_certificate_key_file,
         ),
@@ -85,7 +85,7 @@
     internal = listen_internal(settings, router.internal_routes())
     callers = listen_callers(settings, router)
     router.start(listeners.bind_sockets(settings.listen.fleet))
-    collection.freeze_startup_objects()
+    garbage_collection.freeze_startup_objects()
     logs.event(log, "router.started", callers=settings.listen.callers)
     await stop.wait()
     await router.shut_down(callers, internal)
@@ -100,7 +100,7 @@
     routes = [("/health", health.HealthHandler, options)]
     app = server.make_app(router.needs, settings.callers, routes)
     listen = settings.listen
-    context = files.load_tls_context(
+    context = file_checks.load_tls_context(
         listen.certificate_file, listen.certificate_key_file
     )
     sockets = listeners.bind_sockets(listen.callers)
@@ -113,11 +113,11 @@
     stop = signals.stop_event()
     keeper, served = keeper_parts.make(settings)
     routes = [
-        ("/metrics", figures.MetricsHandler, {"figures": keeper.metrics})
+        ("/metrics", exporters.MetricsHandler, {"figures": keeper.metrics})
     ]
     internal = listen_internal(settings, routes)
     keeper.start(listeners.bind_sockets(settings.listen.fleet))
-    collection.freeze_startup_objects()
+    garbage_collection.freeze_startup_objects()
     logs.event(log, "keeper.started", folder=settings.process.data_folder)
     await stop.wait()
     served.stop()
--- a/amaranthring/bench/cache.py
+++ b/amaranthring/bench/cache.py
@@ -25,7 +25,7 @@
 from amaranthring.core import hashing
 from amaranthring.core import records
 from amaranthring.policy import bounds
-from amaranthring.testing import routers as fakes
+from amaranthring.testing import fake_network as fakes
 
 ENGINES = 20
 ROUTERS = 20
--- a/amaranthring/bench/control.py
+++ b/amaranthring/bench/control.py
@@ -17,7 +17,7 @@
 from amaranthring.bench import report
 from amaranthring.core import records
 from amaranthring.routers import relays
-from amaranthring.testing import announcing
+from amaranthring.testing import announcements
 
 KEYS = {"t": b"t" * 32}
 TARGETS = 630
@@ -78,7 +78,7 @@
         self.layout = layout
         self.processes: list[asyncio.subprocess.Process] = []
         self.http: list[str] = []
-        self.announcers: list[announcing.Announcer] = []
+        self.announcers: list[announcements.Announcer] = []
 
     async def start(self) -> None:
         """Start the processes and the targets."""
@@ -121,7 +121,7 @@
                 "default",
                 ("m",),
             )
-            announcer = announcing.Announcer(
+            announcer = announcements.Announcer(
                 target,
                 [self.http[router]],
                 "t",
--- a/amaranthring/bench/control_worker.py
+++ b/amaranthring/bench/control_worker.py
@@ -19,7 +19,7 @@
 from amaranthring.bench import control
 from amaranthring.targets import announce
 from amaranthring.targets import entries
-from amaranthring.testing import members
+from amaranthring.testing import mesh_members
 
 
 class CountingServer(tornado.httpserver.HTTPServer):
@@ -47,7 +47,7 @@
         return counting
 
 
-def figures(member: members.Member, server: CountingServer) -> dict:
+def figures(member: mesh_members.Member, server: CountingServer) -> dict:
     """Return what this process has used so far."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     linked = [p.link for p in member.mesh.peers.values() if p.link]
@@ -66,7 +66,7 @@
     }
 
 
-async def elsewhere(member: members.Member) -> None:
+async def elsewhere(member: mesh_members.Member) -> None:
     """Keep the table as full as in a fleet of every data centre.
 
     The targets of data centres that this layout does not have are vouched
@@ -79,7 +79,7 @@
     changes, member.table.change_callbacks = member.table.change_callbacks, []
     for place in places:
         for number in range(count):
-            far = members.target(f"engine-{place}-{number}", place)
+            far = mesh_members.target(f"engine-{place}-{number}", place)
             member.table.merge_record(entries.Record(far, 1, False), now)
     member.table.change_callbacks = changes
     while True:
@@ -100,7 +100,7 @@
     )
     given = json.loads(await reader.readline())
     peers = [settings.PeerAddress(**peer) for peer in given["peers"]]
-    member = members.Member(given["name"], peers, [fleet_sock])
+    member = mesh_members.Member(given["name"], peers, [fleet_sock])
     routes = announce.routes(member.table, control.KEYS, member.metrics)
     server = CountingServer(
         tornado.web.Application(routes, log_function=lambda _: None)
--- a/amaranthring/bench/fairness.py
+++ b/amaranthring/bench/fairness.py
@@ -15,7 +15,7 @@
 from amaranthring.bench import model
 from amaranthring.bench import report
 from amaranthring.policy import admission
-from amaranthring.testing import routers as fakes
+from amaranthring.testing import fake_network as fakes
 
 TARGETS = 15
 CAPACITY = 8
--- a/amaranthring/bench/keeper_faults.py
+++ b/amaranthring/bench/keeper_faults.py
@@ -10,14 +10,18 @@
 
 from amaranthring.bench import report
 from amaranthring.testing import faults
-from amaranthring.testing import processes
+from amaranthring.testing import keeper_processes
 
 FAST = {
     "heartbeat_seconds": 0.05,
     "election_seconds": 0.3,
     "snapshot_entries": 50,
 }
-KINDS = [faults.kill_and_restart, faults.pause_and_resume, faults.isolate_and_heal]
+KINDS = [
+    faults.kill_and_restart,
+    faults.pause_and_resume,
+    faults.isolate_and_heal,
+]
 
 
 def run(seeds: int = 3, count: int = 12, seed: int = 100) -> report.Report:
@@ -43,7 +47,7 @@
 
 async def _run(seed: int, count: int) -> list[str]:
     with tempfile.TemporaryDirectory() as folder:
-        fleet = processes.KeeperFleet(folder, options=FAST)
+        fleet = keeper_processes.KeeperFleet(folder, options=FAST)
         try:
             await fleet.start()
             return await faults.run(fleet, seed, count, KINDS)
--- a/amaranthring/bench/keepers.py
+++ b/amaranthring/bench/keepers.py
@@ -15,7 +15,7 @@
 from amaranthring.keepers import disk
 from amaranthring.keepers import store
 from amaranthring.testing import keeper
-from amaranthring.testing import processes
+from amaranthring.testing import keeper_processes
 
 PAD = "x" * 200
 AT_ONCE = 64
@@ -66,7 +66,7 @@
 async def _run(
     made, folder, changes, rate, seconds, losses, idle_seconds, source
 ):
-    fleet = processes.KeeperFleet(folder, direct=True)
+    fleet = keeper_processes.KeeperFleet(folder, direct=True)
     try:
         await fleet.start()
         await fleet.wait_leader()
@@ -91,7 +91,7 @@
 
 
 async def _usage_of(dialler) -> keeper.Usage:
-    await processes.wait_until(lambda: dialler.link, what="link")
+    await keeper_processes.wait_until(lambda: dialler.link, what="link")
     return await dialler.call(keeper.UsageQuery(), 5)
 
 
@@ -221,7 +221,7 @@
         (lost.kill if kind == "kill" else lost.pause)()
         began = time.perf_counter()
         call = asyncio.ensure_future(_add(fleet, f"{kind}-after{number}"))
-        await processes.wait_until(
+        await keeper_processes.wait_until(
             lambda old=old: fleet.leader(but=old), pause=POLL_SECONDS
         )
         led.append(time.perf_counter() - began)
@@ -247,4 +247,4 @@
         status = await fleet.status(name) if name else None
         return status and status.safe_losses == 1
 
-    await processes.wait_until(whole, what="a whole group")
+    await keeper_processes.wait_until(whole, what="a whole group")
--- a/amaranthring/bench/model.py
+++ b/amaranthring/bench/model.py
@@ -16,7 +16,7 @@
 
 from amaranthring import errors
 from amaranthring.core import records
-from amaranthring.testing import assembled
+from amaranthring.testing import in_process_routers
 
 TICK_SECONDS = 0.1
 RENEW_SECONDS = 1.0
@@ -268,6 +268,6 @@
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
 
-def fleet(routers, engines, **fields) -> assembled.Routers:
+def fleet(routers, engines, **fields) -> in_process_routers.Routers:
     """Return routers for a simulation; messages pass undecoded."""
-    return assembled.Routers(routers, engines, plain=True, **fields)
+    return in_process_routers.Routers(routers, engines, plain=True, **fields)
--- a/amaranthring/bench/owner.py
+++ b/amaranthring/bench/owner.py
@@ -13,7 +13,7 @@
 from amaranthring.policy import cells
 from amaranthring.routers import admission
 from amaranthring.routers import admission_messages as messages
-from amaranthring.testing import routers
+from amaranthring.testing import fake_network
 
 ACCOUNTS = 130
 MICROSECONDS_MOST = 400.0
@@ -80,8 +80,11 @@
     requests : int
         Requests measured.
     """
-    table = routers.Table(
-        [routers.target(f"engine-{n}", capacity=200) for n in range(engines)]
+    table = fake_network.Table(
+        [
+            fake_network.target(f"engine-{n}", capacity=200)
+            for n in range(engines)
+        ]
     )
     config = fleet.FleetConfig(presets={"ordinary": fleet.Preset("ordinary")})
     owners = admission.Controller("r1", table, Mesh(), lambda: config)
--- a/amaranthring/bench/relays.py
+++ b/amaranthring/bench/relays.py
@@ -22,7 +22,7 @@
 from amaranthring.callers import server
 from amaranthring.core import records
 from amaranthring.settings import models
-from amaranthring.testing import needs
+from amaranthring.testing import fake_dependencies
 from amaranthring.testing import standin
 
 CLIENTS_MOST = 4096
@@ -95,7 +95,7 @@
         records.Target(f"e{n}", 1, kind, address, "dc1", "r", ("m1",))
         for n, address in enumerate(addresses)
     ]
-    fakes = needs.Fakes(*targets)
+    fakes = fake_dependencies.Fakes(*targets)
     turns = itertools.cycle(targets)
     ids = itertools.count()
 
--- a/amaranthring/bench/retries.py
+++ b/amaranthring/bench/retries.py
@@ -18,7 +18,7 @@
 from amaranthring.core import records
 from amaranthring.policy import admission
 from amaranthring.policy import retries
-from amaranthring.testing import routers as fakes
+from amaranthring.testing import fake_network as fakes
 
 TARGETS = 10
 ACCOUNTS = 20
@@ -43,7 +43,9 @@
         Whether the budget is asked, or every failure is retried.
     """
 
-    def __init__(self, seed: int, end: records.AttemptEnd, budget: bool = True):
+    def __init__(
+        self, seed: int, end: records.AttemptEnd, budget: bool = True
+    ):
         self.random = random.Random(seed)
         self.end = end
         self.now = 0.0
--- a/amaranthring/bench/revisions.py
+++ b/amaranthring/bench/revisions.py
@@ -18,8 +18,8 @@
 import time
 
 from amaranthring.bench import report
+from amaranthring.core import config_parts
 from amaranthring.core import fleet
-from amaranthring.core import parts
 from amaranthring.core import wire
 from amaranthring.keepers import commands
 from amaranthring.keepers import state_machine as machines
@@ -119,7 +119,7 @@
     name = "router-0000"
     number = revision_messages.RunningRevision(name, 100_000)
     ask = commands.ConfigSince(100_000, revisions.WATCH_SECONDS)
-    told = parts.Delta(100_000, 100_000, {}, [], digest)
+    told = config_parts.Delta(100_000, 100_000, {}, [], digest)
     routers = {f"{name}-{n}": 100_000 for n in range(neighbours)}
     ages = dict.fromkeys(routers, 0.7)
     confirmed = commands.RouterRevisions("data-centre", routers, ages)
--- a/amaranthring/bench/skew.py
+++ b/amaranthring/bench/skew.py
@@ -91,7 +91,7 @@
 
     def freeze():
         simulation.owner = fleet.owner().name
-        fleet.net.frozen.add(simulation.owner)
+        fleet.network.frozen.add(simulation.owner)
 
     simulation.at(WARM + 10, freeze)
     simulation.at(WARM + 11, lambda: simulation.kill(simulation.owner))
@@ -160,7 +160,7 @@
         lost = type(message).__name__ == "Release"
         return lost and simulation.random.random() < 0.1
 
-    simulation.fleet.net.lose = lose
+    simulation.fleet.network.is_dropped = lose
     await simulation.run(seconds, WARM)
     return simulation
 
@@ -169,8 +169,8 @@
     """No owner answers at all: local estimates only."""
     simulation = large(seed)
     fleet = simulation.fleet
-    names = set(fleet.net.meshes)
-    fleet.net.cut = {(a, b) for a in names for b in names if a != b}
+    names = set(fleet.network.meshes)
+    fleet.network.cut = {(a, b) for a in names for b in names if a != b}
     for router in fleet.routers:
         router.owners.closing = True
         router.mesh.hidden = names - {router.name}
--- a/amaranthring/bench/way.py
+++ b/amaranthring/bench/way.py
@@ -15,7 +15,7 @@
 import urllib.request
 
 from amaranthring.bench import report
-from amaranthring.testing import needs
+from amaranthring.testing import fake_dependencies
 
 ENGINE = "amaranthring.testing.engine"
 RELAYS = "amaranthring.bench.relays"
@@ -85,7 +85,7 @@
 
 
 async def read_stream(
-    port: int, tokens: int, number=0, batch=1, token=needs.TOKEN
+    port: int, tokens: int, number=0, batch=1, token=fake_dependencies.TOKEN
 ) -> Read:
     """Ask for one stream and read it to its end."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -107,7 +107,11 @@
 
 
 async def load(
-    port: int, streams: int, tokens: int, batch=1, token=needs.TOKEN
+    port: int,
+    streams: int,
+    tokens: int,
+    batch=1,
+    token=fake_dependencies.TOKEN,
 ) -> list[Read]:
     """Read `streams` streams at once; all must be whole."""
     asked = [
@@ -159,7 +163,7 @@
 
 
 async def first_tokens(
-    ports: list[int], requests: int, token=needs.TOKEN
+    ports: list[int], requests: int, token=fake_dependencies.TOKEN
 ) -> list[list[float]]:
     """Return times to the first token by port, taken in turns."""
     found: list[list[float]] = [[] for _ in ports]
--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -14,8 +14,8 @@
 import typing as t
 
 from amaranthring import errors
+from amaranthring.callers import execution
 from amaranthring.callers import tokens
-from amaranthring.callers import way
 from amaranthring.core import records
 from amaranthring.targets import sse
 from amaranthring.targets import upstream
@@ -84,7 +84,7 @@
 
 
 async def stream(
-    needs: way.Dependencies, request: records.Request, sink: Sink
+    needs: execution.Dependencies, request: records.Request, sink: Sink
 ) -> None:
     """Stream the answer of `request` into `sink`.
 
@@ -93,19 +93,19 @@
     errors.AmaranthringError
         If it could not be brought to its end.
     """
-    await way.check(needs, request)
+    await execution.check(needs, request)
     delivery = StreamProgress(sink, time.monotonic())
 
-    async def once(attempt: way.Attempt) -> None:
+    async def once(attempt: execution.Attempt) -> None:
         await _attempt(needs, request, attempt, delivery)
 
-    await way.run(needs, request, once)
+    await execution.run(needs, request, once)
     _record(needs, request, delivery)
 
 
 async def _attempt(needs, request, attempt, delivery) -> None:
     name = f"{request.request_id}.{attempt.number}"
-    headers = way.upstream_headers(request, attempt.grant, name)
+    headers = execution.upstream_headers(request, attempt.grant, name)
     headers["Content-Type"] = JSON
     body = request.body
     if delivery.begun:
@@ -118,7 +118,7 @@
         allowed = min(allowed, left)
     exchange = upstream.Exchange(attempt.target)
     try:
-        with way.AbortOnTargetLoss(needs, exchange):
+        with execution.AbortOnTargetLoss(needs, exchange):
             try:
                 delivery.opened = False
                 await exchange.send(call, allowed)
@@ -154,7 +154,7 @@
                 if again.outcome is errors.Outcome.NOT_RUN:
                     break
     if not attempt.target_lost:
-        await way.detect_target_loss(attempt)
+        await execution.detect_target_loss(attempt)
     if not attempt.target_lost:
         await cancel(attempt.target, name)
     if delivery.begun:
@@ -177,7 +177,7 @@
     call = upstream.Call("POST", path, headers, body)
     preset = needs.config().preset
     exchange = upstream.Exchange(target)
-    with way.AbortOnTargetLoss(needs, exchange):
+    with execution.AbortOnTargetLoss(needs, exchange):
         await exchange.send(call, preset.first_token_seconds)
         await _open_stream(exchange, name, delivery)
         await _relay(exchange, delivery, preset)
@@ -341,7 +341,7 @@
 
 
 async def resume(
-    needs: way.Dependencies,
+    needs: execution.Dependencies,
     request: records.Request,
     place: tokens.StreamReference,
     number: int,
@@ -385,7 +385,9 @@
     _record(needs, request, delivery)
 
 
-def _stream_gone(place: tokens.StreamReference, given: str) -> errors.ResumeError:
+def _stream_gone(
+    place: tokens.StreamReference, given: str
+) -> errors.ResumeError:
     return errors.ResumeError(
         "the stream is gone; send the whole request again",
         given=given,
@@ -394,7 +396,9 @@
     )
 
 
-async def complete(needs: way.Dependencies, request: records.Request) -> way.Response:
+async def complete(
+    needs: execution.Dependencies, request: records.Request
+) -> execution.Response:
     """Return the whole answer of a chat that is not streamed.
 
     Raises
@@ -402,39 +406,39 @@
     errors.AmaranthringError
         If no attempt brought one.
     """
-    await way.check(needs, request)
+    await execution.check(needs, request)
     started = time.monotonic()
 
-    async def once(attempt: way.Attempt) -> way.Response:
+    async def once(attempt: execution.Attempt) -> execution.Response:
         return await _whole_attempt(needs, request, attempt)
 
-    answer = await way.run(needs, request, once)
+    answer = await execution.run(needs, request, once)
     seconds = time.monotonic() - started
     needs.metrics.record("whole", seconds, request.account, request.cls)
     needs.metrics.count("way.answered")
     return answer
 
 
-async def _whole_attempt(needs, request, attempt) -> way.Response:
+async def _whole_attempt(needs, request, attempt) -> execution.Response:
     name = f"{request.request_id}.{attempt.number}"
-    headers = way.upstream_headers(request, attempt.grant, name)
+    headers = execution.upstream_headers(request, attempt.grant, name)
     headers["Content-Type"] = JSON
     call = upstream.Call("POST", request.path, headers, request.body)
     exchange = upstream.Exchange(attempt.target)
     left = max(0.001, request.deadline - time.monotonic())
     try:
-        with way.AbortOnTargetLoss(needs, exchange):
+        with execution.AbortOnTargetLoss(needs, exchange):
             try:
                 await exchange.open(call, left)
                 check_response_head(exchange, name)
-                body = await exchange.read_all(way.MAX_RESPONSE_BYTES)
+                body = await exchange.read_all(execution.MAX_RESPONSE_BYTES)
             finally:
                 attempt.sent = exchange.sent
     except errors.TruncatedResponseError:
-        await way.detect_target_loss(attempt)
+        await execution.detect_target_loss(attempt)
         raise
     except asyncio.CancelledError:
         exchange.close()
         raise
     kind = exchange.headers.get("Content-Type", JSON)
-    return way.Response(200, kind, body)
+    return execution.Response(200, kind, body)
--- a/amaranthring/callers/way.py
+++ b/amaranthring/callers/execution.py
@@ -188,7 +188,9 @@
         )
 
 
-async def run(needs: Dependencies, request: records.Request, once: RunAttempt[T]) -> T:
+async def run(
+    needs: Dependencies, request: records.Request, once: RunAttempt[T]
+) -> T:
     """Return what `once` returns, in as many attempts as are allowed.
 
     A failure that no target can have seen may always go elsewhere; one that
@@ -386,5 +388,7 @@
     A broken connection alone is no death: a process that crashed refuses
     the next connection, one that only dropped this one does not.
     """
-    if not attempt.target_lost and not await upstream.is_reachable(attempt.target):
+    if not attempt.target_lost and not await upstream.is_reachable(
+        attempt.target
+    ):
         attempt.target_lost = True
--- a/amaranthring/callers/handlers.py
+++ b/amaranthring/callers/handlers.py
@@ -11,11 +11,11 @@
 
 from amaranthring import errors
 from amaranthring.callers import chats
-from amaranthring.callers import conventions
+from amaranthring.callers import codec
+from amaranthring.callers import execution
 from amaranthring.callers import output
 from amaranthring.callers import services
 from amaranthring.callers import tokens
-from amaranthring.callers import way
 from amaranthring.core import connections
 from amaranthring.core import decisions
 from amaranthring.core import records
@@ -30,7 +30,7 @@
 class CallerHandler(tornado.web.RequestHandler):
     """Base: request id, account, bounded body, one form of every answer."""
 
-    def initialize(self, needs: way.Dependencies, settings, accounts):
+    def initialize(self, needs: execution.Dependencies, settings, accounts):
         """Take what the handler needs."""
         self.needs = needs
         self.limits: settings_models.CallersSection = settings
@@ -81,9 +81,7 @@
                 expected=f"{self.limits.header_bytes_most} bytes at most",
             )
         self.config = self.needs.config()
-        self.caller = conventions.decode_caller(
-            headers, self.config, self.accounts
-        )
+        self.caller = codec.decode_caller(headers, self.config, self.accounts)
         length = headers.get("Content-Length", "0")
         if length.isdigit() and int(length) > self.limits.body_bytes_most:
             raise self._too_large(int(length))
@@ -159,14 +157,14 @@
             code=error.code,
             outcome=str(outcome),
         )
-        record = conventions.error_record(error, outcome, self.request_id)
+        record = codec.error_record(error, outcome, self.request_id)
         data = json.dumps(record).encode()
         if self.streaming:
             self.finish(b"event: error\ndata: %b\n\n" % data)
             return
         self.set_status(error.status)
         self.set_header("Content-Type", "application/json")
-        after = conventions.retry_after(error)
+        after = codec.retry_after(error)
         if after is not None:
             self.set_header("Retry-After", str(max(1, math.ceil(after))))
         self.set_common_headers(outcome)
@@ -180,12 +178,12 @@
 
     def set_common_headers(self, outcome: errors.Outcome) -> None:
         """Set the headers that every answer has."""
-        self.set_header(conventions.REQUEST_ID_HEADER, self.request_id)
-        self.set_header(conventions.OUTCOME_HEADER, str(outcome))
+        self.set_header(codec.REQUEST_ID_HEADER, self.request_id)
+        self.set_header(codec.OUTCOME_HEADER, str(outcome))
         if self.needs.drain.leaving:
             self.set_header("Connection", "close")
 
-    def write_response(self, answer: way.Response) -> None:
+    def write_response(self, answer: execution.Response) -> None:
         """Write a whole answer."""
         self.set_status(answer.status)
         self.set_header("Content-Type", answer.content_type)
@@ -199,7 +197,9 @@
         if self.entered and self.work is None:
             self.entered = False
             connection = self.request.connection
-            connections.call_when_sent(connection, self.needs.drain.request_finished)
+            connections.call_when_sent(
+                connection, self.needs.drain.request_finished
+            )
 
     def on_connection_close(self):
         """Cancel the work of a caller that left.
@@ -231,7 +231,9 @@
             self.needs.metrics.count("callers.caller-gone")
         except Exception:
             log.exception("callers.fault request={}", self.request_id)
-            self.write_error_response(errors.InternalError("a fault of the router"))
+            self.write_error_response(
+                errors.InternalError("a fault of the router")
+            )
         finally:
             self.work = None
             if self.left or self._finished:
@@ -262,16 +264,14 @@
 
     async def post(self):
         """Run a chat, or resume one."""
-        token = self.request.headers.get(conventions.RESUME_HEADER)
+        token = self.request.headers.get(codec.RESUME_HEADER)
         await self.run(self._resume(token) if token else self._chat())
 
     async def _chat(self) -> None:
         body = self.finish_body()
-        chat = conventions.decode_chat(body)
-        request = conventions.chat_request(
-            self.caller, self.request_id, chat, body
-        )
-        way.check_served(self.needs, request)
+        chat = codec.decode_chat(body)
+        request = codec.chat_request(self.caller, self.request_id, chat, body)
+        execution.check_served(self.needs, request)
         if not request.stream:
             self.write_response(await chats.complete(self.needs, request))
             return
@@ -282,12 +282,10 @@
         self.finish_body()
         account = self.caller.account.name
         place, number = tokens.read(token, account, self.needs.keys)
-        chat = conventions.Chat.model_construct(
+        chat = codec.Chat.model_construct(
             model=place.serves, messages=[], stream=True, prompt_cache_key=""
         )
-        request = conventions.chat_request(
-            self.caller, self.request_id, chat, b""
-        )
+        request = codec.chat_request(self.caller, self.request_id, chat, b"")
         await chats.resume(self.needs, request, place, number, self.sink())
         self.finish()
 
@@ -344,17 +342,17 @@
         body = self.finish_body()
         query = self.request.query
         path = f"/{rest}?{query}" if query else f"/{rest}"
-        request = conventions.service_request(
+        request = codec.service_request(
             self.caller,
             self.request_id,
             service,
             self.request.method,
             path,
-            conventions.decode_idempotency_key(self.request.headers),
+            codec.decode_idempotency_key(self.request.headers),
             body,
             self.config.preset.service_policy(service),
         )
-        way.check_served(self.needs, request)
+        execution.check_served(self.needs, request)
         self.runs_on = services.is_claimed(request)
         headers = {
             name: self.request.headers[name]
@@ -376,8 +374,8 @@
         """
         headers = self.request.headers
         sure = (
-            conventions.KEY_HEADER not in headers
-            or conventions.FIRST_SEND_HEADER in headers
+            codec.KEY_HEADER not in headers
+            or codec.FIRST_SEND_HEADER in headers
             or self.request.method in SAFE_METHODS
             or isinstance(error, errors.KeyReusedError)
             or getattr(error, "claimed", False)
--- a/amaranthring/callers/server.py
+++ b/amaranthring/callers/server.py
@@ -10,9 +10,9 @@
 import tornado.web
 
 from amaranthring import errors
-from amaranthring.callers import conventions
+from amaranthring.callers import codec
+from amaranthring.callers import execution
 from amaranthring.callers import handlers
-from amaranthring.callers import way
 from amaranthring.core import connections
 from amaranthring.settings import models as settings_models
 
@@ -74,12 +74,12 @@
         given=f"no end after {seconds:g} s",
         expected="whole headers",
     )
-    record = conventions.error_record(error, error.outcome, "")
+    record = codec.error_record(error, error.outcome, "")
     body = json.dumps(record)
     head = (
         f"HTTP/1.1 {error.status} Request Timeout\r\n"
         "Content-Type: application/json\r\nConnection: close\r\n"
-        f"{conventions.OUTCOME_HEADER}: {error.outcome}\r\n"
+        f"{codec.OUTCOME_HEADER}: {error.outcome}\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     )
     return (head + body).encode()
@@ -119,7 +119,7 @@
 
 
 def make_app(
-    needs: way.Dependencies,
+    needs: execution.Dependencies,
     settings: settings_models.CallersSection,
     others: Routes | None = None,
 ) -> tornado.web.Application:
@@ -133,7 +133,7 @@
     given = {
         "needs": needs,
         "settings": settings,
-        "accounts": conventions.Accounts(),
+        "accounts": codec.Accounts(),
     }
     service = r"/services/([A-Za-z0-9._-]{1,64})/?(.*)"
     routes = [
--- a/amaranthring/callers/services.py
+++ b/amaranthring/callers/services.py
@@ -11,7 +11,7 @@
 import time
 
 from amaranthring import errors
-from amaranthring.callers import way
+from amaranthring.callers import execution
 from amaranthring.core import records
 from amaranthring.targets import upstream
 
@@ -29,8 +29,10 @@
 
 
 async def call(
-    needs: way.Dependencies, request: records.Request, headers: dict[str, str]
-) -> way.Response:
+    needs: execution.Dependencies,
+    request: records.Request,
+    headers: dict[str, str],
+) -> execution.Response:
     """Return the answer of a plain service.
 
     Parameters
@@ -43,19 +45,19 @@
     errors.AmaranthringError
         Its outcome says what is known about the call.
     """
-    await way.check(needs, request)
+    await execution.check(needs, request)
     started = time.monotonic()
     claimed = is_claimed(request)
     asked = []
 
-    async def once(attempt: way.Attempt) -> way.Response:
+    async def once(attempt: execution.Attempt) -> execution.Response:
         if claimed:
             asked.append(attempt)
             return await _claimed(needs, request, attempt, headers)
         return await _send(needs, request, attempt, headers)
 
     try:
-        answer = await way.run(needs, request, once)
+        answer = await execution.run(needs, request, once)
     except errors.NoTargetError as error:
         if not claimed or asked:
             raise
@@ -66,24 +68,26 @@
     return answer
 
 
-async def _send(needs, request, attempt, headers, name="") -> way.Response:
+async def _send(
+    needs, request, attempt, headers, name=""
+) -> execution.Response:
     """Send the call to the attempt's target and return its whole answer."""
     name = name or f"{request.request_id}.{attempt.number}"
-    told = headers | way.upstream_headers(request, attempt.grant, name)
+    told = headers | execution.upstream_headers(request, attempt.grant, name)
     if request.key:
         told["Idempotency-Key"] = request.key
     sent = upstream.Call(request.method, request.path, told, request.body)
     exchange = upstream.Exchange(attempt.target)
     left = max(0.001, request.deadline - time.monotonic())
     try:
-        with way.AbortOnTargetLoss(needs, exchange):
+        with execution.AbortOnTargetLoss(needs, exchange):
             try:
                 await exchange.open(sent, left)
-                body = await exchange.read_all(way.MAX_RESPONSE_BYTES)
+                body = await exchange.read_all(execution.MAX_RESPONSE_BYTES)
             finally:
                 attempt.sent = attempt.sent or exchange.sent
     except errors.TruncatedResponseError:
-        await way.detect_target_loss(attempt)
+        await execution.detect_target_loss(attempt)
         raise
     _check_own(exchange, name)
     if exchange.headers.get(upstream.OUTCOME_HEADER) == "not-run":
@@ -95,7 +99,7 @@
             outcome=errors.Outcome.NOT_RUN,
         )
     kind = exchange.headers.get("Content-Type", "application/octet-stream")
-    return way.Response(exchange.status, kind, body)
+    return execution.Response(exchange.status, kind, body)
 
 
 def _check_own(exchange: upstream.Exchange, name: str) -> None:
@@ -107,7 +111,7 @@
         )
 
 
-async def _claimed(needs, request, attempt, headers) -> way.Response:
+async def _claimed(needs, request, attempt, headers) -> execution.Response:
     """Claim, send, settle; or answer from an earlier claim."""
     name = f"{request.request_id}.{attempt.number}"
     attempt.retryable = False
@@ -233,7 +237,7 @@
     return False
 
 
-async def _consult(needs, request, headers, error) -> way.Response:
+async def _consult(needs, request, headers, error) -> execution.Response:
     """Ask the ledger about a key that has no target to run at.
 
     A resend gets its stored answer also while every replica is out of
@@ -254,7 +258,7 @@
     raise error
 
 
-async def _earlier(needs, request, name, headers, claim) -> way.Response:
+async def _earlier(needs, request, name, headers, claim) -> execution.Response:
     """Answer a resend from what the ledger knows of its key."""
     state = claim.state
     if state is records.ClaimState.KEY_REUSED:
@@ -275,7 +279,9 @@
     return await _ask_again(needs, request, name, headers, claim)
 
 
-def _stored(request: records.Request, claim: records.Claim) -> way.Response:
+def _stored(
+    request: records.Request, claim: records.Claim
+) -> execution.Response:
     """Return the answer that the ledger kept."""
     if claim.outcome is not errors.Outcome.RAN or claim.answer is None:
         raise _unknown(request)
@@ -286,10 +292,12 @@
             expected="a look at the service itself",
         )
     kept = claim.answer
-    return way.Response(kept.status, kept.content_type, kept.body)
+    return execution.Response(kept.status, kept.content_type, kept.body)
 
 
-async def _ask_again(needs, request, name, headers, claim) -> way.Response:
+async def _ask_again(
+    needs, request, name, headers, claim
+) -> execution.Response:
     """Ask the holder's target again if it deduplicates keys itself.
 
     Any other target, or one that restarted under another incarnation and
@@ -298,7 +306,9 @@
     target = needs.get_target(claim.target) if claim.target else None
     if target is None or not target.honours_keys:
         raise _unknown(request)
-    again = way.Attempt(0, records.Grant("", "", target), retryable=False)
+    again = execution.Attempt(
+        0, records.Grant("", "", target), retryable=False
+    )
     try:
         answer = await _send(needs, request, again, headers, name)
     except errors.AmaranthringError as error:
--- a/amaranthring/cli/fleet_commands.py
+++ b/amaranthring/cli/fleet_commands.py
@@ -11,7 +11,7 @@
 from amaranthring import errors
 from amaranthring import settings as settings_module
 from amaranthring.cli import output
-from amaranthring.cli import remote
+from amaranthring.cli import router_client
 from amaranthring.cli import views
 
 OPERATOR_VARIABLE = "AMARANTHRING_OPERATOR"
@@ -32,11 +32,11 @@
     def __init__(self, operator: str = ""):
         self._operator = operator
 
-    def _fleet(self) -> remote.RouterClient:
+    def _fleet(self) -> router_client.RouterClient:
         path = self._operator or os.environ.get(OPERATOR_VARIABLE, "")
         path = path or os.path.expanduser(DEFAULT_OPERATOR_FILE)
         model = settings_module.OperatorSettings
-        return remote.RouterClient(settings_module.read(path, model))
+        return router_client.RouterClient(settings_module.read(path, model))
 
     def _change(self, method, path, body, command_id, revision=None) -> str:
         command_id = str(command_id or uuid.uuid4().hex)
@@ -44,7 +44,9 @@
         if revision is None:
             revision = fleet.get("/operators/status")["revision"]
         try:
-            answer = fleet.send_command(method, path, body, command_id, revision)
+            answer = fleet.send_command(
+                method, path, body, command_id, revision
+            )
         except errors.AmaranthringError as error:
             if error.outcome != errors.Outcome.NOT_RUN:
                 error.detail += (
--- a/amaranthring/cli/output.py
+++ b/amaranthring/cli/output.py
@@ -5,7 +5,9 @@
 import typing as t
 
 
-def render(value: t.Any, as_json: bool, table: t.Callable[[t.Any], str]) -> str:
+def render(
+    value: t.Any, as_json: bool, table: t.Callable[[t.Any], str]
+) -> str:
     """Return `value` as JSON, or as what `table` makes of it."""
     if as_json:
         return json.dumps(value, indent=2, sort_keys=True)
@@ -31,7 +33,9 @@
     return "\n".join(lines)
 
 
-def format_mapping(value: collections.abc.Mapping[str, t.Any], indent: int = 0) -> str:
+def format_mapping(
+    value: collections.abc.Mapping[str, t.Any], indent: int = 0
+) -> str:
     """Return a mapping as indented ``name: value`` lines."""
     lines = []
     margin = "  " * indent
--- a/amaranthring/cli/views.py
+++ b/amaranthring/cli/views.py
@@ -124,7 +124,9 @@
         rows.append({**decision, "on": said})
     begun = format_time(answer["begun"])
     heading = f"request {answer['request_id']}, begun {begun}"
-    return heading + "\n" + output.format_table(rows, ("seconds", "event", "on"))
+    return (
+        heading + "\n" + output.format_table(rows, ("seconds", "event", "on"))
+    )
 
 
 def format_time(seconds: float) -> str:
--- a/amaranthring/core/parts.py
+++ b/amaranthring/core/config_parts.py
@@ -223,7 +223,9 @@
         for part, value in changed.items():
             self._drop(part)
             self.items[part] = value
-            self.digest_sum = (self.digest_sum + _digest(part, value)) % _MODULUS
+            self.digest_sum = (
+                self.digest_sum + _digest(part, value)
+            ) % _MODULUS
         if len(self.change_log) == MAX_CHANGE_LOG:
             self.oldest_base = self.change_log[0][0]
         self.change_log.append((revision, [*changed, *removed]))
@@ -324,7 +326,9 @@
             return
         if len(self.change_log) == MAX_CHANGE_LOG:
             self.oldest_base = self.change_log[0][0]
-        self.change_log.append((delta.revision, [*delta.changed, *delta.removed]))
+        self.change_log.append(
+            (delta.revision, [*delta.changed, *delta.removed])
+        )
 
     def _drop(self, part: str) -> None:
         if part in self.items:
--- a/amaranthring/core/endpoints.py
+++ b/amaranthring/core/endpoints.py
@@ -119,7 +119,9 @@
         try:
             await self._write(await self._result())
         finally:
-            connections.call_when_sent(self.connection, self.drain.request_finished)
+            connections.call_when_sent(
+                self.connection, self.drain.request_finished
+            )
 
     async def _result(self) -> Response:
         try:
--- a/amaranthring/core/links.py
+++ b/amaranthring/core/links.py
@@ -284,7 +284,9 @@
             future.set_result(frame.message)
 
 
-async def open_link(stream, identity, keys, side, handlers) -> tuple[Link, t.Any]:
+async def open_link(
+    stream, identity, keys, side, handlers
+) -> tuple[Link, t.Any]:
     """Authenticate both ends and return the link with its unpacker.
 
     Raises
--- a/amaranthring/core/wire.py
+++ b/amaranthring/core/wire.py
@@ -14,7 +14,7 @@
 import msgpack
 
 from amaranthring import errors
-from amaranthring.core import fields
+from amaranthring.core import validation
 
 VERSION = 1
 MAX_FRAME_BYTES = 8 * 1024 * 1024
@@ -164,7 +164,7 @@
         # Fields that a newer peer added at the end are passed over.
         body = dict(zip(_COMPACT[tag], body, strict=False))
     try:
-        return fields.validator(kind)(body)
+        return validation.validator(kind)(body)
     except errors.FrameError as error:
         raise errors.FrameError(
             f"message {tag} does not fit: {error.detail}",
--- a/amaranthring/forwarding/responses.py
+++ b/amaranthring/forwarding/responses.py
@@ -114,4 +114,6 @@
 
 
 def _caller_gone() -> errors.CallerDisconnectedError:
-    return errors.CallerDisconnectedError("the caller has closed its connection")
+    return errors.CallerDisconnectedError(
+        "the caller has closed its connection"
+    )
--- a/amaranthring/keepers/disk.py
+++ b/amaranthring/keepers/disk.py
@@ -17,7 +17,7 @@
 import zlib
 
 from amaranthring import errors
-from amaranthring.core import fields
+from amaranthring.core import validation
 from amaranthring.core import wire
 from amaranthring.keepers import messages
 
@@ -191,7 +191,7 @@
             self.save(state)
             return state
         data = wire.decode_value(verify_checksum(path.read_bytes(), path))
-        found = fields.validator(HardState)(data)
+        found = validation.validator(HardState)(data)
         if (found.group, found.keeper) != (group, keeper):
             # That disk may have voted under the other name and could vote a
             # second time in the same term here.
--- a/amaranthring/keepers/initial_config.py
+++ b/amaranthring/keepers/initial_config.py
@@ -12,7 +12,7 @@
 
 from amaranthring import errors
 from amaranthring.keepers import commands
-from amaranthring.operators import conventions
+from amaranthring.operators import schemas
 
 
 def load(path: str) -> commands.Bootstrap:
@@ -38,7 +38,7 @@
             f"{path}: malformed", given=str(error), expected="JSON or INI"
         ) from error
     try:
-        return conventions.parse_bootstrap(raw)
+        return schemas.parse_bootstrap(raw)
     except errors.BadRequestError as error:
         raise errors.SettingsError(f"{path}: {error.detail}") from error
 
--- a/amaranthring/keepers/orders.py
+++ b/amaranthring/keepers/orders.py
@@ -14,7 +14,7 @@
 import typing as t
 
 from amaranthring import errors
-from amaranthring.core import parts
+from amaranthring.core import config_parts
 from amaranthring.keepers import commands
 
 MAX_FINISHED = 500
@@ -201,7 +201,7 @@
 
     def dump(self) -> dict[str, t.Any]:
         """Return the state as plain data for :meth:`load`."""
-        return parts.to_plain(
+        return config_parts.to_plain(
             {
                 "fencing": self.fencing,
                 "open": list(self.open.values()),
--- a/amaranthring/keepers/presets.py
+++ b/amaranthring/keepers/presets.py
@@ -11,7 +11,7 @@
 import typing as t
 
 from amaranthring import errors
-from amaranthring.core import parts
+from amaranthring.core import config_parts
 from amaranthring.core import wire
 from amaranthring.keepers import commands
 
@@ -64,7 +64,7 @@
     """
 
     def __init__(self):
-        self.parts = parts.Parts()
+        self.parts = config_parts.Parts()
         self.operator_revision = 0
         self.history: collections.deque[Entry] = collections.deque()
         self.history_bytes = 0
@@ -85,16 +85,16 @@
     @property
     def in_force(self) -> str:
         """Return the name of the preset in force."""
-        return self.parts.items.get(parts.IN_FORCE, "")
+        return self.parts.items.get(config_parts.IN_FORCE, "")
 
     def bootstrap(self, stamp: float, command: commands.Bootstrap) -> t.Any:
         """Set the initial configuration, unless there already is one."""
         if self.parts.revision == 0:
-            changed = {parts.IN_FORCE: command.in_force}
+            changed = {config_parts.IN_FORCE: command.in_force}
             for preset in command.presets:
-                changed |= parts.preset_parts(preset)
+                changed |= config_parts.preset_parts(preset)
             for account in command.accounts:
-                changed |= parts.account_parts(account)
+                changed |= config_parts.account_parts(account)
             self.add_revision(
                 stamp,
                 "initial",
@@ -144,7 +144,7 @@
     def switch_preset(self, stamp, command) -> None:
         """Make another preset the one in force."""
         self._require(f"preset/{command.name}", "preset", command.name)
-        changed = {parts.IN_FORCE: command.name}
+        changed = {config_parts.IN_FORCE: command.name}
         self._commit_command(stamp, command, command.name, changed, [])
 
     def remove_preset(self, stamp, command) -> None:
@@ -179,7 +179,9 @@
             removed += sorted(set(current) - new.keys())
             changed |= self._changed_only(new)
         if not name:
-            changed[parts.IN_FORCE] = self._in_force_at(command.revision)
+            changed[config_parts.IN_FORCE] = self._in_force_at(
+                command.revision
+            )
         self.add_revision(stamp, "", "", "", changed, removed)
         self.operator_revision = self.parts.revision
         for preset, content in contents.items():
@@ -238,7 +240,7 @@
 
     def put_account(self, stamp, command) -> None:
         """Create or replace an account."""
-        changed = parts.account_parts(command.account)
+        changed = config_parts.account_parts(command.account)
         self._check_limit("account/", next(iter(changed)), MAX_ACCOUNTS)
         self._commit_command(stamp, command, command.account.name, changed, [])
 
@@ -268,10 +270,14 @@
         self._commit_command(stamp, command, command.fingerprint, {}, [part])
 
     def _preset_parts(self, preset: str) -> list[str]:
-        return [p for p in self.parts.items if parts.belongs_to_preset(p, preset)]
+        return [
+            p
+            for p in self.parts.items
+            if config_parts.belongs_to_preset(p, preset)
+        ]
 
     def _put_preset(self, stamp, operator, action, preset) -> None:
-        changed = parts.preset_parts(preset)
+        changed = config_parts.preset_parts(preset)
         part = f"preset/{preset.name}"
         self._check_limit("preset/", part, MAX_PRESETS)
         removed = set(self._preset_parts(preset.name)) - changed.keys()
@@ -362,7 +368,7 @@
     def load(cls, values: dict[str, t.Any]) -> "Book":
         """Return an instance with the state from :meth:`dump`."""
         book = cls()
-        book.parts = parts.Parts.load(values["parts"])
+        book.parts = config_parts.Parts.load(values["parts"])
         book.operator_revision = values["operated"]
         book.base_presets = values["base"]
         book.base_in_force = values["base_in_force"]
@@ -373,4 +379,4 @@
 
 def parts_of_content(content: bytes) -> dict[str, t.Any]:
     """Return the parts of a preset from the history."""
-    return parts.plain_preset_parts(wire.decode_value(content))
+    return config_parts.plain_preset_parts(wire.decode_value(content))
--- a/amaranthring/keepers/queries.py
+++ b/amaranthring/keepers/queries.py
@@ -10,7 +10,7 @@
 import typing as t
 
 from amaranthring import errors
-from amaranthring.core import parts
+from amaranthring.core import config_parts
 from amaranthring.keepers import commands
 from amaranthring.keepers import quarantine
 from amaranthring.keepers import state_machine
@@ -81,7 +81,7 @@
             )
         return handler(message)
 
-    async def _config_since(self, message) -> parts.Delta:
+    async def _config_since(self, message) -> config_parts.Delta:
         wait = min(message.wait_seconds, MAX_WAIT_SECONDS)
         if self.machine.book.parts.revision <= message.revision and wait > 0:
             future = asyncio.get_running_loop().create_future()
--- a/amaranthring/keepers/server.py
+++ b/amaranthring/keepers/server.py
@@ -60,7 +60,9 @@
             process.data_centre,
             time.time_ns(),
         )
-        self.keys = links.Keys(settings_module.read_keys(settings.fleet.keys_file))
+        self.keys = links.Keys(
+            settings_module.read_keys(settings.fleet.keys_file)
+        )
         self.handlers = links.Handlers()
         self.groups: dict[str, consensus.Group] = {}
         dispatch.register(self.handlers, self.groups)
--- a/amaranthring/keepers/snapshots.py
+++ b/amaranthring/keepers/snapshots.py
@@ -9,7 +9,7 @@
 import pathlib
 
 from amaranthring import errors
-from amaranthring.core import fields
+from amaranthring.core import validation
 from amaranthring.core import wire
 from amaranthring.keepers import disk
 from amaranthring.keepers import messages
@@ -74,7 +74,7 @@
     """
     body = disk.verify_checksum(path.read_bytes(), path)
     try:
-        return fields.validator(Snapshot)(wire.decode_value(body))
+        return validation.validator(Snapshot)(wire.decode_value(body))
     except errors.FrameError as error:
         raise disk.damage_error(path, "not a snapshot") from error
 
--- a/amaranthring/keepers/state_machine.py
+++ b/amaranthring/keepers/state_machine.py
@@ -9,8 +9,8 @@
 import typing as t
 
 from amaranthring import errors
+from amaranthring.core import config_parts
 from amaranthring.core import hashing
-from amaranthring.core import parts
 from amaranthring.core import wire
 from amaranthring.keepers import commands
 from amaranthring.keepers import ledger
@@ -210,6 +210,6 @@
         self.index = values["index"]
         self._notify()
 
-    def config_since(self, revision: int) -> parts.Delta:
+    def config_since(self, revision: int) -> config_parts.Delta:
         """Return the configuration changes after `revision`."""
         return self.book.parts.delta_since(revision)
--- a/amaranthring/operators/base.py
+++ b/amaranthring/operators/base.py
@@ -11,13 +11,13 @@
 import tornado.web
 
 from amaranthring import errors
+from amaranthring.core import config_parts
 from amaranthring.core import connections
 from amaranthring.core import drain as drains
 from amaranthring.core import fleet
 from amaranthring.core import hashing
-from amaranthring.core import parts
 from amaranthring.keepers import commands
-from amaranthring.operators import conventions
+from amaranthring.operators import schemas
 
 COMMAND_SECONDS = 5.0
 QUERY_SECONDS = 3.0
@@ -46,7 +46,7 @@
     keepers : callable
         Coroutine that returns the status of the group of keepers.
     change_keepers : callable
-        Coroutine of whether to add, and of a ``conventions.KeeperModel``.
+        Coroutine of whether to add, and of a ``schemas.KeeperModel``.
     drain : drain.Drain
         Requests in progress, so that a router that stops ends them first.
     """
@@ -130,17 +130,17 @@
 
     def json_body(self) -> dict[str, t.Any]:
         """Return the JSON object sent."""
-        return conventions.parse_json_body(self.request.body)
+        return schemas.parse_json_body(self.request.body)
 
     def command_fields(self) -> dict[str, t.Any]:
         """Return what every command of an operator carries."""
         headers = self.request.headers
         return {
-            "command_id": conventions.parse_command_id(
-                headers.get(conventions.COMMAND_ID_HEADER)
+            "command_id": schemas.parse_command_id(
+                headers.get(schemas.COMMAND_ID_HEADER)
             ),
             "operator": self.operator,
-            "if_match": conventions.parse_if_match(headers.get("If-Match")),
+            "if_match": schemas.parse_if_match(headers.get("If-Match")),
         }
 
     async def propose(self, command: commands.OperatorCommand) -> None:
@@ -176,7 +176,7 @@
             self.set_header("Amaranthring-Source", "router")
             return self.dependencies.revisions.current
         self.set_header("Amaranthring-Source", "keepers")
-        return parts.build_config(found["revision"], found["items"])
+        return config_parts.build_config(found["revision"], found["items"])
 
 
 def _typed(status: int) -> errors.AmaranthringError:
--- a/amaranthring/operators/handlers.py
+++ b/amaranthring/operators/handlers.py
@@ -9,11 +9,11 @@
 import typing as t
 
 from amaranthring import errors
+from amaranthring.core import config_parts
 from amaranthring.core import fleet
-from amaranthring.core import parts
 from amaranthring.keepers import commands
 from amaranthring.operators import base
-from amaranthring.operators import conventions
+from amaranthring.operators import schemas
 
 
 class Status(base.Handler):
@@ -55,7 +55,7 @@
 
 def _figures(preset: fleet.Preset) -> dict[str, t.Any]:
     """Return the plain figures of `preset`, without what it nests."""
-    return parts.preset_parts(preset)[f"preset/{preset.name}"]
+    return config_parts.preset_parts(preset)[f"preset/{preset.name}"]
 
 
 class Presets(base.Handler):
@@ -85,19 +85,21 @@
         body = {
             "revision": config.revision,
             "in_force": config.in_force == name,
-            "preset": parts.to_plain(found),
+            "preset": config_parts.to_plain(found),
         }
         body["preset"].pop("name")
         self.respond(body, config.revision)
 
     async def put(self, name: str) -> None:
         """Create or replace the preset."""
-        made = conventions.parse_preset(name, self.json_body())
+        made = schemas.parse_preset(name, self.json_body())
         await self.propose(commands.PutPreset(made, **self.command_fields()))
 
     async def delete(self, name: str) -> None:
         """Remove the preset."""
-        await self.propose(commands.RemovePreset(name, **self.command_fields()))
+        await self.propose(
+            commands.RemovePreset(name, **self.command_fields())
+        )
 
 
 class Restore(base.Handler):
@@ -105,7 +107,7 @@
 
     async def post(self) -> None:
         """Take what presets held at an earlier revision again."""
-        made = conventions.validate(conventions.RestoreModel, self.json_body())
+        made = schemas.validate(schemas.RestoreModel, self.json_body())
         command = commands.RestorePresets(
             made.revision, made.preset, **self.command_fields()
         )
@@ -117,7 +119,7 @@
 
     async def post(self) -> None:
         """Put another preset in force."""
-        made = conventions.validate(conventions.SwitchModel, self.json_body())
+        made = schemas.validate(schemas.SwitchModel, self.json_body())
         command = commands.SwitchPreset(made.preset, **self.command_fields())
         await self.propose(command)
 
@@ -132,7 +134,7 @@
             "revision": config.revision,
             "accounts": [
                 {"name": name}
-                | parts.to_plain(config.preset.account_policy(name))
+                | config_parts.to_plain(config.preset.account_policy(name))
                 for name in sorted(config.accounts)
             ],
         }
@@ -151,18 +153,22 @@
             "name": name,
             "default_class": found.default_class,
             "tokens": [digest[:8] for digest in found.token_hashes],
-            "policy": parts.to_plain(config.preset.account_policy(name)),
+            "policy": config_parts.to_plain(
+                config.preset.account_policy(name)
+            ),
         }
         self.respond(body, config.revision)
 
     async def put(self, name: str) -> None:
         """Create or replace the account."""
-        made = conventions.parse_account(name, self.json_body())
+        made = schemas.parse_account(name, self.json_body())
         await self.propose(commands.PutAccount(made, **self.command_fields()))
 
     async def delete(self, name: str) -> None:
         """Remove the account."""
-        await self.propose(commands.RemoveAccount(name, **self.command_fields()))
+        await self.propose(
+            commands.RemoveAccount(name, **self.command_fields())
+        )
 
 
 class Targets(base.Handler):
@@ -194,9 +200,9 @@
 
     async def post(self, name: str) -> None:
         """Give the target no new work."""
-        made = conventions.validate(conventions.DrainModel, self.json_body())
+        made = schemas.validate(schemas.DrainModel, self.json_body())
         command = commands.DrainTarget(
-            conventions.validate_name(name), made.reason, **self.command_fields()
+            schemas.validate_name(name), made.reason, **self.command_fields()
         )
         await self.propose(command)
 
@@ -206,7 +212,9 @@
 
     async def post(self, name: str) -> None:
         """Give the target work again."""
-        await self.propose(commands.UndrainTarget(name, **self.command_fields()))
+        await self.propose(
+            commands.UndrainTarget(name, **self.command_fields())
+        )
 
 
 class StateView(base.Handler):
@@ -220,7 +228,9 @@
     async def get(self) -> None:
         """Show the view, narrowed by the argument ``name``."""
         name = self.get_query_argument("name", "")
-        self.respond({self.view_name: await self.fetch_view(self.view_name, name)})
+        self.respond(
+            {self.view_name: await self.fetch_view(self.view_name, name)}
+        )
 
 
 class QuarantineEntry(base.Handler):
@@ -248,7 +258,7 @@
         """Show the status of the group of keepers."""
         if self.dependencies.keepers is None:
             raise errors.NotFoundError("no keepers here")
-        self.respond(parts.to_plain(await self.dependencies.keepers()))
+        self.respond(config_parts.to_plain(await self.dependencies.keepers()))
 
 
 class ChangeKeepers(base.Handler):
@@ -258,7 +268,7 @@
         """Add a keeper as a learner to be voted in, or remove one."""
         if self.dependencies.change_keepers is None:
             raise errors.NotFoundError("no keepers here")
-        made = conventions.validate(conventions.KeeperModel, self.json_body())
+        made = schemas.validate(schemas.KeeperModel, self.json_body())
         adds = action == "add"
         if adds and not (made.address and made.data_centre):
             raise errors.BadRequestError(
--- a/amaranthring/plan_keeper.py
+++ b/amaranthring/plan_keeper.py
@@ -69,7 +69,9 @@
         endpoints, make_answer = await asyncio.to_thread(self._load)
         answer = make_answer(self.keeper.hub)
         self.control_server = endpoints.serve(self.control, answer)
-        endpoints.serve(self.metrics_address, endpoints.metrics_handler(self.metrics))
+        endpoints.serve(
+            self.metrics_address, endpoints.metrics_handler(self.metrics)
+        )
         logs.event(log, "keeper.listening", address=self.control)
 
     def _load(self) -> tuple[types.ModuleType, t.Callable]:
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -188,7 +188,9 @@
         """Open the listeners and connect to the keepers."""
         self.front.listen(listeners.bind_sockets(self.config.callers))
         endpoints.serve(self.config.health, self._health)
-        endpoints.serve(self.config.metrics, endpoints.metrics_handler(self.metrics))
+        endpoints.serve(
+            self.config.metrics, endpoints.metrics_handler(self.metrics)
+        )
         self.subscriber.use_seeds(self.config.keepers)
         for work in (
             self._forget_gone_targets(),
--- a/amaranthring/platform/control.py
+++ b/amaranthring/platform/control.py
@@ -5,7 +5,7 @@
 
 from amaranthring import errors
 from amaranthring.core import endpoints
-from amaranthring.core import fields
+from amaranthring.core import validation
 from amaranthring.keepers import plans
 from amaranthring.platform import documents
 from amaranthring.registry import hub as hubs
@@ -97,7 +97,9 @@
     return endpoints.Response(body=EMPTY_OBJECT)
 
 
-async def _replace(hub: hubs.Hub, call: endpoints.Request) -> endpoints.Response:
+async def _replace(
+    hub: hubs.Hub, call: endpoints.Request
+) -> endpoints.Response:
     plan = documents.decode(call.body)
     held = await hub.put(plan.version, call.body)
     return endpoints.Response(body=json.dumps({"version": held}).encode())
@@ -121,7 +123,7 @@
     try:
         found = json.loads(body)
         plain = _record(path.removeprefix(HEARTBEAT), found)
-        return fields.validator(messages.TargetRecord)(plain)
+        return validation.validator(messages.TargetRecord)(plain)
     except (
         errors.FrameError,
         ValueError,
--- a/amaranthring/platform/daemon.py
+++ b/amaranthring/platform/daemon.py
@@ -8,8 +8,8 @@
 import logbook
 
 from amaranthring import errors
-from amaranthring.core import collection
-from amaranthring.core import lines
+from amaranthring.core import garbage_collection
+from amaranthring.core import log_writer
 from amaranthring.core import logs
 from amaranthring.core import signals
 from amaranthring.platform import node as nodes
@@ -68,7 +68,7 @@
         if starting.done():
             # A listener that cannot be had ends the process.
             starting.result()
-    collection.freeze_startup_objects()
+    garbage_collection.freeze_startup_objects()
     gc.enable()
     await stopping
     logs.event(log, f"{role}.stopping", vm=node.name)
@@ -88,7 +88,7 @@
     if role not in ROLES:
         print(f"usage: ROLE is one of {', '.join(ROLES)}", file=sys.stderr)
         return 2
-    writer = lines.setup(role)
+    writer = log_writer.setup(role)
     try:
         asyncio.run(run(role))
     except errors.AmaranthringError as error:
--- a/amaranthring/platform/keeper.py
+++ b/amaranthring/platform/keeper.py
@@ -33,4 +33,6 @@
 
 def load_handler_factory() -> t.Callable:
     """Load the module that answers control calls, and return its maker."""
-    return importlib.import_module("amaranthring.platform.control").make_handler
+    return importlib.import_module(
+        "amaranthring.platform.control"
+    ).make_handler
--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -322,12 +322,17 @@
 
     # -- internals --
 
-    def _record_end(self, target, router, now, end: records.AttemptEnd) -> None:
+    def _record_end(
+        self, target, router, now, end: records.AttemptEnd
+    ) -> None:
         if end is records.AttemptEnd.DONE:
             self.breakers.record_success(target, router)
         if end is records.AttemptEnd.FAILED:
             self.breakers.record_error(target, self.targets, now)
-        if end in (records.AttemptEnd.UNREACHABLE, records.AttemptEnd.TARGET_LOST):
+        if end in (
+            records.AttemptEnd.UNREACHABLE,
+            records.AttemptEnd.TARGET_LOST,
+        ):
             self.breakers.record_unreachable(target, router, self.targets, now)
 
     def _limits(
--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -10,7 +10,7 @@
 
 from amaranthring import errors
 from amaranthring import settings as settings_module
-from amaranthring.callers import way
+from amaranthring.callers import execution
 from amaranthring.core import decisions
 from amaranthring.core import drain as drains
 from amaranthring.core import links
@@ -21,7 +21,7 @@
 from amaranthring.keepers import client as keeper_client
 from amaranthring.keepers import commands
 from amaranthring.keepers import messages as keeper_messages
-from amaranthring.monitoring import figures
+from amaranthring.monitoring import exporters
 from amaranthring.operators import base as operators_base
 from amaranthring.operators import handlers as operators
 from amaranthring.policy import retries
@@ -207,8 +207,8 @@
         ):
             component.add_handlers(self.handlers)
 
-    def _make_needs(self) -> way.Dependencies:
-        return way.Dependencies(
+    def _make_needs(self) -> execution.Dependencies:
+        return execution.Dependencies(
             router=self.name,
             keys=self._resume_keys(),
             config=self.config,
@@ -233,7 +233,9 @@
 
     def _resume_keys(self) -> links.Keys:
         path = self.settings.fleet.resume_key_file
-        return links.Keys(settings_module.read_keys(path)) if path else self.keys
+        return (
+            links.Keys(settings_module.read_keys(path)) if path else self.keys
+        )
 
     def config(self):
         """Return the active configuration revision of this router."""
@@ -316,7 +318,7 @@
         """Return the routes of the internal listener."""
         fleet = self.settings.fleet
         routes = [
-            ("/metrics", figures.MetricsHandler, {"figures": self.metrics})
+            ("/metrics", exporters.MetricsHandler, {"figures": self.metrics})
         ]
         if fleet.targets_key_file:
             keys = settings_module.read_keys(fleet.targets_key_file)
@@ -326,7 +328,9 @@
             routes += operators.routes(self._operators(tokens))
         return routes
 
-    def _operators(self, tokens: dict[str, str]) -> operators_base.Dependencies:
+    def _operators(
+        self, tokens: dict[str, str]
+    ) -> operators_base.Dependencies:
         return operators_base.Dependencies(
             tokens=tokens,
             propose=self.keepers.propose,
@@ -402,7 +406,7 @@
             self.target_reporter.run,
         ]
         if self.settings.statsd.host:
-            sender = figures.StatsdSender(self.metrics, self.settings.statsd)
+            sender = exporters.StatsdSender(self.metrics, self.settings.statsd)
             runs.append(sender.run)
         self.tasks = [asyncio.ensure_future(run()) for run in runs]
 
--- a/amaranthring/routers/mesh.py
+++ b/amaranthring/routers/mesh.py
@@ -22,7 +22,7 @@
 from amaranthring.core import logs
 from amaranthring.core import metrics as metrics_module
 from amaranthring.core import pauses
-from amaranthring.core import repeating
+from amaranthring.core import periodic
 from amaranthring.core import wire
 from amaranthring.routers import peers as peers_module
 from amaranthring.routers import relays
@@ -415,7 +415,7 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            repeating.run_step(self.tick, "mesh.ticks", self.metrics)
+            periodic.run_step(self.tick, "mesh.ticks", self.metrics)
 
     def tick(self) -> None:
         """Drop dead links, send heartbeats and close idle links."""
--- a/amaranthring/routers/owner_client.py
+++ b/amaranthring/routers/owner_client.py
@@ -172,7 +172,9 @@
                 self.backoff_until[owner] = self.clock() + BACKOFF_SECONDS
                 self.on_unresponsive(ask.cell)
                 # It may have granted the request and the reply was lost.
-                self.release(owner, ask.cell, ask.serial, records.AttemptEnd.NOT_SENT)
+                self.release(
+                    owner, ask.cell, ask.serial, records.AttemptEnd.NOT_SENT
+                )
         return "", None
 
     async def wait(
@@ -232,7 +234,9 @@
             answer = await self.mesh.call(owner, ask, ASK_TIMEOUT_SECONDS)
             return answer
         except asyncio.CancelledError:
-            self.release(owner, ask.cell, ask.serial, records.AttemptEnd.CANCELLED)
+            self.release(
+                owner, ask.cell, ask.serial, records.AttemptEnd.CANCELLED
+            )
             raise
         finally:
             if not isinstance(answer, messages.Queued):
--- a/amaranthring/routers/revision_file.py
+++ b/amaranthring/routers/revision_file.py
@@ -13,8 +13,8 @@
 import logbook
 
 from amaranthring import errors
+from amaranthring.core import config_parts
 from amaranthring.core import logs
-from amaranthring.core import parts
 from amaranthring.core import wire
 
 log = logbook.Logger(__name__)
@@ -61,7 +61,7 @@
         self.pending: dict[str, t.Any] | None = None
         self.task: asyncio.Task | None = None
 
-    def load(self) -> parts.Parts | None:
+    def load(self) -> config_parts.Parts | None:
         """Return the stored parts, or None if absent or damaged."""
         if not self.path or not os.path.exists(self.path):
             return None
@@ -75,7 +75,7 @@
             )
             return None
 
-    def save(self, held: parts.Parts) -> None:
+    def save(self, held: config_parts.Parts) -> None:
         """Schedule writing `held`."""
         if not self.path:
             return
@@ -88,7 +88,7 @@
         if self.task is not None:
             await self.task
 
-    def _parse(self, data: bytes) -> parts.Parts:
+    def _parse(self, data: bytes) -> config_parts.Parts:
         start = len(MAGIC) + DIGEST_BYTES
         body = data[start:]
         if data[:start] != MAGIC + _checksum(body):
@@ -97,7 +97,7 @@
                 given="another",
                 expected="that of its content",
             )
-        return parts.Parts.load(wire.decode_value(body))
+        return config_parts.Parts.load(wire.decode_value(body))
 
     async def _write(self) -> None:
         loop = asyncio.get_running_loop()
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -19,10 +19,10 @@
 import logbook
 
 from amaranthring import errors
+from amaranthring.core import config_parts
 from amaranthring.core import fleet
 from amaranthring.core import hashing
 from amaranthring.core import logs
-from amaranthring.core import parts
 from amaranthring.keepers import commands
 from amaranthring.routers import revision_file
 from amaranthring.routers import revision_messages
@@ -94,7 +94,7 @@
         self.metrics = metrics
         self.neighbours = neighbours
         self.file = revision_file.RevisionFile(path, metrics)
-        self.parts = parts.Parts()
+        self.parts = config_parts.Parts()
         self.current = fleet.FleetConfig()
         self.ready = False
         self.confirmed_at = 0.0
@@ -106,7 +106,7 @@
         self.last_report: dict[str, int] = {}
         self.reported_at = 0.0
         self.needs_full_state = False
-        handlers.add(parts.Delta, self._on_delta)
+        handlers.add(config_parts.Delta, self._on_delta)
         handlers.add(commands.ConfigSince, self._on_config_since)
         handlers.add(
             revision_messages.RunningRevision, self._on_running_revision
@@ -151,7 +151,7 @@
         live = self.mesh.live(self.data_centre)
         return hashing.order(RELAY_KEY + self.data_centre, live)[:RELAYS]
 
-    def apply_delta(self, delta: parts.Delta, source: str) -> bool:
+    def apply_delta(self, delta: config_parts.Delta, source: str) -> bool:
         """Apply `delta` if it raises the revision; return whether it did."""
         try:
             moved = self.parts.apply(delta)
@@ -169,7 +169,7 @@
             self.metrics.count("revisions.applied")
             base = fleet.FleetConfig() if delta.whole else self.current
             self._activate(
-                parts.apply_changes(
+                config_parts.apply_changes(
                     base, delta.revision, delta.changed, delta.removed
                 )
             )
--- a/amaranthring/routers/target_sync.py
+++ b/amaranthring/routers/target_sync.py
@@ -19,8 +19,8 @@
 from amaranthring import errors
 from amaranthring.core import hashing
 from amaranthring.core import metrics as metrics_module
+from amaranthring.core import periodic
 from amaranthring.core import records
-from amaranthring.core import repeating
 from amaranthring.routers import lateness
 from amaranthring.routers import mesh as mesh_module
 from amaranthring.routers import peers
@@ -129,7 +129,7 @@
                 self.next_batch_at, self.clock() - SLACK_SECONDS
             )
             self.next_batch_at += BATCH_SECONDS
-            repeating.run_step(self.tick, "spread.ticks", self.metrics)
+            periodic.run_step(self.tick, "spread.ticks", self.metrics)
 
     def renew_in(self) -> float:
         """Return the seconds until a target that just renewed should renew.
--- a/amaranthring/settings/__init__.py
+++ b/amaranthring/settings/__init__.py
@@ -1,12 +1,12 @@
 """Settings of one process: INI files, validated whole at the border."""
 
-from amaranthring.settings.files import check_files
+from amaranthring.settings.file_checks import check_files
 from amaranthring.settings.ini import read
 from amaranthring.settings.models import CallersSection
 from amaranthring.settings.models import KeeperSection
 from amaranthring.settings.models import OperatorSettings
-from amaranthring.settings.models import PeerAddress
 from amaranthring.settings.models import parse_peers
+from amaranthring.settings.models import PeerAddress
 from amaranthring.settings.models import ROLES
 from amaranthring.settings.models import Settings
 from amaranthring.settings.reference import example
@@ -22,12 +22,12 @@
     "OperatorSettings",
     "PeerAddress",
     "Settings",
-    "check_files",
     "check_file_mode",
+    "check_files",
     "example",
-    "read_keys",
     "parse_peers",
     "read",
-    "reference",
+    "read_keys",
     "read_secrets",
+    "reference",
 ]
--- a/amaranthring/settings/models.py
+++ b/amaranthring/settings/models.py
@@ -38,8 +38,8 @@
         "Folder for durable state; required for a keeper. A router keeps "
         "its last revision there.",
     )
-    log_level: t.Literal["DEBUG", "INFO", "WARNING", "ERROR"] = documented_field(
-        "INFO", "Lowest level of log lines."
+    log_level: t.Literal["DEBUG", "INFO", "WARNING", "ERROR"] = (
+        documented_field("INFO", "Lowest level of log lines.")
     )
     log_format: t.Literal["text", "json"] = documented_field(
         "text", "Form of log lines."
@@ -109,7 +109,9 @@
 class CallersSection(Section):
     """Bounds towards callers."""
 
-    header_bytes_most: Bytes = documented_field(16 * 1024, "Bytes of all headers.")
+    header_bytes_most: Bytes = documented_field(
+        16 * 1024, "Bytes of all headers."
+    )
     body_bytes_most: Bytes = documented_field(
         4 * 1024 * 1024, "Bytes of a request body."
     )
--- a/amaranthring/targets/table.py
+++ b/amaranthring/targets/table.py
@@ -25,8 +25,8 @@
 from amaranthring.core import logs
 from amaranthring.core import metrics as metrics_module
 from amaranthring.core import pauses
+from amaranthring.core import periodic
 from amaranthring.core import records
-from amaranthring.core import repeating
 from amaranthring.policy import flap_damping
 from amaranthring.targets import claims
 from amaranthring.targets import entries
@@ -375,7 +375,7 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_SECONDS)
-            repeating.run_step(self.expire, "targets.ticks", self.metrics)
+            periodic.run_step(self.expire, "targets.ticks", self.metrics)
 
     # -- internals ----------------------------------------------------------
 
--- a/amaranthring/testing/demo.py
+++ b/amaranthring/testing/demo.py
@@ -191,7 +191,9 @@
 
     def runs(self, router: str, revision: int) -> bool:
         """Return whether `router` runs at least `revision`."""
-        _, body = local_fleet.http_get(self.fleet.internal_url(router) + "/metrics")
+        _, body = local_fleet.http_get(
+            self.fleet.internal_url(router) + "/metrics"
+        )
         gauges = json.loads(body or b'{"gauges": {}}')["gauges"]
         return gauges.get("revisions.revision", 0) >= revision
 
--- a/amaranthring/testing/engine.py
+++ b/amaranthring/testing/engine.py
@@ -228,7 +228,9 @@
 
     def start_stream(self, body: dict, headers, name: str) -> Stream:
         """Note a run and return its stream."""
-        follows = body.get("continue_from", {}) if self.supports_continuation else {}
+        follows = (
+            body.get("continue_from", {}) if self.supports_continuation else {}
+        )
         stream = Stream(
             name=name,
             body=body,
--- a/amaranthring/testing/needs.py
+++ b/amaranthring/testing/fake_dependencies.py
@@ -5,7 +5,7 @@
 import itertools
 
 from amaranthring import errors
-from amaranthring.callers import way
+from amaranthring.callers import execution
 from amaranthring.core import fleet
 from amaranthring.core import hashing
 from amaranthring.core import links
@@ -113,7 +113,7 @@
                 for name, token in (("acme", TOKEN), ("beta", OTHER_TOKEN))
             },
         )
-        self.needs = way.Dependencies(
+        self.needs = execution.Dependencies(
             router="r1",
             keys=links.Keys({"k1": b"f" * 32}),
             config=lambda: self.config,
@@ -127,8 +127,8 @@
             may_retry=self.may_retry,
             record_success=lambda _: None,
             when_lost=self.when_lost,
-            record_decision=lambda name, event, **more: self.logged_events.append(
-                (name, event, more)
+            record_decision=lambda name, event, **more: (
+                self.logged_events.append((name, event, more))
             ),
             get_target=self.targets.get,
             served_names=self.serves,
@@ -179,7 +179,9 @@
         """Note a coincidence; two targets quarantine the request."""
         self.crash_reports.append((request.body_digest, target.name))
         seen = {
-            t for digest, t in self.crash_reports if digest == request.body_digest
+            t
+            for digest, t in self.crash_reports
+            if digest == request.body_digest
         }
         if len(seen) >= 2:
             self.quarantined.add(request.body_digest)
--- a/amaranthring/testing/faults.py
+++ b/amaranthring/testing/faults.py
@@ -13,8 +13,8 @@
 
 from amaranthring import errors
 from amaranthring.testing import keeper
+from amaranthring.testing import keeper_processes
 from amaranthring.testing import linearizable
-from amaranthring.testing import processes
 
 REGISTERS = ("a", "b", "c")
 CALL_SECONDS = 4.0
@@ -202,7 +202,7 @@
         last = {status.last_index for status in statuses}
         return len(applied) == 1 and applied == last
 
-    await processes.wait_until(equal, 30, "equal keepers")
+    await keeper_processes.wait_until(equal, 30, "equal keepers")
     return [
         await fleet.client.diallers[name].call(keeper.LocalDumpQuery(), 5)
         for name in fleet.names
--- a/amaranthring/testing/local.py
+++ b/amaranthring/testing/in_process_callers.py
@@ -16,7 +16,7 @@
 from amaranthring.settings import models as settings_models
 from amaranthring.testing import booking
 from amaranthring.testing import engine
-from amaranthring.testing import needs as fakes
+from amaranthring.testing import fake_dependencies as fakes
 from amaranthring.testing import standin
 
 WAIT_SECONDS = 10.0
--- a/amaranthring/testing/assembled.py
+++ b/amaranthring/testing/in_process_routers.py
@@ -11,7 +11,7 @@
 from amaranthring.routers import placement
 from amaranthring.routers import regions
 from amaranthring.routers import suspicion
-from amaranthring.testing import routers as fakes
+from amaranthring.testing import fake_network as fakes
 
 
 class Clock:
@@ -122,7 +122,9 @@
 
     def live(self):
         """Return the routers that run, those that leave included."""
-        return [each for each in self.routers if each.name in self.network.meshes]
+        return [
+            each for each in self.routers if each.name in self.network.meshes
+        ]
 
     def accepting(self):
         """Return the routers that take new requests."""
--- a/amaranthring/testing/processes.py
+++ b/amaranthring/testing/keeper_processes.py
@@ -14,9 +14,9 @@
 from amaranthring import settings
 from amaranthring.core import links
 from amaranthring.keepers import client
-from amaranthring.testing import cuts
 from amaranthring.testing import keeper as keeper_process
 from amaranthring.testing import local_fleet
+from amaranthring.testing import tcp_relay
 
 KEY_TEXT = "a " + "6b" * 32
 KEYS = links.Keys({"a": b"k" * 32})
@@ -145,7 +145,7 @@
         self.ports: dict[str, int] = {}
         self.names = [f"k{number + 1}" for number in range(count)]
         self.keepers: dict[str, KeeperProcess] = {}
-        self.relays: dict[tuple[str, str], cuts.Relay] = {}
+        self.relays: dict[tuple[str, str], tcp_relay.Relay] = {}
         self.clients: list[client.KeeperClient] = []
 
     async def start(self) -> None:
@@ -162,7 +162,7 @@
         for name in ["client", *self.names]:
             for other in self.names:
                 if name != other and not self.direct:
-                    relay = self.relays[name, other] = cuts.Relay()
+                    relay = self.relays[name, other] = tcp_relay.Relay()
                     await relay.start()
         for name in self.names:
             self.write_settings(name)
@@ -219,7 +219,7 @@
         """Start keeper `name`, not yet a member; return its address."""
         self.keepers[name] = KeeperProcess(name, self.folder / name)
         for other in self.names:
-            relay = self.relays[name, other] = cuts.Relay()
+            relay = self.relays[name, other] = tcp_relay.Relay()
             relay.upstream = self.relays["client", other].upstream
             await relay.start()
         self.write_settings(name, [*self.names, name])
--- a/amaranthring/testing/load.py
+++ b/amaranthring/testing/load.py
@@ -15,7 +15,7 @@
 import tornado.httpclient
 
 from amaranthring import errors
-from amaranthring.callers import conventions
+from amaranthring.callers import codec
 from amaranthring.testing import engine
 
 ANSWER_SECONDS = 40.0
@@ -158,7 +158,7 @@
         if key not in self.tally.bookings:
             # Only the caller knows that nothing can have run under the key
             # yet; a router without the ledger would have to say "unknown".
-            headers[conventions.FIRST_SEND_HEADER] = "1"
+            headers[codec.FIRST_SEND_HEADER] = "1"
         outcome: list[str] = []
 
         def header(line: str) -> None:
--- a/amaranthring/testing/local_fleet.py
+++ b/amaranthring/testing/local_fleet.py
@@ -306,7 +306,9 @@
         for name in routers:
             process = self.processes[name]
             url = self.callers_url(name) + "/health"
-            self.wait(lambda u=url: http_get(u)[0] == 200, name, seconds, process)
+            self.wait(
+                lambda u=url: http_get(u)[0] == 200, name, seconds, process
+            )
 
     def wait(self, condition, what, seconds=START_SECONDS, process=None):
         """Wait until `condition()` holds.
--- a/amaranthring/testing/members.py
+++ b/amaranthring/testing/mesh_members.py
@@ -20,7 +20,7 @@
 from amaranthring.routers import mesh
 from amaranthring.routers import target_sync
 from amaranthring.targets import table
-from amaranthring.testing import cuts
+from amaranthring.testing import tcp_relay
 
 KEYS = links.Keys({"a": b"k" * 32})
 
@@ -115,8 +115,8 @@
     def __init__(self, places: list[str], config=fleet.FleetConfig):
         self.data_centres = places
         self.config = config
-        self.local_relays: list[cuts.Relay] = []
-        self.remote_relays: list[cuts.Relay] = []
+        self.local_relays: list[tcp_relay.Relay] = []
+        self.remote_relays: list[tcp_relay.Relay] = []
         self.members: list[Member] = []
         self.renewals: dict[str, asyncio.Task] = {}
 
@@ -124,7 +124,9 @@
         """Return every router as those of data centre `place` see it."""
         made = []
         for number, there in enumerate(self.data_centres):
-            cut = (self.local_relays if there == place else self.remote_relays)[number]
+            cut = (
+                self.local_relays if there == place else self.remote_relays
+            )[number]
             made.append(
                 settings.PeerAddress(
                     name=f"r{number}", data_centre=there, address=cut.address
@@ -139,7 +141,7 @@
             sock, port = tornado.testing.bind_unused_port()
             socks.append(sock)
             for side in (self.local_relays, self.remote_relays):
-                side.append(cuts.Relay(f"127.0.0.1:{port}"))
+                side.append(tcp_relay.Relay(f"127.0.0.1:{port}"))
                 await side[-1].start()
         for number, place in enumerate(self.data_centres):
             peers = self.peers_of(place)
@@ -199,7 +201,9 @@
         sequence = 0
         while True:
             sequence += 1
-            report = records.LoadReport(one.name, one.incarnation, sequence, 1, 0)
+            report = records.LoadReport(
+                one.name, one.incarnation, sequence, 1, 0
+            )
             at = self.members[numbers[0]].table
             if at.get(one.name) != one:
                 at.announce(one)
@@ -207,7 +211,9 @@
             await asyncio.sleep(0.5)
 
 
-async def wait_until(condition: t.Callable[[], bool], seconds: float = 20) -> float:
+async def wait_until(
+    condition: t.Callable[[], bool], seconds: float = 20
+) -> float:
     """Wait until `condition()` holds and return how long that took.
 
     Raises
--- a/amaranthring/testing/scripted.py
+++ b/amaranthring/testing/scripted_target.py
@@ -36,7 +36,15 @@
 PROMPT = "Test-Prompt"
 COPY = "Test-Copy-From"
 LAST_EVENT_ID = "Last-Event-Id"
-OURS = {TIMEOUT, EXPECTED, ACCOUNT, KEY, LAST_EVENT_ID, "Connection", "Content-Length"}
+OURS = {
+    TIMEOUT,
+    EXPECTED,
+    ACCOUNT,
+    KEY,
+    LAST_EVENT_ID,
+    "Connection",
+    "Content-Length",
+}
 
 
 def read_request(start_line, headers, arrived) -> records.Incoming:
@@ -213,7 +221,9 @@
 
     async def script(seen, writer):
         length = str(len(body))
-        writer.write(response_head(seen, status, signed, Content_Length=length) + body)
+        writer.write(
+            response_head(seen, status, signed, Content_Length=length) + body
+        )
         await writer.drain()
 
     return script
--- a/amaranthring/testing/standin.py
+++ b/amaranthring/testing/standin.py
@@ -12,7 +12,7 @@
 from amaranthring import settings
 from amaranthring.core import records
 from amaranthring.core import signals
-from amaranthring.testing import announcing
+from amaranthring.testing import announcements
 
 END_SECONDS = 10.0
 LOOK_SECONDS = 0.05
@@ -75,7 +75,7 @@
     announcer = None
     if given.announce:
         key_id, key = next(iter(settings.read_keys(given.key_file).items()))
-        announcer = announcing.Announcer(
+        announcer = announcements.Announcer(
             announced,
             given.announce,
             key_id,
--- a/tests/test_account_limits.py
+++ b/tests/test_account_limits.py
@@ -6,8 +6,8 @@
 from amaranthring import errors
 from amaranthring.core import fleet
 from amaranthring.policy import retries
-from amaranthring.testing import assembled
-from amaranthring.testing import routers as fakes
+from amaranthring.testing import fake_network as fakes
+from amaranthring.testing import in_process_routers
 
 
 async def no_pause(_seconds):
@@ -18,7 +18,7 @@
     """Six routers; account ``a`` may send 50 requests per second."""
 
     def setUp(self):
-        self.fleet = assembled.Routers(6, 1)
+        self.fleet = in_process_routers.Routers(6, 1)
         self.fleet.network.pause = no_pause
         self.fleet.config.presets["ordinary"].accounts["a"] = (
             fleet.AccountPolicy(rate_per_second=50.0, burst=50.0)
@@ -102,7 +102,7 @@
     """Retries are limited to a tenth of recent successes."""
 
     def setUp(self):
-        self.clock = assembled.Clock()
+        self.clock = in_process_routers.Clock()
         self.budget = retries.RetryBudget(lambda: 0.1, self.clock)
 
     def test_retries_are_limited_to_a_share_of_successes(self):
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -6,7 +6,7 @@
 from amaranthring.core import records
 from amaranthring.policy import admission
 from amaranthring.policy import leases
-from amaranthring.testing import routers as fakes
+from amaranthring.testing import fake_network as fakes
 
 
 class TestCell(unittest.TestCase):
--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -7,31 +7,31 @@
 from amaranthring import errors
 from amaranthring.core import records
 from amaranthring.testing import engine
-from amaranthring.testing import local
-from amaranthring.testing import needs
+from amaranthring.testing import fake_dependencies
+from amaranthring.testing import in_process_callers
 
 
 class ChatCase(unittest.IsolatedAsyncioTestCase):
     """One router before engine ``e1``; tests add more of both."""
 
     async def asyncSetUp(self):
-        self.local = local.Harness()
+        self.local = in_process_callers.Harness()
         self.addAsyncCleanup(self.local.close)
         self.engine = self.local.add_engine()
 
     def assert_whole(self, answer, body, first=0):
         """Check that `answer` is the answer to `body` from event `first`."""
-        events = local.parse_events(answer.body)
+        events = in_process_callers.parse_events(answer.body)
         whole = engine.expected_text(body)
         skipped = "".join(whole.split(" ")[n] + " " for n in range(first))
-        self.assertEqual(skipped + local.join_text(events), whole)
+        self.assertEqual(skipped + in_process_callers.join_text(events), whole)
         self.assertEqual(events[-1].data, engine.END_MARKER)
         numbers = [event.number for event in events]
         self.assertEqual(numbers, list(range(first, body["max_tokens"] + 1)))
 
     def assert_failed(self, answer, code, outcome):
         """Check that a stream ended with one typed error and no end mark."""
-        events = local.parse_events(answer.body)
+        events = in_process_callers.parse_events(answer.body)
         self.assertEqual(events[-1].kind, "error")
         error = json.loads(events[-1].data)["error"]
         self.assertEqual((error["code"], error["outcome"]), (code, outcome))
@@ -48,7 +48,7 @@
 
     async def test_stream_is_whole_and_says_ran(self):
         router = self.local.add_router()
-        body = local.chat_body()
+        body = in_process_callers.chat_body()
         answer = await router.chat(body)
         self.assert_whole(answer, body)
         self.assertEqual(answer.headers["Amaranthring-Outcome"], "ran")
@@ -68,7 +68,9 @@
         faults = ("gap", "twice", "reorder", "foreign", "garbage")
         for fault in (*faults, "drop", "truncate"):
             with self.subTest(fault):
-                body = local.chat_body(stand_in={"fault": fault, "at": 3})
+                body = in_process_callers.chat_body(
+                    stand_in={"fault": fault, "at": 3}
+                )
                 self.assert_whole(await router.chat(body), body)
         self.assertEqual(router.fakes.needs.metrics.counters["way.resumed"], 6)
         self.assert_idle(router)
@@ -77,14 +79,16 @@
         """Events before a hole in the same read must not be lost."""
         router = self.local.add_router()
         fault = {"fault": "gap", "at": 30}
-        body = local.chat_body(tokens=60, stand_in_batch=50, stand_in=fault)
+        body = in_process_callers.chat_body(
+            tokens=60, stand_in_batch=50, stand_in=fault
+        )
         self.assert_whole(await router.chat(body), body)
 
     async def test_dead_engine_before_the_first_token(self):
         """The caller has seen nothing, so the chat runs again elsewhere."""
         self.local.add_engine("e2")
         router = self.local.add_router()
-        body = local.chat_body()
+        body = in_process_callers.chat_body()
         self.engine.planned_fault = {"fault": "crash", "at": 0, "times": 1}
         self.assert_whole(await router.chat(body), body)
         self.assertEqual([t for _, t in router.fakes.crash_reports], ["e1"])
@@ -98,7 +102,7 @@
         """
         other = self.local.add_engine("e2")
         router = self.local.add_router()
-        body = local.chat_body()
+        body = in_process_callers.chat_body()
         self.engine.planned_fault = {"fault": "crash", "at": 3, "times": 1}
         self.assert_whole(await router.chat(body), body)
         self.assertEqual(other.runs[0]["start"], 3)
@@ -112,10 +116,16 @@
         self.local.add_engine("e2", continues=False)
         router = self.local.add_router()
         self.engine.planned_fault = {"fault": "crash", "at": 3, "times": 1}
-        answer = await router.chat(local.chat_body())
+        answer = await router.chat(in_process_callers.chat_body())
         self.assert_failed(answer, "upstream", "unknown")
-        seen = local.join_text(local.parse_events(answer.body))
-        self.assertTrue(engine.expected_text(local.chat_body()).startswith(seen))
+        seen = in_process_callers.join_text(
+            in_process_callers.parse_events(answer.body)
+        )
+        self.assertTrue(
+            engine.expected_text(in_process_callers.chat_body()).startswith(
+                seen
+            )
+        )
 
     async def test_no_retry_without_budget(self):
         """Engines that live and fail are spared a storm of repeats."""
@@ -123,8 +133,12 @@
         router = self.local.add_router()
         router.fakes.retries_left = 0
         for _ in range(3):
-            self.engine.planned_fault = {"fault": "status", "at": 0, "times": 1}
-            answer = await router.chat(local.chat_body())
+            self.engine.planned_fault = {
+                "fault": "status",
+                "at": 0,
+                "times": 1,
+            }
+            answer = await router.chat(in_process_callers.chat_body())
             self.assertEqual(answer.code, 502)
             outcome = answer.headers["Amaranthring-Outcome"]
             self.assertEqual(outcome, "unknown")
@@ -141,9 +155,9 @@
         router = self.local.add_router()
         router.fakes.retries_left = 0
         self.engine.planned_fault = {"fault": "crash", "at": 0, "times": 1}
-        answer = await router.chat(local.chat_body())
+        answer = await router.chat(in_process_callers.chat_body())
         self.assertEqual(answer.code, 200)
-        self.assert_whole(answer, local.chat_body())
+        self.assert_whole(answer, in_process_callers.chat_body())
 
     async def test_silent_engine_is_left_after_the_token_timeout(self):
         self.local.add_engine("e2")
@@ -152,8 +166,12 @@
         router.fakes.preset.between_tokens_seconds = 1.0
         for fault, at in (("hang", 0), ("hang", 3), ("comments", 3)):
             with self.subTest(fault, at=at):
-                self.engine.planned_fault = {"fault": fault, "at": at, "times": 1}
-                body = local.chat_body(f"{fault} at {at}")
+                self.engine.planned_fault = {
+                    "fault": fault,
+                    "at": at,
+                    "times": 1,
+                }
+                body = in_process_callers.chat_body(f"{fault} at {at}")
                 self.assert_whole(await router.chat(body), body)
         self.assert_idle(router)
 
@@ -167,9 +185,9 @@
         router = self.local.add_router()
         router.fakes.preset.between_tokens_seconds = 600.0
         self.engine.planned_fault = {"fault": "hang", "at": 3, "times": 1}
-        body = local.chat_body()
+        body = in_process_callers.chat_body()
         waiting = asyncio.ensure_future(router.chat(body))
-        await local.wait_until(lambda: self.engine.slots.running)
+        await in_process_callers.wait_until(lambda: self.engine.slots.running)
         router.fakes.lose("e1")
         self.assert_whole(await waiting, body)
 
@@ -178,7 +196,9 @@
         for name in ("e2", "e3"):
             self.local.add_engine(name)
         router = self.local.add_router()
-        body = local.chat_body(stand_in={"fault": "crash", "at": 0})
+        body = in_process_callers.chat_body(
+            stand_in={"fault": "crash", "at": 0}
+        )
         first = await router.chat(body)
         self.assertEqual(first.code, 502)
         again = await router.chat(body)
@@ -189,7 +209,7 @@
     async def test_no_engine_says_not_run(self):
         router = self.local.add_router()
         await self.local.stop("e1")
-        answer = await router.chat(local.chat_body())
+        answer = await router.chat(in_process_callers.chat_body())
         self.assertEqual(answer.code, 502)
         self.assertEqual(answer.headers["Amaranthring-Outcome"], "not-run")
         self.assertIn("Retry-After", answer.headers)
@@ -201,7 +221,7 @@
 
     async def test_whole_answer_in_json(self):
         router = self.local.add_router()
-        body = local.chat_body(stream=False)
+        body = in_process_callers.chat_body(stream=False)
         answer = await router.chat(body)
         choice = json.loads(answer.body)["choices"][0]
         expected = engine.expected_text(body)
@@ -214,7 +234,7 @@
         for fault in ("drop", "truncate", "foreign-answer", "status"):
             with self.subTest(fault):
                 self.engine.planned_fault = {"fault": fault, "times": 1}
-                body = local.chat_body(fault, stream=False)
+                body = in_process_callers.chat_body(fault, stream=False)
                 answer = await router.chat(body)
                 choice = json.loads(answer.body)["choices"][0]
                 expected = engine.expected_text(body)
@@ -226,21 +246,27 @@
         self.local.add_engine("e2")
         router = self.local.add_router()
         await self.local.stop("e2")
-        body = local.chat_body(stream=False, stand_in={"fault": "drop"})
+        body = in_process_callers.chat_body(
+            stream=False, stand_in={"fault": "drop"}
+        )
         answer = await router.chat(body)
         self.assertEqual(answer.headers["Amaranthring-Outcome"], "unknown")
         self.assertEqual(len(self.engine.runs), 1)
 
     async def test_refused_by_all_engines_says_not_run(self):
         router = self.local.add_router()
-        body = local.chat_body(stream=False, stand_in={"fault": "refuse"})
+        body = in_process_callers.chat_body(
+            stream=False, stand_in={"fault": "refuse"}
+        )
         answer = await router.chat(body)
         self.assertEqual(answer.headers["Amaranthring-Outcome"], "not-run")
         self.assertEqual(self.engine.runs, [])
 
     async def test_late_answer_is_given_up_at_the_deadline(self):
         router = self.local.add_router()
-        body = local.chat_body(stream=False, stand_in={"fault": "hang"})
+        body = in_process_callers.chat_body(
+            stream=False, stand_in={"fault": "hang"}
+        )
         answer = await router.chat(body, Amaranthring_Deadline="0.5")
         self.assertEqual(answer.code, 504)
         self.assertEqual(answer.headers["Amaranthring-Outcome"], "unknown")
@@ -252,11 +278,17 @@
 
     async def half(self, router, tokens=8):
         """Read a few events, leave, and return the body and the last id."""
-        body = local.chat_body(tokens=tokens, stand_in={"fault": "hang", "at": 3})
-        async with router.raw(local.raw_chat_request(body)) as stream:
+        body = in_process_callers.chat_body(
+            tokens=tokens, stand_in={"fault": "hang", "at": 3}
+        )
+        async with router.raw(
+            in_process_callers.raw_chat_request(body)
+        ) as stream:
             read = await stream.read_until(b'.2\ndata: {"')
         ids = [line for line in read.split(b"\n") if line[:4] == b"id: "]
-        await local.wait_until(lambda: not self.engine.slots.running)
+        await in_process_callers.wait_until(
+            lambda: not self.engine.slots.running
+        )
         return body, ids[-1][4:].decode()
 
     async def test_comes_back_through_another_router(self):
@@ -272,8 +304,8 @@
         head, mac, number = last.split(".")
         bad = [f"{head}.{mac[::-1]}.{number}", f"A{head}.{mac}.{number}"]
         bad += ["x", "a.b.c", f"{head}.{mac}.-1", f"{head}.{mac}", "ü.é.1"]
-        sent = [(token, needs.TOKEN) for token in bad]
-        sent += [(last, needs.OTHER_TOKEN)]
+        sent = [(token, fake_dependencies.TOKEN) for token in bad]
+        sent += [(last, fake_dependencies.OTHER_TOKEN)]
         for token, account in sent:
             with self.subTest(token):
                 answer = await router.post(
@@ -301,11 +333,21 @@
         for stream in (True, False):
             with self.subTest(stream=stream):
                 fault = {"fault": "hang", "at": 0}
-                body = local.chat_body(stream=stream, stand_in=fault)
-                async with router.raw(local.raw_chat_request(body)):
-                    await local.wait_until(lambda: self.engine.slots.running)
-                await local.wait_until(lambda: not self.engine.slots.running)
-                await local.wait_until(lambda: not router.fakes.needs.drain.in_flight)
+                body = in_process_callers.chat_body(
+                    stream=stream, stand_in=fault
+                )
+                async with router.raw(
+                    in_process_callers.raw_chat_request(body)
+                ):
+                    await in_process_callers.wait_until(
+                        lambda: self.engine.slots.running
+                    )
+                await in_process_callers.wait_until(
+                    lambda: not self.engine.slots.running
+                )
+                await in_process_callers.wait_until(
+                    lambda: not router.fakes.needs.drain.in_flight
+                )
                 self.assert_idle(router)
 
     async def test_slow_reader_holds_the_engine_not_the_memory(self):
@@ -316,8 +358,10 @@
         """
         router = self.local.add_router()
         tokens = 120_000
-        body = local.chat_body(tokens=tokens, stand_in_batch=500)
-        async with router.raw(local.raw_chat_request(body)) as stream:
+        body = in_process_callers.chat_body(tokens=tokens, stand_in_batch=500)
+        async with router.raw(
+            in_process_callers.raw_chat_request(body)
+        ) as stream:
             await stream.read_until(b"data: ")
             (run,) = self.engine.streams.values()
             seen = -1
@@ -336,25 +380,27 @@
         self.local.section.idle_seconds = 0.5
         self.local.add_engine("e2")
         router = self.local.add_router()
-        body = local.chat_body(tokens=120_000, stand_in_batch=500)
-        async with router.raw(local.raw_chat_request(body)):
-            await local.wait_until(lambda: router.fakes.released)
+        body = in_process_callers.chat_body(tokens=120_000, stand_in_batch=500)
+        async with router.raw(in_process_callers.raw_chat_request(body)):
+            await in_process_callers.wait_until(lambda: router.fakes.released)
         self.assertEqual(router.fakes.released, [records.AttemptEnd.CANCELLED])
         self.assertEqual(self.local.engines["e2"].runs, [])
         counters = router.fakes.needs.metrics.counters
         self.assertEqual(counters["callers.caller-too-slow"], 1)
-        await local.wait_until(lambda: not self.engine.slots.running)
+        await in_process_callers.wait_until(
+            lambda: not self.engine.slots.running
+        )
         self.assert_idle(router)
 
     async def test_stopping_router_ends_what_runs_and_takes_no_more(self):
         router = self.local.add_router()
-        body = local.chat_body(tokens=40)
+        body = in_process_callers.chat_body(tokens=40)
         self.engine.token_seconds = 0.01
         running = asyncio.ensure_future(router.chat(body))
-        await local.wait_until(lambda: self.engine.slots.running)
+        await in_process_callers.wait_until(lambda: self.engine.slots.running)
         drain = router.fakes.needs.drain
         drain.close()
-        refused = await router.chat(local.chat_body())
+        refused = await router.chat(in_process_callers.chat_body())
         self.assertEqual(refused.code, 503)
         self.assertEqual(refused.headers["Amaranthring-Outcome"], "not-run")
         self.assertIn("Retry-After", refused.headers)
@@ -365,10 +411,10 @@
         router = self.local.add_router()
         limited = errors.RateLimitedError("above the rate", retry_after=2.5)
         router.fakes.limit_error = limited
-        answer = await router.chat(local.chat_body())
+        answer = await router.chat(in_process_callers.chat_body())
         self.assertEqual(answer.code, 429)
         self.assertEqual(answer.headers["Retry-After"], "3")
         router.fakes.limit_error = None
         router.fakes.admit_error = errors.QueueFullError("full")
-        answer = await router.chat(local.chat_body())
+        answer = await router.chat(in_process_callers.chat_body())
         self.assertEqual((answer.code, self.engine.runs), (503, []))
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -13,7 +13,7 @@
 from amaranthring.keepers import options
 from amaranthring.testing import faults
 from amaranthring.testing import keeper
-from amaranthring.testing import processes
+from amaranthring.testing import keeper_processes
 from tests import keepers_case
 
 FAST = {"heartbeat_seconds": 0.05, "election_seconds": 0.3}
@@ -31,7 +31,9 @@
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory(dir=keepers_case.MEMORY)
         self.addCleanup(folder.cleanup)
-        made = processes.KeeperFleet(folder.name, options=FAST | options)
+        made = keeper_processes.KeeperFleet(
+            folder.name, options=FAST | options
+        )
         self.addAsyncCleanup(made.stop)
         await made.start()
         return made
@@ -60,7 +62,7 @@
             status = await self.fleet.status(asked) if asked else None
             return status if status and condition(status) else None
 
-        return await processes.wait_until(look, what=what)
+        return await keeper_processes.wait_until(look, what=what)
 
     async def exit_code(self, name):
         process = self.fleet.keepers[name].process
@@ -94,9 +96,14 @@
         return await faults.run(fleet, seed, count, kinds)
 
     async def test_kills_and_all_faults(self):
-        kinds = [faults.kill_and_restart, faults.pause_and_resume, faults.isolate_and_heal]
+        kinds = [
+            faults.kill_and_restart,
+            faults.pause_and_resume,
+            faults.isolate_and_heal,
+        ]
         found = await asyncio.gather(
-            self.check(3, 8, [faults.kill_and_restart]), self.check(11, 8, kinds)
+            self.check(3, 8, [faults.kill_and_restart]),
+            self.check(11, 8, kinds),
         )
         self.assertEqual(found, [[], []])
 
@@ -111,7 +118,7 @@
         await self.set("a", "old")
         # The fleet's own client closes links that do not reply.
         dialler = self.fleet.new_client().diallers[old]
-        await processes.wait_until(lambda: dialler.link)
+        await keeper_processes.wait_until(lambda: dialler.link)
         self.fleet.keepers[old].pause()
         read = asyncio.ensure_future(dialler.call(keeper.Get("a"), 30))
         write = asyncio.ensure_future(
--- a/tests/test_figures.py
+++ b/tests/test_exporters.py
@@ -9,7 +9,7 @@
 from amaranthring.core import decisions
 from amaranthring.core import logs
 from amaranthring.core import metrics
-from amaranthring.monitoring import figures
+from amaranthring.monitoring import exporters
 from amaranthring.settings import models
 
 
@@ -34,7 +34,7 @@
         made = metrics.Metrics()
         for milliseconds in range(1, 101):
             made.record("first-token", milliseconds / 1e3, "vanua", "chat")
-        every, own = figures.summarize(made)["histograms"]
+        every, own = exporters.summarize(made)["histograms"]
         self.assertEqual((every["account"], every["class"]), ("", "chat"))
         self.assertEqual((own["account"], own["class"]), ("vanua", "chat"))
         self.assertAlmostEqual(every["p50"], 0.050, delta=0.002)
@@ -51,7 +51,7 @@
             host="127.0.0.1", port=sink.getsockname()[1]
         )
         made = metrics.Metrics()
-        sender = figures.StatsdSender(made, section)
+        sender = exporters.StatsdSender(made, section)
         made.count("served", 3)
         sender.send()
         self.assertIn(b"amaranthring.served:3|c", sink.recv(2000))
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -6,7 +6,7 @@
 import unittest
 
 from amaranthring import errors
-from amaranthring.core import fields
+from amaranthring.core import validation
 
 
 class Colour(enum.StrEnum):
@@ -45,7 +45,7 @@
     """What a reader takes and makes."""
 
     def test_nested_records(self):
-        found = fields.validator(Tree)(
+        found = validation.validator(Tree)(
             {
                 "leaves": [{"name": "a"}, {"name": "b", "size": 2}],
                 "colour": "red",
@@ -60,7 +60,7 @@
         self.assertEqual([], found.above.leaves)
 
     def test_unknown_fields_are_passed_over(self):
-        found = fields.validator(Leaf)({"name": "a", "newer": 1})
+        found = validation.validator(Leaf)({"name": "a", "newer": 1})
         self.assertEqual(Leaf("a"), found)
 
 
@@ -69,7 +69,7 @@
 
     def check(self, hint, value, expected):
         with self.assertRaises(errors.FrameError) as caught:
-            fields.validator(hint)(value)
+            validation.validator(hint)(value)
         self.assertIn(expected, str(caught.exception))
 
     def test_missing_field_is_named(self):
@@ -94,4 +94,4 @@
 
     def test_unknown_hint_is_a_fault_of_the_code(self):
         with self.assertRaises(TypeError):
-            fields.validator(object)
+            validation.validator(object)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,9 +9,9 @@
 import random
 import signal
 
-from amaranthring.testing import cuts
 from amaranthring.testing import load
 from amaranthring.testing import local_fleet
+from amaranthring.testing import tcp_relay
 from tests import fleet_case
 
 SEED = 20261202
@@ -157,7 +157,7 @@
         """Return a relay's address for one way between data centres."""
         key = (place, other, address)
         if key not in self.cuts:
-            cut = cuts.Relay(address)
+            cut = tcp_relay.Relay(address)
             cut.port = local_fleet.free_ports(1)[0]
             self.cuts[key] = cut
         return self.cuts[key].address
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -9,7 +9,7 @@
 from amaranthring import routing
 from amaranthring.forwarding import records
 from amaranthring.forwarding import startup
-from amaranthring.testing import scripted
+from amaranthring.testing import scripted_target
 
 SAFE = routing.Route(
     "safe", "h", "/a/", routing.Kind.SAFE, 2.0, 0.1, 0,
@@ -45,18 +45,18 @@
     """Base class: a router and targets in this process."""
 
     async def begin(self, *scripts, allowance=10.0):
-        self.router = scripted.ScriptedRouter(PLAN, allowance)
+        self.router = scripted_target.ScriptedRouter(PLAN, allowance)
         self.addCleanup(self.router.stop)
         self.targets = []
         for number, script in enumerate(scripts):
-            target = scripted.ScriptedTarget(f"t{number}", script)
+            target = scripted_target.ScriptedTarget(f"t{number}", script)
             await target.start()
             self.addCleanup(target.stop)
             self.targets.append(target)
             self.router.targets.merge(target.record())
 
     async def ask(self, path, method="GET", body=b"", **headers):
-        return await scripted.send_request(
+        return await scripted_target.send_request(
             self.router.address, path, method, body, **headers
         )
 
@@ -73,43 +73,47 @@
     """Responses to callers while targets are healthy."""
 
     async def test_request_and_response_are_unchanged(self):
-        await self.begin(scripted.respond(b"entry", status=201))
+        await self.begin(scripted_target.respond(b"entry", status=201))
         got = await self.ask("/b/x?y=1", "POST", b"text", X_Other="1")
         self.assertEqual((201, b"entry"), (got.status, got.body))
-        self.assertEqual("yes", got.headers[scripted.SIGNED])
+        self.assertEqual("yes", got.headers[scripted_target.SIGNED])
         seen = self.targets[0].requests[0]
         self.assertEqual("POST", seen.method)
         self.assertEqual("/b/x?y=1", seen.uri)
         self.assertEqual(b"text", seen.body)
         self.assertEqual("1", seen.headers["X-Other"])
-        self.assertEqual("t0", seen.headers[scripted.EXPECTED])
+        self.assertEqual("t0", seen.headers[scripted_target.EXPECTED])
 
     async def test_remaining_time_is_forwarded(self):
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         await self.ask("/b/x", Test_Patience="1.5")
-        left = float(self.targets[0].requests[0].headers[scripted.TIMEOUT])
+        left = float(
+            self.targets[0].requests[0].headers[scripted_target.TIMEOUT]
+        )
         self.assertLess(1.0, left)
         self.assertLessEqual(left, 1.5)
 
     async def test_events_of_a_stream_are_forwarded(self):
-        await self.begin(scripted.stream_events(4))
+        await self.begin(scripted_target.stream_events(4))
         got = await self.ask("/d/x", "POST")
         self.assertTrue(got.complete)
-        self.assertEqual(b"".join(map(scripted.event, range(1, 5))), got.body)
+        self.assertEqual(
+            b"".join(map(scripted_target.event, range(1, 5))), got.body
+        )
 
     async def test_unknown_route_and_unknown_key_are_refused(self):
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         self.assertEqual(404, (await self.ask("/z/x")).status)
         self.assertEqual(401, (await self.ask("/e/x")).status)
         self.assertEqual(0, self.ran())
         got = await self.ask("/e/x", Test_Key="key-2", Test_Account="forged")
         self.assertEqual(200, got.status)
         seen = self.targets[0].requests[0]
-        self.assertEqual("alba", seen.headers[scripted.ACCOUNT])
-        self.assertNotIn(scripted.KEY, seen.headers)
+        self.assertEqual("alba", seen.headers[scripted_target.ACCOUNT])
+        self.assertNotIn(scripted_target.KEY, seen.headers)
 
     async def test_limits_of_the_plan(self):
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         big = await self.ask("/b/x", "POST", b"x" * 1001)
         self.assertEqual(413, big.status)
         long = await self.ask("/b/x", X_Long="y" * 2001)
@@ -125,7 +129,7 @@
 
         The router must not accept the revoked key for ever.
         """
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         self.router.fresh = False
         got = await self.ask("/e/x", Test_Key="key-1")
         self.assertEqual(503, got.status)
@@ -139,7 +143,7 @@
         Its callers should retry at once and on a new connection, which leads
         to another router.
         """
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         self.router.relay.startup.started_at -= startup.START_SECONDS
         self.router.fresh = False
         got = await self.ask("/e/x", Test_Key="key-1")
@@ -158,7 +162,7 @@
     """
 
     async def begin_without_plan(self):
-        await self.begin(scripted.stream_events(3))
+        await self.begin(scripted_target.stream_events(3))
         table, self.router.table = self.router.table, None
         self.router.first_plan.clear()
         return table
@@ -228,10 +232,10 @@
         refusal, may send the request again.
         """
         for script in (
-            scripted.reset_connection(),
-            scripted.respond(signed=False),
-            scripted.raw(lambda _: b"garbage\r\n\r\n"),
-            scripted.raw(lambda seen: scripted.response_head(
+            scripted_target.reset_connection(),
+            scripted_target.respond(signed=False),
+            scripted_target.raw(lambda _: b"garbage\r\n\r\n"),
+            scripted_target.raw(lambda seen: scripted_target.response_head(
                 seen, Content_Length="10") + b"half"),
         ):  # fmt: skip
             await self.begin(script, script, script)
@@ -240,15 +244,20 @@
             self.assertEqual(1, self.ran())
 
     async def test_refused_request_goes_to_another_target(self):
-        await self.begin(scripted.respond_not_run(), scripted.respond_not_run())
+        await self.begin(
+            scripted_target.respond_not_run(),
+            scripted_target.respond_not_run(),
+        )
         got = await self.ask("/b/x", "POST", b"1")
         self.assertEqual(503, got.status)
         self.assertIn("Retry-After", got.headers)
         self.assertEqual([1, 1], [len(one.requests) for one in self.targets])
 
     async def test_unreachable_target_fails_no_request(self):
-        await self.begin(scripted.respond())
-        stopped = scripted.ScriptedTarget("t9", scripted.respond())
+        await self.begin(scripted_target.respond())
+        stopped = scripted_target.ScriptedTarget(
+            "t9", scripted_target.respond()
+        )
         await stopped.start()
         stopped.stop()
         await stopped.server.wait_closed()
@@ -257,17 +266,19 @@
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
 
     async def test_silent_target_gives_504_at_the_deadline(self):
-        await self.begin(scripted.never_respond(), scripted.never_respond())
+        await self.begin(
+            scripted_target.never_respond(), scripted_target.never_respond()
+        )
         got = await self.ask("/b/x", "POST", Test_Patience="0.4")
         self.assertEqual(504, got.status)
         self.assertLess(got.seconds, 0.45)
         self.assertEqual(1, self.ran())
 
     async def test_error_response_of_the_target_is_forwarded(self):
-        await self.begin(scripted.respond(b"no", status=500))
+        await self.begin(scripted_target.respond(b"no", status=500))
         got = await self.ask("/b/x", "POST")
         self.assertEqual((500, b"no"), (got.status, got.body))
-        self.assertIn(scripted.SIGNED, got.headers)
+        self.assertIn(scripted_target.SIGNED, got.headers)
 
 
 def refuse_path(path, otherwise):
@@ -275,7 +286,9 @@
 
     async def script(seen, writer):
         refused = seen.uri.startswith(path)
-        await (scripted.respond_not_run() if refused else otherwise)(seen, writer)
+        await (scripted_target.respond_not_run() if refused else otherwise)(
+            seen, writer
+        )
 
     return script
 
@@ -289,7 +302,7 @@
         This must not count as a failure of the engines, or all callers of
         the router would get 503.
         """
-        script = refuse_path("/a/odd", scripted.respond())
+        script = refuse_path("/a/odd", scripted_target.respond())
         await self.begin(script, script, script)
         for _ in range(3):
             self.assertEqual(503, (await self.ask("/a/odd")).status)
@@ -303,7 +316,9 @@
         Each request that goes there first would cost a round trip and a part
         of the retry budget.
         """
-        await self.begin(scripted.respond_not_run(), scripted.respond())
+        await self.begin(
+            scripted_target.respond_not_run(), scripted_target.respond()
+        )
         for _ in range(12):
             self.assertEqual(200, (await self.ask("/b/x", "POST")).status)
         self.assertLess(len(self.targets[0].requests), 6)
@@ -314,15 +329,17 @@
 
     async def test_failed_requests_are_retried_at_another_target(self):
         bad = (
-            scripted.reset_connection(),
-            scripted.respond(status=500),
-            scripted.respond(signed=False),
-            scripted.never_respond(),
+            scripted_target.reset_connection(),
+            scripted_target.respond(status=500),
+            scripted_target.respond(signed=False),
+            scripted_target.never_respond(),
         )
         for script in bad:
             await self.begin(script)
             self.router.placer.choose(self._context_without_targets())
-            good = scripted.ScriptedTarget("good", scripted.respond())
+            good = scripted_target.ScriptedTarget(
+                "good", scripted_target.respond()
+            )
             await good.start()
             self.addCleanup(good.stop)
             # Load at the good target makes the bad one the first choice.
@@ -344,7 +361,7 @@
         return Context
 
     async def test_number_of_attempts_is_limited(self):
-        await self.begin(*[scripted.reset_connection()] * 4)
+        await self.begin(*[scripted_target.reset_connection()] * 4)
         got = await self.ask("/a/x")
         self.assertEqual(502, got.status)
         self.assertEqual(SAFE.attempts_most, self.ran())
@@ -355,7 +372,11 @@
         Unlimited retries would double the load and prevent the service from
         recovering.
         """
-        await self.begin(scripted.reset_connection(), scripted.reset_connection(), allowance=2.0)
+        await self.begin(
+            scripted_target.reset_connection(),
+            scripted_target.reset_connection(),
+            allowance=2.0,
+        )
         for _ in range(20):
             await self.ask("/a/x")
         self.assertLessEqual(self.ran(), 20 + 0.2 * 20 + 2)
@@ -367,20 +388,25 @@
         """
 
         def foreign(seen):
-            seen.headers[scripted.ID] = "another"
-            return scripted.response_head(seen, Content_Length="3") + b"bad"
+            seen.headers[scripted_target.ID] = "another"
+            return (
+                scripted_target.response_head(seen, Content_Length="3")
+                + b"bad"
+            )
 
-        await self.begin(scripted.raw(foreign), scripted.raw(foreign))
+        await self.begin(
+            scripted_target.raw(foreign), scripted_target.raw(foreign)
+        )
         got = await self.ask("/a/x")
         self.assertEqual(502, got.status)
         self.assertNotIn(b"bad", got.body)
 
     async def test_reset_unframed_response_is_incomplete(self):
         async def script(seen, writer):
-            writer.write(scripted.response_head(seen) + b"part")
+            writer.write(scripted_target.response_head(seen) + b"part")
             await writer.drain()
             await asyncio.sleep(0.05)
-            scripted.abort_connection(writer)
+            scripted_target.abort_connection(writer)
 
         await self.begin(script, script)
         got = await self.ask("/a/x")
@@ -388,7 +414,9 @@
 
     async def test_closed_unframed_response_is_complete(self):
         await self.begin(
-            scripted.raw(lambda seen: scripted.response_head(seen) + b"all")
+            scripted_target.raw(
+                lambda seen: scripted_target.response_head(seen) + b"all"
+            )
         )
         got = await self.ask("/a/x")
         self.assertEqual((200, b"all"), (got.status, got.body))
@@ -404,16 +432,18 @@
         missing, duplicated or corrupted.
         """
         await self.begin(
-            scripted.stream_events(6, breaks_after=3),
-            scripted.stream_events(6, breaks_after=3),
-            scripted.stream_events(6),
+            scripted_target.stream_events(6, breaks_after=3),
+            scripted_target.stream_events(6, breaks_after=3),
+            scripted_target.stream_events(6),
         )
         self.router.placer.views["t2"].running = 5
         got = await self.ask("/c/x", "POST")
         self.assertTrue(got.complete)
-        self.assertEqual(b"".join(map(scripted.event, range(1, 7))), got.body)
+        self.assertEqual(
+            b"".join(map(scripted_target.event, range(1, 7))), got.body
+        )
         last_ids = [
-            seen.headers.get(scripted.LAST_EVENT_ID)
+            seen.headers.get(scripted_target.LAST_EVENT_ID)
             for target in self.targets
             for seen in target.requests
         ]
@@ -428,12 +458,12 @@
         async def head_only(seen, writer):
             more = {"Content_Type": "text/event-stream", "X_By": "dead"}
             more["Transfer_Encoding"] = "chunked"
-            writer.write(scripted.response_head(seen, **more))
+            writer.write(scripted_target.response_head(seen, **more))
             await writer.drain()
             await asyncio.sleep(0.05)
-            scripted.abort_connection(writer)
+            scripted_target.abort_connection(writer)
 
-        await self.begin(head_only, scripted.stream_events(3))
+        await self.begin(head_only, scripted_target.stream_events(3))
         self.router.placer.views["t1"].running = 5
         got = await self.ask("/c/x", "POST")
         self.assertTrue(got.complete)
@@ -446,7 +476,9 @@
         Another engine must be tried early enough for the first event to meet
         the objective.
         """
-        await self.begin(scripted.never_respond(), scripted.stream_events(3))
+        await self.begin(
+            scripted_target.never_respond(), scripted_target.stream_events(3)
+        )
         # The second target is tried after 0.3 s, which leaves 0.2 s of slack
         # on a busy machine.
         for _ in range(10):
@@ -476,7 +508,9 @@
         self.assertLess(learned, 1.0)
 
     async def test_stream_that_may_run_once_waits_for_its_target(self):
-        await self.begin(scripted.never_respond(), scripted.stream_events(3))
+        await self.begin(
+            scripted_target.never_respond(), scripted_target.stream_events(3)
+        )
         for _ in range(10):
             self.router.relay.response_times.record("s", 0, 0.02)
         self.router.placer.views["t1"].running = 3
@@ -490,18 +524,22 @@
         The caller must not take the partial response for a complete one.
         """
         await self.begin(
-            scripted.stream_events(6, breaks_after=3),
-            scripted.stream_events(6, breaks_after=3),
+            scripted_target.stream_events(6, breaks_after=3),
+            scripted_target.stream_events(6, breaks_after=3),
         )
         got = await self.ask("/d/x", "POST")
         self.assertFalse(got.complete)
-        self.assertEqual(b"".join(map(scripted.event, range(1, 4))), got.body)
+        self.assertEqual(
+            b"".join(map(scripted_target.event, range(1, 4))), got.body
+        )
         self.assertEqual(1, self.ran())
 
     async def test_caller_resumes_after_its_last_event(self):
-        await self.begin(scripted.stream_events(6))
+        await self.begin(scripted_target.stream_events(6))
         got = await self.ask("/c/x", "POST", Last_Event_Id="4")
-        self.assertEqual(scripted.event(5) + scripted.event(6), got.body)
+        self.assertEqual(
+            scripted_target.event(5) + scripted_target.event(6), got.body
+        )
 
     async def test_target_stops_when_the_caller_disconnects(self):
         """A caller disconnects during a response.
@@ -509,7 +547,7 @@
         The target's connection must be closed as well, or the target would
         continue and occupy a slot.
         """
-        await self.begin(scripted.never_respond())
+        await self.begin(scripted_target.never_respond())
         request = asyncio.ensure_future(self.ask("/d/x", "POST"))
         await self.until(self.ran)
         request.cancel()
@@ -545,18 +583,20 @@
         self.addCleanup(patched.stop)
 
     async def test_stall_before_it_connects(self):
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         self.stall_connecting(self.stall)
         self.assertEqual(200, (await self.ask("/a/x")).status)
 
     async def test_stall_while_it_connects(self):
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         self.stall_connecting(self.stall_next)
         self.assertEqual(200, (await self.ask("/a/x")).status)
 
     async def test_stall_while_the_head_arrives(self):
         async def respond(seen, writer):
-            writer.write(scripted.response_head(seen, Content_Length="4"))
+            writer.write(
+                scripted_target.response_head(seen, Content_Length="4")
+            )
             self.stall(0.3)
             await asyncio.sleep(0.05)
             writer.write(b"good")
@@ -569,7 +609,10 @@
         """The deadline passes while the response is readable but unread."""
 
         async def respond(seen, writer):
-            writer.write(scripted.response_head(seen, Content_Length="4") + b"good")
+            writer.write(
+                scripted_target.response_head(seen, Content_Length="4")
+                + b"good"
+            )
             self.stall(0.5)
 
         await self.begin(respond)
@@ -581,7 +624,7 @@
     """Requests during a planned shutdown of a router."""
 
     async def test_response_closes_the_connection(self):
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         self.router.front.closing = True
         got = await self.ask("/a/x")
         self.assertEqual("close", got.headers["Connection"])
@@ -591,7 +634,7 @@
 
         It would be aborted; if refused, it can run elsewhere.
         """
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         self.router.front.closing = True
         self.router.front.shutdown_at = 0.0
         got = await self.ask("/b/x", "POST")
@@ -604,7 +647,7 @@
         The caller sees it closed and sends the request to another router. It
         must not be forwarded here too.
         """
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         reader, writer = await asyncio.open_connection(*self.router.address)
         await self.until(lambda: self.router.front.idle)
         writer.write(b"GET /a/x HTTP/1.1\r\nHost: h\r\nTest-Id: r\r\n\r\n")
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -4,18 +4,18 @@
 import json
 import unittest
 
-from amaranthring.testing import local
-from amaranthring.testing import needs
+from amaranthring.testing import fake_dependencies
+from amaranthring.testing import in_process_callers
 
 BODY_MOST = 20_000
-AUTHORIZED = f"Authorization: Bearer {needs.TOKEN}\r\n"
+AUTHORIZED = f"Authorization: Bearer {fake_dependencies.TOKEN}\r\n"
 
 
 class TestBadInput(unittest.IsolatedAsyncioTestCase):
     """One router with small bounds before an engine and a replica."""
 
     async def asyncSetUp(self):
-        self.local = local.Harness(
+        self.local = in_process_callers.Harness(
             body_bytes_most=BODY_MOST,
             header_bytes_most=4096,
             header_seconds=0.3,
@@ -58,7 +58,7 @@
             {"model": 7, "messages": [message]},
             {"model": "m1", "messages": [{"content": "x"}]},
             {"model": "m1", "messages": [message], "stream": "yes"},
-            local.chat_body(prompt_cache_key="x" * 300),
+            in_process_callers.chat_body(prompt_cache_key="x" * 300),
         ]
         for body in bad:
             with self.subTest(body):
@@ -66,7 +66,9 @@
                 self.assert_refused(answer, 400, "bad-request")
 
     async def test_unknown_model_service_path_and_method(self):
-        answer = await self.router.chat(local.chat_body(model="nix"))
+        answer = await self.router.chat(
+            in_process_callers.chat_body(model="nix")
+        )
         self.assert_refused(answer, 404, "not-found")
         answer = await self.router.post("/services/nix/x", {})
         self.assert_refused(answer, 404, "not-found")
@@ -78,7 +80,7 @@
     async def test_unknown_account(self):
         for token in ("wrong", ""):
             answer = await self.router.post(
-                "/v1/chat/completions", local.chat_body(), token
+                "/v1/chat/completions", in_process_callers.chat_body(), token
             )
             self.assert_refused(answer, 401, "unauthenticated")
 
@@ -91,7 +93,9 @@
         ]
         for headers in bad:
             with self.subTest(headers):
-                answer = await self.router.chat(local.chat_body(), **headers)
+                answer = await self.router.chat(
+                    in_process_callers.chat_body(), **headers
+                )
                 self.assert_refused(answer, 400, "bad-request")
         for key in ("two words", "x" * 256):
             answer = await self.router.post(
@@ -108,7 +112,9 @@
         A router that answers and closes on unread bytes resets the
         connection, and its caller sees no answer at all.
         """
-        data = local.raw_chat_request(local.chat_body("x" * 400 * BODY_MOST))
+        data = in_process_callers.raw_chat_request(
+            in_process_callers.chat_body("x" * 400 * BODY_MOST)
+        )
         async with self.router.raw(data) as stream:
             answer = await stream.read_until(b'"request_id"')
         self.assertIn(b" 413 ", answer.split(b"\r\n")[0])
@@ -126,7 +132,9 @@
         self.assertIn(b"too-large", answer)
 
     async def test_headers_above_the_bound(self):
-        answer = await self.router.chat(local.chat_body(), X_Long="x" * 5000)
+        answer = await self.router.chat(
+            in_process_callers.chat_body(), X_Long="x" * 5000
+        )
         self.assert_refused(answer, 431, "headers-too-large")
 
     async def test_slow_headers_are_refused_while_idle_is_not(self):
@@ -134,41 +142,63 @@
             answer = await self.raw_answer(b"POST /v1/chat/comple")
             self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
             self.assertIn(b"headers-late", answer)
-            await idle.write(local.raw_chat_request(local.chat_body()))
+            await idle.write(
+                in_process_callers.raw_chat_request(
+                    in_process_callers.chat_body()
+                )
+            )
             await idle.read_until(b"data: [DONE]")
 
     async def test_slow_body_is_refused(self):
-        data = local.raw_chat_request(local.chat_body())
+        data = in_process_callers.raw_chat_request(
+            in_process_callers.chat_body()
+        )
         answer = await self.raw_answer(data[:-10])
         self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
         self.assertIn(b"body-late", answer)
         self.assertEqual(self.engine.runs, [])
 
     async def test_caller_that_leaves_within_its_body(self):
-        data = local.raw_chat_request(local.chat_body())
+        data = in_process_callers.raw_chat_request(
+            in_process_callers.chat_body()
+        )
         async with self.router.raw(data[:-10]):
-            await local.wait_until(lambda: self.router.fakes.needs.drain.in_flight)
-        await local.wait_until(lambda: not self.router.fakes.needs.drain.in_flight)
+            await in_process_callers.wait_until(
+                lambda: self.router.fakes.needs.drain.in_flight
+            )
+        await in_process_callers.wait_until(
+            lambda: not self.router.fakes.needs.drain.in_flight
+        )
 
     async def test_connection_is_kept_alive_after_a_refusal(self):
-        bad = local.raw_chat_request(local.chat_body(model="nix"))
+        bad = in_process_callers.raw_chat_request(
+            in_process_callers.chat_body(model="nix")
+        )
         async with self.router.raw(bad) as stream:
             await stream.read_until(b"not-found")
-            await stream.write(local.raw_chat_request(local.chat_body()))
+            await stream.write(
+                in_process_callers.raw_chat_request(
+                    in_process_callers.chat_body()
+                )
+            )
             await stream.read_until(b"data: [DONE]")
 
     async def test_http_1_0_caller_gets_no_chunks(self):
-        data = local.raw_chat_request(local.chat_body()).replace(b"HTTP/1.1", b"HTTP/1.0")
+        data = in_process_callers.raw_chat_request(
+            in_process_callers.chat_body()
+        ).replace(b"HTTP/1.1", b"HTTP/1.0")
         answer = await self.raw_answer(data)
         head, _, body = answer.partition(b"\r\n\r\n")
         self.assertNotIn(b"chunked", head)
-        self.assertEqual(local.parse_events(body)[-1].data, "[DONE]")
+        self.assertEqual(
+            in_process_callers.parse_events(body)[-1].data, "[DONE]"
+        )
 
     async def test_query_and_method_reach_the_service(self):
         answer = await self.router.client.fetch(
             f"http://127.0.0.1:{self.router.port}/services/booking/a/b?c=d",
             method="DELETE",
-            headers={"Authorization": f"Bearer {needs.TOKEN}"},
+            headers={"Authorization": f"Bearer {fake_dependencies.TOKEN}"},
         )
         self.assertEqual(answer.code, 200)
         (run,) = self.replica.runs
--- a/tests/test_keeper_client.py
+++ b/tests/test_keeper_client.py
@@ -12,7 +12,7 @@
 from amaranthring.keepers import client
 from amaranthring.keepers import messages
 from amaranthring.testing import keeper
-from amaranthring.testing import processes
+from amaranthring.testing import keeper_processes
 
 
 class TestKeeperClient(unittest.IsolatedAsyncioTestCase):
@@ -30,7 +30,7 @@
             handlers.add(messages.Ping, self.pong_of(name))
             server = links.LinkServer(
                 links.Identity(name, "keeper", "dc"),
-                processes.KEYS,
+                keeper_processes.KEYS,
                 handlers,
             )
             sock, port = tornado.testing.bind_unused_port()
@@ -44,11 +44,15 @@
                 )
             )
         identity = links.Identity("r1", "router", "dc")
-        self.client = client.KeeperClient("g", peers, identity, processes.KEYS)
+        self.client = client.KeeperClient(
+            "g", peers, identity, keeper_processes.KEYS
+        )
         self.client.start()
         self.addCleanup(self.client.stop)
         diallers = self.client.diallers.values()
-        await processes.wait_until(lambda: all(d.link for d in diallers))
+        await keeper_processes.wait_until(
+            lambda: all(d.link for d in diallers)
+        )
         self.client.leader = "k1"
 
     def answer_of(self, name):
@@ -108,7 +112,7 @@
                 await self.client.propose(keeper.Set("a", "1"), 0.5)
             self.assertEqual(self.asked, ["k1"])
             dialler = self.client.diallers["k1"]
-            await processes.wait_until(lambda d=dialler: d.link)
+            await keeper_processes.wait_until(lambda d=dialler: d.link)
 
     async def test_idempotent_command_is_retried(self):
         self.answers = dict.fromkeys(("k2", "k3"), keeper.Value("1"))
@@ -158,7 +162,7 @@
         self.assertEqual(set(self.asked), {"k3"})
         self.heal()
         dialler = self.client.diallers["k1"]
-        await processes.wait_until(lambda: dialler.link)
+        await keeper_processes.wait_until(lambda: dialler.link)
         for name in ("k2", "k3"):
             # Either link may be the first to be reconnected.
             self.answers[name] = errors.NotLeaderError("k1", expected="k1")
@@ -177,5 +181,5 @@
         self.silent.clear()
 
     async def hang(self, stream, _address):
-        await processes.wait_until(lambda: not self.silent)
+        await keeper_processes.wait_until(lambda: not self.silent)
         stream.close()
--- a/tests/test_keeper_dispatch.py
+++ b/tests/test_keeper_dispatch.py
@@ -19,9 +19,9 @@
 from amaranthring.keepers import messages
 from amaranthring.keepers import options
 from amaranthring.testing import keeper
-from amaranthring.testing import processes
+from amaranthring.testing import keeper_processes
 
-KEYS = processes.KEYS
+KEYS = keeper_processes.KEYS
 
 
 def peer(name, port=1):
@@ -71,7 +71,7 @@
         )
         dialler.start()
         self.addCleanup(dialler.stop)
-        await processes.wait_until(lambda: dialler.link, what="link")
+        await keeper_processes.wait_until(lambda: dialler.link, what="link")
         return dialler
 
     async def assert_rejected(self, kind, message, **dialled):
@@ -291,7 +291,7 @@
         def leading():
             return [g for g in self.groups.values() if g.has_lease()]
 
-        (leader,) = await processes.wait_until(leading, what="leader")
+        (leader,) = await keeper_processes.wait_until(leading, what="leader")
         await leader.propose(keeper.Set("a", "1"), 5)
         await leader.read_barrier(1)
         return leader
@@ -358,7 +358,7 @@
             links.Handlers(),
         )
         dialler.start()
-        await processes.wait_until(lambda: dialler.link, what="link")
+        await keeper_processes.wait_until(lambda: dialler.link, what="link")
         before = len(self.server.links)
         dialler.stop()
         server.close()
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -279,7 +279,9 @@
                 await self.keepers.put(version, newest, at)
         self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
         for one in self.keepers.running.values():
-            await plan_keepers.wait_until(lambda k=one: k.machine.version == 13)
+            await plan_keepers.wait_until(
+                lambda k=one: k.machine.version == 13
+            )
             found = plans.decompress(one.machine.body)
             self.assertEqual(newest, found)
 
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from amaranthring.testing import scripted
+from amaranthring.testing import scripted_target
 from tests import test_forwarding
 
 
@@ -23,14 +23,14 @@
     """Intact connections carry several calls."""
 
     async def test_calls_share_a_connection(self):
-        await self.begin(scripted.respond(b"good"))
+        await self.begin(scripted_target.respond(b"good"))
         for _ in range(5):
             got = await self.ask("/b/x", "POST", b"text")
             self.assertEqual((200, b"good"), (got.status, got.body))
         self.assertEqual((5, 1), (self.ran(), self.target.connections))
 
     async def test_streams_share_a_connection(self):
-        await self.begin(scripted.stream_events(3))
+        await self.begin(scripted_target.stream_events(3))
         for _ in range(3):
             got = await self.ask("/d/x", "POST")
             self.assertTrue(got.complete)
@@ -39,7 +39,7 @@
     async def test_idle_connections_are_bounded(self):
         async def slow(seen, writer):
             await asyncio.sleep(0.1)
-            await scripted.respond()(seen, writer)
+            await scripted_target.respond()(seen, writer)
 
         await self.begin(slow)
         self.router.relay.connections.max_idle = lambda: 2
@@ -48,7 +48,7 @@
         self.assertEqual(2, len(idle))
 
     async def test_idle_connections_expire(self):
-        await self.begin(scripted.respond())
+        await self.begin(scripted_target.respond())
         await self.ask("/b/x", "POST")
         pool = self.router.relay.connections
         now = pool.clock()
@@ -71,14 +71,18 @@
     async def test_connection_close_header(self):
         async def script(seen, writer):
             headers = {"Content_Length": "2", "Connection": "close"}
-            writer.write(scripted.response_head(seen, **headers) + b"ok")
+            writer.write(
+                scripted_target.response_head(seen, **headers) + b"ok"
+            )
 
         await self.check_not_reused(script)
 
     async def test_keep_alive_timeout_of_zero(self):
         async def script(seen, writer):
             headers = {"Content_Length": "2", "Keep_Alive": "timeout=0"}
-            writer.write(scripted.response_head(seen, **headers) + b"ok")
+            writer.write(
+                scripted_target.response_head(seen, **headers) + b"ok"
+            )
 
         await self.check_not_reused(script)
 
@@ -87,13 +91,15 @@
 
         async def script(seen, writer):
             headers = {"Content_Length": "2"}
-            writer.write(scripted.response_head(seen, **headers) + b"ok and more")
+            writer.write(
+                scripted_target.response_head(seen, **headers) + b"ok and more"
+            )
 
         await self.check_not_reused(script)
 
     async def test_bytes_on_an_idle_connection(self):
         async def script(seen, writer):
-            await scripted.respond()(seen, writer)
+            await scripted_target.respond()(seen, writer)
             await asyncio.sleep(0.01)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
@@ -101,14 +107,14 @@
 
     async def test_answer_ended_by_close(self):
         async def script(seen, writer):
-            writer.write(scripted.response_head(seen) + b"all")
+            writer.write(scripted_target.response_head(seen) + b"all")
             writer.close()
 
         await self.check_not_reused(script)
 
     async def test_idle_connection_closed_by_target(self):
         async def script(seen, writer):
-            await scripted.respond()(seen, writer)
+            await scripted_target.respond()(seen, writer)
             writer.close()
 
         await self.check_not_reused(script)
@@ -121,9 +127,11 @@
             for data in repeated:
                 writer.write(data)
             repeated.clear()
-            body = seen.headers[scripted.ID].encode()
+            body = seen.headers[scripted_target.ID].encode()
             size = str(len(body))
-            data = scripted.response_head(seen, Content_Length=size) + body
+            data = (
+                scripted_target.response_head(seen, Content_Length=size) + body
+            )
             repeated.append(data)
             writer.write(data)
 
@@ -139,9 +147,9 @@
         async def script(seen, writer):
             calls.append(seen)
             if len(calls) == 2:
-                scripted.abort_connection(writer)
+                scripted_target.abort_connection(writer)
             else:
-                await scripted.respond()(seen, writer)
+                await scripted_target.respond()(seen, writer)
 
         await self.begin(script)
         statuses = [(await self.ask("/b/x", "POST")).status for _ in range(3)]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -8,7 +8,7 @@
 from amaranthring.keepers import commands
 from amaranthring.keepers import ledger
 from amaranthring.keepers import state_machine
-from amaranthring.testing import state
+from amaranthring.testing import fake_state
 
 STATES = records.ClaimState
 ANSWER = records.StoredAnswer(201, "application/json", b'{"id": 7}')
@@ -23,7 +23,9 @@
         self.stamp = 10_000.0
 
     def apply(self, command):
-        return self.machine.apply(1, self.stamp, state.round_trip(command)).claim
+        return self.machine.apply(
+            1, self.stamp, fake_state.round_trip(command)
+        ).claim
 
     def claim(self, attempt, key="k", body=BODY, hold=30.0):
         return self.apply(
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from amaranthring.core import lines
+from amaranthring.core import log_writer
 from amaranthring.core import logs
 
 
@@ -18,7 +18,7 @@
         self.addCleanup(os.close, self.read_end)
         self.addCleanup(os.close, self.write_end)
         os.set_blocking(self.read_end, False)
-        self.writer = lines.LineWriter(self.write_end)
+        self.writer = log_writer.LineWriter(self.write_end)
 
     def read(self):
         data = b""
@@ -36,7 +36,7 @@
         bound would take the process's memory.
         """
         line = b"x" * 199 + b"\n"
-        most = lines.QUEUE_LINES
+        most = log_writer.QUEUE_LINES
         for _ in range(3 * most):
             self.writer.put(line)
             self.writer.flush()
@@ -51,7 +51,7 @@
         self.assertEqual(3 * most, told + got.count(line))
 
     async def test_lines_are_objects_with_their_fields(self):
-        handler = lines.LineHandler(self.writer, "router", "INFO")
+        handler = log_writer.LineHandler(self.writer, "router", "INFO")
         log = logbook.Logger("x")
         with handler.applicationbound():
             logs.event(log, "request", id="r1", ms=3.5)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -8,7 +8,7 @@
 from amaranthring import errors
 from amaranthring.core import links
 from amaranthring.core import wire
-from amaranthring.testing import cuts
+from amaranthring.testing import tcp_relay
 
 KEYS = links.Keys({"a": b"k" * 32})
 
@@ -56,7 +56,7 @@
     async def test_handshake_in_progress_does_not_outlive_the_server(self):
         # A process is told to stop while a peer is in its handshake. The
         # link that came of it was served on, and the process never ended.
-        relay = cuts.Relay(self.address)
+        relay = tcp_relay.Relay(self.address)
         await relay.start()
         self.addAsyncCleanup(relay.stop)
         relay.block(to_target=False, to_client=True)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -5,11 +5,11 @@
 import unittest
 
 from amaranthring import errors
+from amaranthring.core import config_parts
 from amaranthring.core import fleet
-from amaranthring.core import parts
 from amaranthring.keepers import commands
 from amaranthring.keepers import state_machine
-from amaranthring.testing import state
+from amaranthring.testing import fake_state
 
 
 def fields(command_id, if_match, operator="ana"):
@@ -26,11 +26,13 @@
     def setUp(self):
         self.machine = state_machine.StateMachine()
         self.stamp = 1000.0
-        self.apply(state.bootstrap())
+        self.apply(fake_state.bootstrap())
 
     def apply(self, command):
         self.stamp += 1
-        return self.machine.apply(0, self.stamp, state.round_trip(command))
+        return self.machine.apply(
+            0, self.stamp, fake_state.round_trip(command)
+        )
 
     def switch(self, name, command_id, if_match, operator="ana"):
         return self.apply(
@@ -212,9 +214,9 @@
 
     def setUp(self):
         self.machine = state_machine.StateMachine()
-        self.machine.apply(1, 1.0, state.bootstrap(20, True))
-        self.copy = parts.Parts()
-        self.copy.apply(state.round_trip(self.machine.config_since(0)))
+        self.machine.apply(1, 1.0, fake_state.bootstrap(20, True))
+        self.copy = config_parts.Parts()
+        self.copy.apply(fake_state.round_trip(self.machine.config_since(0)))
 
     def change(self, revision):
         policy = fleet.AccountPolicy(weight=float(revision))
@@ -225,7 +227,7 @@
     def test_applied_delta_equals_source(self):
         self.change(1)
         self.change(2)
-        delta = state.round_trip(self.machine.config_since(1))
+        delta = fake_state.round_trip(self.machine.config_since(1))
         self.assertTrue(self.copy.apply(delta))
         self.assertEqual(self.copy.items, self.machine.book.parts.items)
         self.assertEqual(self.copy.config(), self.machine.book.parts.config())
@@ -241,8 +243,8 @@
                 continue
             before = copy.deepcopy(config)
             known = self.machine.config_since(config.revision)
-            delta = state.round_trip(known)
-            new = parts.apply_changes(
+            delta = fake_state.round_trip(known)
+            new = config_parts.apply_changes(
                 config, delta.revision, delta.changed, delta.removed
             )
             self.assertEqual(new, self.machine.book.parts.config())
@@ -289,7 +291,7 @@
         self.assertEqual(self.copy.revision, 2)
 
     def test_copy_older_than_journal_gets_whole_map(self):
-        for revision in range(1, parts.MAX_CHANGE_LOG + 2):
+        for revision in range(1, config_parts.MAX_CHANGE_LOG + 2):
             self.change(revision)
         delta = self.machine.config_since(1)
         self.assertTrue(delta.whole)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 from amaranthring.routers import peers
 from amaranthring.routers import target_sync_messages
 from amaranthring.targets import table
-from amaranthring.testing import members
+from amaranthring.testing import mesh_members
 
 
 class FleetCase(unittest.IsolatedAsyncioTestCase):
@@ -16,10 +16,10 @@
     data_centres = ["dc1", "dc1", "dc1"]
 
     async def asyncSetUp(self):
-        self.fleet = members.Fleet(self.data_centres)
+        self.fleet = mesh_members.Fleet(self.data_centres)
         await self.fleet.start()
         count = len(self.data_centres)
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: all(len(m.mesh.live()) == count for m in self.all)
         )
 
@@ -34,7 +34,7 @@
         chosen = (
             self.all if numbers is None else [self.all[n] for n in numbers]
         )
-        return await members.wait_until(
+        return await mesh_members.wait_until(
             lambda: all(m.eligible() == names for m in chosen)
         )
 
@@ -43,15 +43,15 @@
     """Target sync inside one data centre."""
 
     async def test_targets_reach_every_router_with_their_reports(self):
-        self.fleet.renew(members.target("e1", "dc1"), [0])
-        self.fleet.renew(members.target("e2", "dc1"), [2])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e2", "dc1"), [2])
         await self.until_eligible(["e1", "e2"])
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: all(m.table.report("e2") is not None for m in self.all)
         )
 
     async def test_leave_is_known_everywhere_at_once(self):
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
@@ -65,7 +65,7 @@
         r0 learns of the leave; r2 receives neither it nor any heartbeat, so
         its entry must expire.
         """
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         self.fleet.local_relays[2].block()
         self.fleet.stop_renewing("e1")
@@ -78,17 +78,17 @@
 
         r2's digest shows r1 that a record differs.
         """
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         self.fleet.local_relays[1].block()
         self.all[0].table.leave("e1", 1)
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: self.all[1].table.state("e1") == "leaving", 3.0
         )
 
     async def test_lost_batches_are_repaired_by_digests(self):
         """Every batch with the leave is lost, including the repeats."""
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         mesh = self.all[0].mesh
         broadcast = mesh.broadcast
@@ -103,7 +103,7 @@
 
         mesh.broadcast = lossy
         self.all[0].table.leave("e1", 1)
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: all(m.table.state("e1") == "leaving" for m in self.all),
             3.0,
         )
@@ -114,21 +114,21 @@
         Every router is isolated. r2 loses e1, which still renews at r0, and
         only r1 learns of e2.
         """
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         lost = self.all[2].table.when_lost("e1")
         self.fleet.local_relays[1].block()
         self.fleet.local_relays[2].block()
-        self.fleet.renew(members.target("e2", "dc1"), [1])
+        self.fleet.renew(mesh_members.target("e2", "dc1"), [1])
         await asyncio.wait_for(asyncio.shield(lost), 20)
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: all(len(m.mesh.live()) == 1 for m in self.all)
         )
         self.assertEqual(self.all[0].eligible(), ["e1"])
         self.assertEqual(self.all[1].eligible(), ["e2"])
         self.fleet.heal()
         await self.until_eligible(["e1", "e2"])
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: len({m.table.digests["dc1"] for m in self.all}) == 1
         )
 
@@ -137,7 +137,7 @@
 
         Waiting for that router's next batch would make it stale elsewhere.
         """
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         self.fleet.stop_renewing("e1")
         for member in self.all:
@@ -156,13 +156,13 @@
             raise ValueError(name)
 
         member = self.all[0]
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"])
         member.table.subscribe(fail)
         lost = member.table.when_lost("e1")
         self.fleet.stop_renewing("e1")
         await asyncio.wait_for(asyncio.shield(lost), 20)
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: member.metrics.counters["targets.ticks_failed"] == 1
         )
         self.assertFalse(member.table.task.done())
@@ -175,7 +175,7 @@
         changes = []
         self.all[1].mesh.subscribe(lambda: changes.append(1))
         self.all[0].mesh.leave()
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: all(m.mesh.live() == ["r1", "r2"] for m in self.all)
         )
         self.assertTrue(changes)
@@ -183,16 +183,18 @@
 
     async def test_restarted_router_rejoins(self):
         self.all[1].mesh.leave()
-        await members.wait_until(lambda: "r1" not in self.all[0].mesh.live())
+        await mesh_members.wait_until(
+            lambda: "r1" not in self.all[0].mesh.live()
+        )
         self.fleet.restart(1)
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: all(len(m.mesh.live()) == 3 for m in self.all)
         )
 
     async def test_killed_router_is_removed_at_once(self):
         self.all[1].stop()
         others = [self.all[0], self.all[2]]
-        took = await members.wait_until(
+        took = await mesh_members.wait_until(
             lambda: all(m.mesh.live() == ["r0", "r2"] for m in others)
         )
         self.assertLess(took, 2.0)
@@ -203,20 +205,26 @@
         It must be dropped without delaying messages to the others.
         """
         self.fleet.local_relays[1].block()
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: self.all[0].mesh.live() == ["r0", "r2"], 20
         )
         self.assertIsNone(self.all[0].mesh.peers["r1"].link)
-        self.fleet.renew(members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
         await self.until_eligible(["e1"], [0, 2])
         self.fleet.heal()
-        await members.wait_until(lambda: len(self.all[0].mesh.live()) == 3)
+        await mesh_members.wait_until(
+            lambda: len(self.all[0].mesh.live()) == 3
+        )
         await self.until_eligible(["e1"])
 
     async def test_one_way_cut_is_detected_on_both_sides(self):
         self.fleet.local_relays[1].block(to_target=True, to_client=False)
-        await members.wait_until(lambda: "r0" not in self.all[1].mesh.live())
-        await members.wait_until(lambda: "r1" not in self.all[0].mesh.live())
+        await mesh_members.wait_until(
+            lambda: "r0" not in self.all[1].mesh.live()
+        )
+        await mesh_members.wait_until(
+            lambda: "r1" not in self.all[0].mesh.live()
+        )
 
     async def test_calls_to_itself_and_to_unknown_routers(self):
         pull = target_sync_messages.Pull("dc1", [])
@@ -232,8 +240,8 @@
     data_centres = ["dc1", "dc1", "dc1", "dc2", "dc2", "dc2"]
 
     async def test_targets_reach_both_data_centres_and_leave_in_time(self):
-        self.fleet.renew(members.target("e1", "dc1"), [0])
-        self.fleet.renew(members.target("e2", "dc2"), [4])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e2", "dc2"), [4])
         await self.until_eligible(["e1", "e2"])
         self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
@@ -246,37 +254,39 @@
         The engines of the other are suspended, not lost. During the cut e1
         leaves and e3 joins; the tables must converge afterwards.
         """
-        self.fleet.renew(members.target("e1", "dc1"), [0])
-        self.fleet.renew(members.target("e2", "dc2"), [4])
+        self.fleet.renew(mesh_members.target("e1", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e2", "dc2"), [4])
         await self.until_eligible(["e1", "e2"])
         self.fleet.isolate("dc2")
         await self.until_eligible(["e1"], [0, 1, 2])
         await self.until_eligible(["e2"], [3, 4, 5])
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: self.all[0].mesh.live() == ["r0", "r1", "r2"]
         )
         await asyncio.sleep(1.5)
         self.assertEqual(self.all[0].table.state("e2"), "suspended")
         self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
-        self.fleet.renew(members.target("e3", "dc1"), [0])
+        self.fleet.renew(mesh_members.target("e3", "dc1"), [0])
         self.fleet.heal()
         await self.until_eligible(["e2", "e3"])
-        await members.wait_until(
+        await mesh_members.wait_until(
             lambda: all(len(m.mesh.live()) == 6 for m in self.all)
         )
 
     async def test_dead_relay_is_replaced(self):
         """The relay that forwards digests is killed."""
-        self.fleet.renew(members.target("e2", "dc2"), [4])
+        self.fleet.renew(mesh_members.target("e2", "dc2"), [4])
         await self.until_eligible(["e2"])
         first = self.all[0].mesh.ordered_relays("dc2")[0]
         dead = int(first[1:])
         self.all[dead].stop()
         rest = [n for n in (0, 1, 2) if n != dead]
-        self.fleet.renew(members.target("e4", "dc2"), [4])
+        self.fleet.renew(mesh_members.target("e4", "dc2"), [4])
         await self.until_eligible(["e2", "e4"], rest)
-        await members.wait_until(lambda: first not in self.all[5].mesh.live("dc1"))
+        await mesh_members.wait_until(
+            lambda: first not in self.all[5].mesh.live("dc1")
+        )
 
     async def test_second_relay_forwards_when_the_first_is_cut(self):
         """The first relay is alive but receives no remote digests.
@@ -284,7 +294,7 @@
         The second relay must forward them, or dc1 takes all engines of dc2
         for stale.
         """
-        self.fleet.renew(members.target("e2", "dc2"), [4])
+        self.fleet.renew(mesh_members.target("e2", "dc2"), [4])
         await self.until_eligible(["e2"])
         first = self.all[int(self.all[0].mesh.ordered_relays("dc2")[0][1:])]
         handlers = first.mesh.handlers.by_class
@@ -308,8 +318,10 @@
         one = next(m for m in self.all[:3] if m.name not in here)
         other = next(m for m in self.all[3:] if m.name not in there)
         answer = target_sync_messages.Digest("dc1", 0, 0, 0, [], False)
-        await members.wait_until(lambda: one.mesh.send(other.name, answer))
-        await members.wait_until(lambda: other.mesh.peers[one.name].link)
+        await mesh_members.wait_until(
+            lambda: one.mesh.send(other.name, answer)
+        )
+        await mesh_members.wait_until(lambda: other.mesh.peers[one.name].link)
         await asyncio.sleep(0.2)
         self.assertNotIn(one.name, other.target_sync.remote_links())
 
@@ -333,7 +345,7 @@
                 links += [one, other]
             return links
 
-        await members.wait_until(linked)
+        await mesh_members.wait_until(linked)
         await asyncio.sleep(1.0)
         before = linked()
         await asyncio.sleep(1.0)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,7 +9,7 @@
 from amaranthring.core import hashing
 from amaranthring.operators import base
 from amaranthring.operators import handlers
-from amaranthring.testing import state
+from amaranthring.testing import fake_state
 
 TOKEN = "operators-token-of-ana"
 
@@ -18,11 +18,11 @@
     """Two routers before one group of keepers."""
 
     def get_app(self):
-        self.group = state.FakeGroup()
-        self.group.apply(state.bootstrap())
+        self.group = fake_state.FakeGroup()
+        self.group.apply(fake_state.bootstrap())
         routes = []
         for name in ("r1", "r2"):
-            made, _ = state.make_revisions(name, "dc1", self.group, {})
+            made, _ = fake_state.make_revisions(name, "dc1", self.group, {})
             made.parts.apply(self.group.machine.config_since(0))
             made.current = made.parts.config()
             operators = base.Dependencies(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -19,7 +19,7 @@
 from amaranthring.keepers import reconciler
 from amaranthring.keepers import state_machine
 from amaranthring.targets import orders as target_orders
-from amaranthring.testing import state
+from amaranthring.testing import fake_state
 
 KINDS = commands.OrderKind
 
@@ -104,7 +104,9 @@
         self.stamp = 1000.0
 
     def apply(self, command):
-        return self.machine.apply(1, self.stamp, state.round_trip(command))
+        return self.machine.apply(
+            1, self.stamp, fake_state.round_trip(command)
+        )
 
     def begin(self, target, wanted="m", supersedes=0, **more):
         begin = commands.BeginOrder(
@@ -155,7 +157,7 @@
                     self.end(self.begin(target), detail="broken")
                     begun += 1
         self.assertEqual(begun, orders.MAX_MODEL_FAILURES)
-        self.apply(state.bootstrap())
+        self.apply(fake_state.bootstrap())
         preset = fleet.Preset("ordinary", desired_models={"m": 1})
         self.apply(
             commands.PutPreset(
@@ -230,8 +232,8 @@
     """Leaders that send orders over HTTP."""
 
     async def asyncSetUp(self):
-        self.group = state.FakeGroup()
-        self.group.apply(state.bootstrap())
+        self.group = fake_state.FakeGroup()
+        self.group.apply(fake_state.bootstrap())
         self.leaders = []
         self.put_preset({"m": 1})
 
@@ -272,7 +274,7 @@
         target = FakeTarget()
         self.put_preset({"org/m@2+adapter": 1})
         self.lead([target.record("e1")])
-        await state.wait_until(lambda: self.states() == [(1, "done")])
+        await fake_state.wait_until(lambda: self.states() == [(1, "done")])
         self.assertEqual(
             target.orders,
             [
@@ -293,7 +295,9 @@
         target = FakeTarget()
         target.highest_fencing = 500
         self.lead([target.record("e1")])
-        await state.wait_until(lambda: self.group.machine.orders.fencing == 500)
+        await fake_state.wait_until(
+            lambda: self.group.machine.orders.fencing == 500
+        )
         self.assertEqual(self.states(), [(1, "failed")])
         self.assertEqual(target.orders, [])
 
@@ -305,7 +309,7 @@
         begin = commands.BeginOrder("e1", 1, KINDS.LOAD, "m")
         old = self.group.apply(begin).fencing
         self.lead([record], order_seconds=60.0)
-        await state.wait_until(lambda: (old + 1, "done") in self.states())
+        await fake_state.wait_until(lambda: (old + 1, "done") in self.states())
         body = target_orders.order_body("load", "m", old)
         late = await target_orders.send(record, body, lambda: None, 5.0)
         self.assertEqual((late.done, late.newer_fencing), (False, old + 1))
@@ -323,7 +327,7 @@
         self.assertFalse(
             leader._has_ended(self.group.machine.orders.open["e1"])
         )
-        await state.wait_until(lambda: (old + 1, "done") in self.states())
+        await fake_state.wait_until(lambda: (old + 1, "done") in self.states())
         self.assertGreaterEqual(leader.clock() - leader.leader_since, 0.6)
 
     async def test_frozen_leader_sends_nothing_after_lease(self):
@@ -340,7 +344,7 @@
 
         self.lead([target.record("e1")], lease=lambda: lease[0], send=freeze)
         await connecting.wait()
-        await state.wait_until(lambda: self.states() == [(1, "failed")])
+        await fake_state.wait_until(lambda: self.states() == [(1, "failed")])
         self.assertEqual(target.orders, [])
         detail = self.group.machine.orders.view()[0]["detail"]
         self.assertIn("not sent", detail)
@@ -352,7 +356,7 @@
         for target in targets:
             target.delay_seconds = 0.1
         self.lead([t.record(f"e{n}", "m") for n, t in enumerate(targets)])
-        await state.wait_until(lambda: len(self.states()) >= 2)
+        await fake_state.wait_until(lambda: len(self.states()) >= 2)
         await asyncio.sleep(0.5)
         ordered = [target.orders for target in targets]
         self.assertEqual(sum(map(len, ordered)), 2)
@@ -361,7 +365,7 @@
     async def test_loaded_replica_counts_before_it_is_reported(self):
         targets = [FakeTarget() for _ in range(3)]
         self.lead([t.record(f"e{n}") for n, t in enumerate(targets)])
-        await state.wait_until(lambda: self.states() == [(1, "done")])
+        await fake_state.wait_until(lambda: self.states() == [(1, "done")])
         await asyncio.sleep(0.3)
         self.assertEqual(self.states(), [(1, "done")])
 
@@ -369,7 +373,7 @@
         target = FakeTarget()
         target.status = 500
         self.lead([target.record("e1")])
-        await state.wait_until(lambda: self.states() == [(1, "failed")])
+        await fake_state.wait_until(lambda: self.states() == [(1, "failed")])
         await asyncio.sleep(0.2)
         self.assertEqual(len(target.orders), 1)
         self.assertIn("500", self.group.machine.orders.view()[0]["detail"])
@@ -380,9 +384,9 @@
         target = FakeTarget(checks_fencing=False)
         target.delay_seconds = 60.0
         self.lead([target.record("e1")], order_seconds=0.2)
-        await state.wait_until(lambda: self.states() == [(1, "failed")])
+        await fake_state.wait_until(lambda: self.states() == [(1, "failed")])
         self.put_preset({"m": 1, "n": 1})
-        await state.wait_until(lambda: len(target.orders) == 2)
+        await fake_state.wait_until(lambda: len(target.orders) == 2)
         second, first = self.group.machine.orders.view()
         self.assertGreaterEqual(second["began"] - first["ended"], 0.2)
 
@@ -390,16 +394,16 @@
         target = FakeTarget()
         target.delay_seconds = 0.2
         self.lead([target.record("e1", "x")])
-        await state.wait_until(lambda: len(target.orders) == 1)
+        await fake_state.wait_until(lambda: len(target.orders) == 1)
         self.group.cut = True
         await asyncio.sleep(0.4)
         self.assertEqual(self.states(), [(1, "open")])
         self.group.cut = False
-        await state.wait_until(lambda: self.states() == [(1, "done")])
+        await fake_state.wait_until(lambda: self.states() == [(1, "done")])
         self.assertEqual(len(target.orders), 1)
 
     async def test_order_to_unknown_target_fails(self):
         begin = commands.BeginOrder("e1", 1, KINDS.LOAD, "m")
         self.group.apply(begin)
         self.lead([], order_seconds=0.1)
-        await state.wait_until(lambda: self.states() == [(1, "failed")])
+        await fake_state.wait_until(lambda: self.states() == [(1, "failed")])
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -6,7 +6,7 @@
 from amaranthring import errors
 from amaranthring.core import records
 from amaranthring.policy import leases
-from amaranthring.testing import assembled
+from amaranthring.testing import in_process_routers
 
 
 async def skip_timeout(_seconds):
@@ -17,7 +17,7 @@
     """Four routers in one data centre, four engines."""
 
     def setUp(self):
-        self.fleet = assembled.Routers(4, 4, capacity=2)
+        self.fleet = in_process_routers.Routers(4, 4, capacity=2)
         self.fleet.network.pause = skip_timeout
 
     def other(self):
@@ -84,7 +84,9 @@
         waits = asyncio.ensure_future(self.fleet.admit(9, at.name, chat="w"))
         await asyncio.sleep(0.01)
         _, grant = next(iter(self.fleet.grants.values()))
-        self.fleet.network.is_dropped = lambda _from, to, _message: to == at.name
+        self.fleet.network.is_dropped = lambda _from, to, _message: (
+            to == at.name
+        )
         self.fleet.release(grant)
         self.fleet.network.is_dropped = lambda *_: False
         self.assertFalse(waits.done())
@@ -141,7 +143,7 @@
     """Two data centres with twenty engines each, in separate cells."""
 
     def setUp(self):
-        self.fleet = assembled.Routers(
+        self.fleet = in_process_routers.Routers(
             4, 40, data_centres=("dc1", "dc2"), capacity=1
         )
         self.fleet.network.pause = skip_timeout
@@ -196,7 +198,7 @@
     async def test_deputy_knows_what_all_routers_hold(self):
         # A deputy that knows only the grants of the first router that asks
         # would exceed the bound.
-        fleet = assembled.Routers(6, 5)
+        fleet = in_process_routers.Routers(6, 5)
         fleet.network.pause = skip_timeout
         for number in range(15):
             await fleet.admit(number, chat=str(number))
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -4,14 +4,14 @@
 import unittest
 
 from amaranthring.core import records
-from amaranthring.testing import assembled
+from amaranthring.testing import in_process_routers
 
 
 class TestPlacing(unittest.IsolatedAsyncioTestCase):
     """Three routers and five engines in one data centre."""
 
     def setUp(self):
-        self.fleet = assembled.Routers(routers=3, engines=5)
+        self.fleet = in_process_routers.Routers(routers=3, engines=5)
 
     async def test_bound_is_kept_over_all_routers(self):
         grants = [await self.fleet.admit(n, chat="one") for n in range(15)]
@@ -40,7 +40,7 @@
     """Twenty engines of one data centre, in two cells."""
 
     def setUp(self):
-        self.fleet = assembled.Routers(routers=3, engines=20)
+        self.fleet = in_process_routers.Routers(routers=3, engines=20)
 
     async def test_no_request_queues_while_engines_are_free(self):
         # A sibling's outdated digest lowers the mean; requests must not be
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -107,7 +107,9 @@
         found = node.decode(SETTINGS)
         self.assertEqual("10.0.0.3:8080", found.control)
         self.assertEqual("", found.callers)
-        self.assertEqual(["10.0.0.3:7000", "10.0.1.3:7000"], found.keeper_addresses())
+        self.assertEqual(
+            ["10.0.0.3:7000", "10.0.1.3:7000"], found.keeper_addresses()
+        )
         self.assertEqual(5.0, found.key_lease)
         self.assertEqual(1.2, found.heartbeat_seconds)
         self.assertTrue(found.first_start)
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -18,7 +18,7 @@
 from amaranthring.policy import copies
 from amaranthring.registry import messages
 from amaranthring.registry import targets
-from amaranthring.testing import scripted
+from amaranthring.testing import scripted_target
 from tests import test_forwarding
 
 ENGINE = routing.Engine(64, 423_882, 18_432.0, 92.5e9)
@@ -310,14 +310,18 @@
             ),
             (routing.Service("s", "/health", 10, ENGINE),),
         )  # fmt: skip
-        await self.begin(scripted.stream_events(3), scripted.stream_events(3))
+        await self.begin(
+            scripted_target.stream_events(3), scripted_target.stream_events(3)
+        )
         self.router.table = routing.RouteTable(plan)
         prompt = {"Test_Prompt": "long:10000,own:10"}
         await self.ask("/a/x", "POST", **prompt)
         first = next(one for one in self.targets if one.requests)
         other = next(one for one in self.targets if not one.requests)
-        self.assertNotIn(scripted.COPY, first.requests[0].headers)
+        self.assertNotIn(scripted_target.COPY, first.requests[0].headers)
         entry = self.router.targets.entries[first.name]
         entry.record.state = messages.State.DRAINING
         await self.ask("/a/x", "POST", **prompt)
-        self.assertEqual(first.address, other.requests[0].headers[scripted.COPY])
+        self.assertEqual(
+            first.address, other.requests[0].headers[scripted_target.COPY]
+        )
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -9,15 +9,15 @@
 from amaranthring.core import fleet
 from amaranthring.keepers import commands
 from amaranthring.routers import revisions
-from amaranthring.testing import state
+from amaranthring.testing import fake_state
 
 
 class Fleet:
     """Keepers and routers of two data centres, with links that can be cut."""
 
     def __init__(self, names=("a1", "a2", "a3", "b1", "b2", "b3")):
-        self.group = state.FakeGroup()
-        self.group.apply(state.bootstrap())
+        self.group = fake_state.FakeGroup()
+        self.group.apply(fake_state.bootstrap())
         self.routers = {}
         self.names = names
         self.made = {}
@@ -30,7 +30,7 @@
     def start(self, name, **more):
         neighbours = [n for n in self.names if n[0] == name[0]]
         more.setdefault("neighbours", neighbours)
-        made, mesh = state.make_revisions(
+        made, mesh = fake_state.make_revisions(
             name,
             name[0],
             more.pop("group", self.group),
@@ -103,12 +103,14 @@
     async def test_every_change_is_applied_everywhere_in_order(self):
         for name in self.fleet.names:
             self.fleet.start(name)
-        await state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
         for number in range(30):
             revision = self.fleet.change(number)
             if number % 5 == 0:
-                await state.wait_until(lambda r=revision: self.fleet.all_at(r))
-        await state.wait_until(lambda: self.fleet.all_at(31))
+                await fake_state.wait_until(
+                    lambda r=revision: self.fleet.all_at(r)
+                )
+        await fake_state.wait_until(lambda: self.fleet.all_at(31))
         for seen in self.fleet.seen.values():
             numbers = [revision for revision, _ in seen]
             self.assertEqual(numbers, sorted(set(numbers)))
@@ -122,11 +124,11 @@
     async def test_lost_broadcast_is_repaired(self):
         # A relay's broadcast is lost. Comparing revisions must repair it.
         meshes = [self.fleet.start(name)[1] for name in self.fleet.names]
-        await state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
         for mesh in meshes:
             mesh.drop_next = 5
         revision = self.fleet.change(1)
-        await state.wait_until(lambda: self.fleet.all_at(revision))
+        await fake_state.wait_until(lambda: self.fleet.all_at(revision))
         pulled = sum(
             m.metrics.counters["revisions.pulled"] for m in self.made()
         )
@@ -137,29 +139,29 @@
         # revision 1 on disk. Taking its file or the first reply would
         # activate an older preset.
         await self.write_file()
-        group = state.FakeGroup(self.fleet.group.machine)
+        group = fake_state.FakeGroup(self.fleet.group.machine)
         self.fleet.start("a2", group=group)
-        await state.wait_until(lambda: self.fleet.all_at(1))
+        await fake_state.wait_until(lambda: self.fleet.all_at(1))
         group.cut = True
         self.fleet.cuts.add("a2")
         self.fleet.change(1)
         made, _ = self.fleet.start("a3")
-        await state.wait_until(lambda: made.ready)
+        await fake_state.wait_until(lambda: made.ready)
         self.fleet.group.cut = True
         with mock.patch.object(revisions, "COMPARE_SECONDS", 60.0):
             self.fleet.cuts.clear()
             made, _ = self.fleet.start("a1", path=self.path)
-            await state.wait_until(lambda: made.ready)
+            await fake_state.wait_until(lambda: made.ready)
         self.assertEqual(made.current.revision, 2)
 
     async def test_cut_off_start_without_any_revision_is_not_ready(self):
         self.fleet.group.cut = True
         self.fleet.start("a1")
         self.fleet.start("a2")
-        await state.wait_until(lambda: self.counted("a1") >= 4)
+        await fake_state.wait_until(lambda: self.counted("a1") >= 4)
         self.assertFalse(any(m.ready for m in self.made()))
         self.fleet.group.cut = False
-        await state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
 
     def counted(self, name):
         metrics = self.fleet.made[name].metrics
@@ -171,7 +173,7 @@
         await self.write_file()
         self.fleet.group.cut = True
         made, _ = self.fleet.start("a1", path=self.path)
-        await state.wait_until(lambda: self.counted("a1") >= 4)
+        await fake_state.wait_until(lambda: self.counted("a1") >= 4)
         self.assertEqual(made.current.revision, 1)
         self.assertFalse(made.ready)
 
@@ -179,12 +181,12 @@
         await self.write_file()
         self.fleet.group.cut = True
         made, _ = self.fleet.start("a1", path=self.path, neighbours=[])
-        await state.wait_until(lambda: made.ready)
+        await fake_state.wait_until(lambda: made.ready)
         self.assertEqual(made.current.revision, 1)
 
     async def write_file(self):
         made, _ = self.fleet.start("a1", path=self.path)
-        await state.wait_until(lambda: made.ready)
+        await fake_state.wait_until(lambda: made.ready)
         await made.stop()
         self.fleet.routers.clear()
         self.fleet.made.clear()
@@ -196,15 +198,15 @@
         self.fleet.change(1)
         other = self.path + "-2"
         made, _ = self.fleet.start("a2", path=other)
-        await state.wait_until(lambda: made.ready)
+        await fake_state.wait_until(lambda: made.ready)
         await self.fleet.stop()
         self.fleet.routers.clear()
         self.fleet.made.clear()
         self.fleet.group.cut = True
         self.fleet.start("a1", path=self.path)
         self.fleet.start("a2", path=other)
-        await state.wait_until(lambda: all(m.ready for m in self.made()))
-        await state.wait_until(lambda: self.fleet.all_at(2))
+        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(lambda: self.fleet.all_at(2))
 
     async def test_damaged_file_is_ignored(self):
         await self.write_file()
@@ -227,23 +229,25 @@
         # The router's state diverged, so no delta applies; without pulling
         # the full state it would stay behind.
         made, _ = self.fleet.start("a1")
-        await state.wait_until(lambda: made.ready)
+        await fake_state.wait_until(lambda: made.ready)
         made.parts.items["drained/x"] = "never said"
         made.parts.digest_sum += 1
         revision = self.fleet.change(1)
-        await state.wait_until(lambda: made.current.revision == revision)
+        await fake_state.wait_until(lambda: made.current.revision == revision)
         self.assertEqual(made.current.drained, {})
         self.assertEqual(made.metrics.counters["revisions.refused"], 1)
 
     async def test_keepers_that_lost_their_state_roll_nobody_back(self):
         made, _ = self.fleet.start("a1")
         self.fleet.change(1)
-        await state.wait_until(lambda: made.current.revision == 2)
-        empty = state.FakeGroup()
-        empty.apply(state.bootstrap())
+        await fake_state.wait_until(lambda: made.current.revision == 2)
+        empty = fake_state.FakeGroup()
+        empty.apply(fake_state.bootstrap())
         made.query = empty.query
         counters = made.metrics.counters
-        await state.wait_until(lambda: counters["revisions.keepers-behind"] > 0)
+        await fake_state.wait_until(
+            lambda: counters["revisions.keepers-behind"] > 0
+        )
         self.assertEqual(made.current.revision, 2)
 
     async def test_status_shows_every_router_at_the_keepers(self):
@@ -255,9 +259,9 @@
             view = self.fleet.group.queries.routers
             return {name: seen.revision for name, seen in view.items()}
 
-        await state.wait_until(lambda: len(revisions_shown()) == 6)
+        await fake_state.wait_until(lambda: len(revisions_shown()) == 6)
         revision = self.fleet.change(1)
-        await state.wait_until(
+        await fake_state.wait_until(
             lambda: set(revisions_shown().values()) == {revision}
         )
         view = (await self.fleet.group.query(ask)).view
@@ -265,10 +269,10 @@
 
     async def test_change_reaches_a_data_centre_cut_from_the_keepers(self):
         self.fleet.start("a1")
-        cut = state.FakeGroup()
+        cut = fake_state.FakeGroup()
         cut.cut = True
         made, _ = self.fleet.start("b1", group=cut)
-        await state.wait_until(lambda: made.current.revision == 1)
+        await fake_state.wait_until(lambda: made.current.revision == 1)
         revision = self.fleet.change(1)
-        await state.wait_until(lambda: made.current.revision == revision)
+        await fake_state.wait_until(lambda: made.current.revision == revision)
         self.assertIsInstance(made.current, fleet.FleetConfig)
--- a/tests/test_router_parts.py
+++ b/tests/test_router_parts.py
@@ -9,8 +9,8 @@
 from amaranthring import settings
 from amaranthring.core import fleet
 from amaranthring.core import links
+from amaranthring.testing import fake_network
 from amaranthring.testing import local_fleet
-from amaranthring.testing import routers
 
 
 class TestRouter(unittest.IsolatedAsyncioTestCase):
@@ -27,7 +27,7 @@
 
     def announce(self, count):
         for number in range(count):
-            made = routers.target(f"e{number}", "porto")
+            made = fake_network.target(f"e{number}", "porto")
             address = f"127.0.0.1:{number + 1}"
             made = dataclasses.replace(made, address=address)
             self.router.table.announce(made)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,7 +7,7 @@
 
 from amaranthring import errors
 from amaranthring.core import fleet
-from amaranthring.testing import local
+from amaranthring.testing import in_process_callers
 
 SEED = 5
 NOT_RUN, RAN, UNKNOWN = "not-run", "ran", "unknown"
@@ -21,7 +21,7 @@
     """Two routers with one ledger before one replica."""
 
     async def asyncSetUp(self):
-        self.local = local.Harness()
+        self.local = in_process_callers.Harness()
         self.addAsyncCleanup(self.local.close)
         self.replica = self.local.add_booking()
         self.ledger = self.local.ledger
@@ -60,7 +60,7 @@
         first = asyncio.ensure_future(
             self.one.book("a", "k", fault="slow", seconds=1.0)
         )
-        await local.wait_until(lambda: self.replica.running)
+        await in_process_callers.wait_until(lambda: self.replica.running)
         again = await self.two.book("a", "k", fault="slow", seconds=1.0)
         self.assert_told(again, 409, UNKNOWN)
         self.assertEqual(code_of(again), "claim-in-progress")
@@ -80,7 +80,7 @@
         other = await self.two.post(
             "/services/booking/bookings",
             {"slot": "a", "stand_in": {}},
-            local.fakes.OTHER_TOKEN,
+            in_process_callers.fakes.OTHER_TOKEN,
             Idempotency_Key="k",
         )
         self.assert_told(other, 200, RAN)
@@ -147,11 +147,11 @@
         body = b'{"slot": "a", "stand_in": {"fault": "slow", "seconds": 0.5}}'
         head = (
             "POST /services/booking/bookings HTTP/1.1\r\nHost: r\r\n"
-            f"Authorization: Bearer {local.fakes.TOKEN}\r\n"
+            f"Authorization: Bearer {in_process_callers.fakes.TOKEN}\r\n"
             f"Idempotency-Key: k\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         async with self.one.raw(head.encode() + body):
-            await local.wait_until(lambda: self.replica.running)
+            await in_process_callers.wait_until(lambda: self.replica.running)
         drain = self.one.fakes.needs.drain
         self.assertTrue(await drain.wait_idle(10))
         again = await self.two.post(
@@ -314,7 +314,7 @@
         self.assert_told(answer, 503, UNKNOWN)
         self.assertEqual(code_of(answer), "commit-unknown")
         settlements = self.one.fakes.needs.settlements
-        await local.wait_until(lambda: not settlements.pending)
+        await in_process_callers.wait_until(lambda: not settlements.pending)
         self.assert_told(await self.two.book("a", "k"), 200, RAN)
         self.assertEqual(self.runs(), 1)
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -14,10 +14,10 @@
 from amaranthring import settings
 from amaranthring.core import links
 from amaranthring.core import signals
-from amaranthring.testing import local
+from amaranthring.testing import fake_dependencies
+from amaranthring.testing import in_process_callers
 from amaranthring.testing import local_fleet
-from amaranthring.testing import needs
-from amaranthring.testing import scripted
+from amaranthring.testing import scripted_target
 from tests import fleet_case
 
 REQUEST = b"GET /v1/models HTTP/1.1\r\nHost: router\r\n\r\n"
@@ -129,7 +129,7 @@
         )
         keys = links.Keys({"k": b"secret"})
         self.router = plan_router.PlanRouter(
-            config, keys, scripted.DIALECT, lambda document: None
+            config, keys, scripted_target.DIALECT, lambda document: None
         )
         self.address = config.callers
         self.router.start()
@@ -182,7 +182,7 @@
 
         Otherwise shutdown cuts off an answer in the router's send buffer.
         """
-        made = local.Harness()
+        made = in_process_callers.Harness()
         self.addAsyncCleanup(made.close)
         router = made.add_router()
         drain = router.fakes.needs.drain
@@ -194,12 +194,12 @@
             self.assertEqual(drain.in_flight, 1)
             rest = await stream.read_until(b"model-199999")
             self.assertGreater(len(head + rest), 1_000_000)
-            await local.wait_until(lambda: not drain.in_flight)
+            await in_process_callers.wait_until(lambda: not drain.in_flight)
 
 
 def _models_request():
     return b"GET /v1/models HTTP/1.1\r\nHost: router\r\n%b\r\n" % (
-        b"Authorization: Bearer %b\r\n" % needs.TOKEN.encode()
+        b"Authorization: Bearer %b\r\n" % fake_dependencies.TOKEN.encode()
     )
 
 
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -5,14 +5,14 @@
 
 from amaranthring import errors
 from amaranthring.core import records
-from amaranthring.testing import assembled
+from amaranthring.testing import in_process_routers
 
 
 class TestSuspicion(unittest.IsolatedAsyncioTestCase):
     """Six routers in three data centres and eight engines."""
 
     def setUp(self):
-        self.fleet = assembled.Routers(
+        self.fleet = in_process_routers.Routers(
             6, 8, data_centres=("dc1", "dc2", "dc3")
         )
 
--- a/tests/test_timeouts.py
+++ b/tests/test_timeouts.py
@@ -36,7 +36,9 @@
     async def test_stall_at_the_end_gives_time_to_read_only(self):
         loop = asyncio.get_running_loop()
         loop.call_soon(time.sleep, 0.3)
-        seconds = await self.ended_after(timeouts.timeout_at(loop.time() + 0.1))
+        seconds = await self.ended_after(
+            timeouts.timeout_at(loop.time() + 0.1)
+        )
         self.assertGreaterEqual(seconds, 0.3 + timeouts.READ_SECONDS)
         self.assertLess(seconds, 2.0)
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -13,7 +13,7 @@
 
 from amaranthring import errors
 from amaranthring import settings
-from amaranthring.settings import files
+from amaranthring.settings import file_checks
 from amaranthring.testing import local_fleet
 
 DATA = pathlib.Path(__file__).parent / "data"
@@ -92,12 +92,12 @@
 
     def test_certificate_and_key_go_together(self):
         with self.assertRaises(errors.SettingsError):
-            files.load_tls_context(self.certificate, "")
+            file_checks.load_tls_context(self.certificate, "")
         with self.assertRaises(errors.SettingsError):
-            files.load_tls_context(self.key, self.key)
+            file_checks.load_tls_context(self.key, self.key)
         (self.folder / "loopback.key").chmod(0o644)
         with self.assertRaises(errors.SettingsError) as caught:
-            files.load_tls_context(self.certificate, self.key)
+            file_checks.load_tls_context(self.certificate, self.key)
         self.assertIn("open to others", str(caught.exception))
 
     def test_settings_name_all_four_files(self):
--- a/tools/attribution.py
+++ b/tools/attribution.py
@@ -126,7 +126,9 @@
     return found
 
 
-def count_reprocessed_tokens(log: Log, span: float) -> dict[float, collections.Counter]:
+def count_reprocessed_tokens(
+    log: Log, span: float
+) -> dict[float, collections.Counter]:
     """Return the tokens read or copied again, by span and cause."""
     found = collections.defaultdict(collections.Counter)
     used: dict[str, float] = {}
@@ -160,13 +162,20 @@
     holders = [
         engine
         for name, engine in log.engines.items()
-        if name != target and any(part in engine.last_read_at for part in names)
+        if name != target
+        and any(part in engine.last_read_at for part in names)
+    ]
+    live = [
+        h
+        for h in holders
+        if one.arrived_at - h.answered_at < RECENT_ANSWER_SECONDS
     ]
-    live = [h for h in holders if one.arrived_at - h.answered_at < RECENT_ANSWER_SECONDS]
     if not live:
         return "quiet"
     newest = max(h.last_read_at.get(n, 0.0) for h in live for n in names)
-    oldest = min(h.last_read_at[n] for h in live for n in names if n in h.last_read_at)
+    oldest = min(
+        h.last_read_at[n] for h in live for n in names if n in h.last_read_at
+    )
     if newest - oldest < PREFILL_SECONDS > one.arrived_at - oldest:
         return "being-read"
     near = any(h.data_centre and h.data_centre in one.router for h in live)
