--- a/amaranthring/errors.py
+++ b/amaranthring/errors.py
@@ -1,10 +1,10 @@
-"""Exception tree: every failure of the product has a type of its own.
+"""Exception hierarchy of the package.
 
-Each error knows its stable ``code``, the HTTP ``status`` it becomes towards
-callers and operators, the ``outcome`` it states about the call, and when it
-makes sense to come back. Errors cross the streams between our processes as
-typed records (:meth:`AmaranthringError.to_record`) and are raised again on
-the other side under the same type.
+Each error has a stable ``code``, the HTTP ``status`` returned to callers and
+operators, the ``outcome`` of the call as far as it is known, and optionally
+a retry delay. Errors travel between processes as plain records
+(:meth:`AmaranthringError.to_record`) and are raised on the other side as the
+same type.
 """
 
 import enum
@@ -14,9 +14,9 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about a call, as told to its caller.
+    """Outcome of a call as reported to its caller.
 
-    ``NOT_RUN`` is said only when it is certain that no target ran it.
+    ``NOT_RUN`` is reported only if it is certain that no target ran the call.
     """
 
     NOT_RUN = "not-run"
@@ -25,20 +25,20 @@
 
 
 class AmaranthringError(Exception):
-    """Base of all errors of this package.
+    """Base class of all errors of this package.
 
     Parameters
     ----------
     detail : str
         One sentence about what happened.
     given : object, optional
-        What was received.
+        Value that was received.
     expected : object, optional
-        What would have been accepted.
+        Description of the accepted values.
     retry_after : float, optional
-        Seconds after which coming back makes sense.
+        Seconds to wait before a retry.
     outcome : Outcome, optional
-        Overrides the outcome of the type for this case.
+        Overrides the default outcome of the class.
     """
 
     code = "internal"
@@ -75,7 +75,7 @@
         return text
 
     def to_record(self) -> dict[str, t.Any]:
-        """Return the plain record that crosses a stream."""
+        """Return a plain record for transmission to another process."""
         return {
             "code": self.code,
             "detail": self.detail,
@@ -87,12 +87,12 @@
 
 
 def from_record(record: dict[str, t.Any]) -> AmaranthringError:
-    """Return the error that `record` describes, under its own type.
+    """Return the error that `record` describes, as its own type.
 
-    An unknown code, from a newer peer, becomes the base type.
+    An unknown code, sent by a newer peer, yields the base type.
     """
-    kind = _BY_CODE.get(record.get("code", ""), AmaranthringError)
-    return kind(
+    error_class = _BY_CODE.get(record.get("code", ""), AmaranthringError)
+    return error_class(
         record.get("detail", ""),
         given=record.get("given"),
         expected=record.get("expected"),
@@ -102,35 +102,35 @@
 
 
 class InternalError(AmaranthringError):
-    """A fault of our own code; the caller learns nothing was promised."""
+    """Unexpected failure inside this package."""
 
     code = "internal"
 
 
 class SettingsError(AmaranthringError):
-    """The settings file is not usable."""
+    """The settings are missing or invalid."""
 
     code = "settings"
 
 
 class UsageError(AmaranthringError):
-    """A command line that cannot be followed."""
+    """The command line, or a file that it names, is invalid."""
 
     code = "usage"
 
 
 class ListenError(AmaranthringError):
-    """An address to listen on is taken or not of this VM."""
+    """An address to listen on is in use or not an address of this VM."""
 
     code = "listen"
     outcome = Outcome.NOT_RUN
 
 
-# -- requests refused before anything ran --------------------------------
+# -- requests rejected before execution ------------------------------------
 
 
 class RefusedError(AmaranthringError):
-    """A request that was given up before any target saw it."""
+    """A request was rejected before any target received it."""
 
     code = "refused"
     status = 503
@@ -138,56 +138,56 @@
 
 
 class BadRequestError(RefusedError):
-    """The request itself is malformed; resending it does not help."""
+    """The request is malformed; a retry cannot succeed."""
 
     code = "bad-request"
     status = 400
 
 
 class TooLargeError(BadRequestError):
-    """Headers, body or frame above the bound."""
+    """Headers, body or frame exceed the size limit."""
 
     code = "too-large"
     status = 413
 
 
 class HeadersTooLargeError(TooLargeError):
-    """Headers above the bound."""
+    """Headers exceed the size limit."""
 
     code = "headers-too-large"
     status = 431
 
 
 class HeadersTimeoutError(BadRequestError):
-    """The headers were begun and did not end in time."""
+    """The request headers were started but not completed in time."""
 
     code = "headers-late"
     status = 408
 
 
 class BodyTimeoutError(BadRequestError):
-    """The body did not come in time."""
+    """The request body did not arrive in time."""
 
     code = "body-late"
     status = 408
 
 
 class MethodError(BadRequestError):
-    """The path is known, but not with this method."""
+    """The path does not support this method."""
 
     code = "method"
     status = 405
 
 
 class UnauthenticatedError(RefusedError):
-    """No token, or a token that names no client account or operator."""
+    """The token is missing or belongs to no client account or operator."""
 
     code = "unauthenticated"
     status = 401
 
 
 class ForbiddenError(RefusedError):
-    """The account or operator is known but may not do this."""
+    """The client account or operator lacks permission."""
 
     code = "forbidden"
     status = 403
@@ -201,20 +201,20 @@
 
 
 class RateLimitedError(RefusedError):
-    """The client account is above its rate or share."""
+    """The client account exceeds its rate limit or share."""
 
     code = "rate-limited"
     status = 429
 
 
 class QueueFullError(RefusedError):
-    """The waiting queue of the targets is at its bound."""
+    """A bounded queue or store is full."""
 
     code = "queue-full"
 
 
 class DeadlineError(RefusedError):
-    """The deadline cannot be met, or passed while still waiting."""
+    """The deadline cannot be met, or expired while the request waited."""
 
     code = "deadline"
     status = 504
@@ -227,19 +227,19 @@
 
 
 class QuarantinedError(RefusedError):
-    """The request crashed two different targets; it is refused for good."""
+    """The request crashed two different targets and is quarantined."""
 
     code = "quarantined"
     status = 422
 
 
 class ShuttingDownError(RefusedError):
-    """The router takes no new requests."""
+    """The router accepts no new requests."""
 
     code = "shutting-down"
 
 
-# -- announcements of targets ------------------------------------------------
+# -- target announcements ----------------------------------------------------
 
 
 class StaleIncarnationError(RefusedError):
@@ -250,28 +250,28 @@
 
 
 class NameTakenError(RefusedError):
-    """A live target elsewhere holds the name."""
+    """A live target at another address already uses the name."""
 
     code = "name-taken"
     status = 409
 
 
 class AddressTakenError(RefusedError):
-    """A live target of another name holds the address."""
+    """A live target with another name already uses the address."""
 
     code = "address-taken"
     status = 409
 
 
 class ReplayedError(RefusedError):
-    """A numbered message of a target came again or late."""
+    """A numbered message of a target is a duplicate or out of order."""
 
     code = "replayed"
     status = 409
 
 
 class TableFullError(RefusedError):
-    """The table of targets is at its bound."""
+    """The target table is full."""
 
     code = "table-full"
 
@@ -280,77 +280,76 @@
 
 
 class UpstreamError(AmaranthringError):
-    """A target failed after it was sent the request."""
+    """A target failed after the request was sent to it."""
 
     code = "upstream"
     status = 502
 
 
 class TargetUnreachableError(UpstreamError):
-    """There is no connection to the target; no byte was sent.
+    """There is no connection to the target; nothing was sent.
 
-    Callers are told the code of its parent: for them it is one failure of
-    the target like others.
+    Callers see the code of the parent class, as for other target failures.
     """
 
     outcome = Outcome.NOT_RUN
 
 
 class TargetRefusedError(UpstreamError):
-    """A target states that it did not run the request."""
+    """The target reports that it did not run the request."""
 
     code = "target-refused"
     outcome = Outcome.NOT_RUN
 
 
 class WrongTargetError(TargetRefusedError):
-    """Another target has the address now; it did not run the request."""
+    """Another target now uses the address; it did not run the request."""
 
     code = "other-target"
 
 
 class TargetFailedError(UpstreamError):
-    """A target ran a request that may be repeated, and failed."""
+    """The target ran a repeatable request and failed."""
 
     code = "target-failed"
     outcome = Outcome.RAN
 
 
 class TruncatedResponseError(UpstreamError):
-    """The target's answer ended without its end mark or with a gap."""
+    """The target's response lacks its end marker or has a gap."""
 
     code = "truncated-answer"
 
 
 class TargetUnresponsiveError(TruncatedResponseError):
-    """Nothing that was sent to the target is acknowledged any more."""
+    """The target no longer acknowledges data sent to it."""
 
     code = "target-silent"
 
 
 class UpstreamTimeoutError(UpstreamError):
-    """The target sent nothing within the time allowed."""
+    """The target sent nothing within the time limit."""
 
     code = "upstream-timeout"
     status = 504
 
 
 class CallerDisconnectedError(AmaranthringError):
-    """The caller left before its answer was whole; nobody hears this."""
+    """The caller disconnected before its response was complete."""
 
     code = "caller-gone"
     status = 408
 
 
 class CallerTooSlowError(CallerDisconnectedError):
-    """The caller took nothing of its answer in time and was cut off."""
+    """The caller did not read its response in time and was disconnected."""
 
     code = "caller-too-slow"
     status = 408
 
 
 class ResumeError(AmaranthringError):
-    """A resume token is forged, foreign, expired or names a lost stream."""
+    """The resume token is invalid or expired, or its stream is lost."""
 
     code = "resume"
     status = 409
@@ -360,28 +359,28 @@
 
 
 class ClaimInProgressError(AmaranthringError):
-    """Another attempt under the same key is still running."""
+    """Another attempt with the same idempotency key is in progress."""
 
     code = "claim-in-progress"
     status = 409
 
 
 class ClaimUnknownError(AmaranthringError):
-    """The holder of the claim was lost after it; never run again."""
+    """How the call under the key ended is unknown; it is not run again."""
 
     code = "claim-unknown"
     status = 409
 
 
 class KeyReusedError(RefusedError):
-    """An idempotency key came back with another body."""
+    """An idempotency key was reused with a different body."""
 
     code = "key-reused"
     status = 422
 
 
 class ResponseNotStoredError(AmaranthringError):
-    """The call ran but its answer was too large to be kept."""
+    """The call ran, but its response was too large to store."""
 
     code = "answer-not-kept"
     status = 409
@@ -398,7 +397,7 @@
 
 
 class NotLeaderError(RefusedError):
-    """Asked a keeper that does not lead; ``expected`` names the leader."""
+    """The keeper is not the leader; ``expected`` names the leader."""
 
     code = "not-leader"
 
@@ -418,32 +417,32 @@
 
 
 class InvalidPlanError(BadRequestError):
-    """A routing plan that cannot be put in force; it changed nothing."""
+    """The routing plan is invalid; nothing was changed."""
 
     code = "invalid-plan"
 
 
 class PreconditionMissingError(RefusedError):
-    """An operator's command names no revision in ``If-Match``."""
+    """The operator's command has no revision in ``If-Match``."""
 
     code = "precondition-missing"
     status = 428
 
 
 class CommandReusedError(RefusedError):
-    """A command id came back with another content."""
+    """A command ID was reused with different content."""
 
     code = "command-reused"
     status = 422
 
 
 class StorageError(AmaranthringError):
-    """The data folder is damaged, foreign or not writable."""
+    """The data folder is damaged, in use, another keeper's or not writable."""
 
     code = "storage"
 
 
-# -- streams between our processes -------------------------------------------
+# -- streams between processes ------------------------------------------------
 
 
 class LinkError(AmaranthringError):
@@ -454,7 +453,7 @@
 
 
 class LinkClosedError(LinkError):
-    """The stream closed before the reply came."""
+    """The stream closed before the reply arrived."""
 
     code = "link-closed"
 
@@ -466,26 +465,26 @@
 
 
 class LinkOverloadedError(LinkError):
-    """The bounded send buffer of the stream is full."""
+    """The send buffer of the stream is full."""
 
     code = "link-overloaded"
     outcome = Outcome.NOT_RUN
 
 
 class NotReadyError(LinkError):
-    """The peer started lately and does not know enough to decide."""
+    """The peer cannot decide yet, such as shortly after its start."""
 
     code = "not-ready"
     outcome = Outcome.NOT_RUN
 
 
 class HandshakeError(LinkError):
-    """The peer could not prove that it belongs to the fleet."""
+    """The handshake with the peer failed."""
 
     code = "handshake"
 
 
 class FrameError(LinkError):
-    """A frame is oversized, malformed, of unknown type or version."""
+    """A frame is too large, malformed, or of unknown type or version."""
 
     code = "frame"
