--- a/amaranthring/core/config_parts.py
+++ b/amaranthring/core/config_parts.py
@@ -1,10 +1,10 @@
-"""The fleet's configuration as a flat map of parts, and its deltas.
+"""Configuration of the fleet as a flat map of parts, with deltas.
 
-A :class:`fleet.FleetConfig` is cut into parts small enough that one change
-touches one or few of them: a preset's own figures, each policy in it, each
-account, each drain. Keepers and routers hold the same map, so any of them
-can hand the parts that changed since a revision to any other, and the sum
-of the parts' digests tells whether two maps are equal.
+A :class:`fleet.FleetConfig` is split into small parts, so that a change
+affects few of them: the scalar fields of a preset, each policy in it, each
+account, each drained target. Keepers and routers hold the same map, so any of
+them can send the parts changed since a revision to any other. The sum of the
+parts' digests tells whether two maps are equal.
 """
 
 import collections
@@ -18,14 +18,14 @@
 
 MAX_CHANGE_LOG = 2000
 _MODULUS = 1 << 128
-_POLICIES = {
+_POLICY_CLASSES = {
     "classes": fleet.ClassPolicy,
     "accounts": fleet.AccountPolicy,
     "services": fleet.ServicePolicy,
     "desired_models": None,
     "desired_roles": None,
 }
-_FIELDS = {
+_FIELD_BY_PREFIX = {
     "account": "accounts",
     "drained": "drained",
     "quarantined": "quarantined",
@@ -40,15 +40,15 @@
     Attributes
     ----------
     since : int
-        Revision that the receiver must hold; -1 for a whole map.
+        Revision that the receiver must have reached; -1 for a full map.
     revision : int
-        Revision that the receiver then holds.
+        Revision of the receiver after the delta.
     changed : dict
-        Part to its new value.
+        Part name to its new value.
     removed : list of str
-        Parts that are gone.
+        Names of removed parts.
     digest : str
-        Digest of the whole map at `revision`.
+        Digest of the full map at `revision`.
     """
 
     since: int
@@ -59,12 +59,12 @@
 
     @property
     def whole(self) -> bool:
-        """Return whether this is a whole map."""
+        """Return whether the delta is a full map."""
         return self.since < 0
 
 
 def to_plain(value: t.Any) -> t.Any:
-    """Return `value` as the plain data that msgpack carries."""
+    """Return `value` as plain data, as decoded from msgpack."""
     return wire.decode_value(wire.encode_value(value))
 
 
@@ -73,35 +73,35 @@
     return plain_preset_parts(to_plain(preset))
 
 
-def plain_preset_parts(own: dict[str, t.Any]) -> dict[str, t.Any]:
+def plain_preset_parts(values: dict[str, t.Any]) -> dict[str, t.Any]:
     """Return the parts of a preset given as plain data."""
-    own = dict(own)
-    base = f"preset/{own['name']}"
-    found = {}
-    for group in _POLICIES:
-        for name, value in own.pop(group).items():
-            found[f"{base}/{group}/{name}"] = value
-    return {base: own} | found
+    values = dict(values)
+    base = f"preset/{values['name']}"
+    parts = {}
+    for group in _POLICY_CLASSES:
+        for name, value in values.pop(group).items():
+            parts[f"{base}/{group}/{name}"] = value
+    return {base: values} | parts
 
 
 def account_parts(account: fleet.Account) -> dict[str, t.Any]:
-    """Return the part of `account`."""
+    """Return the part of `account`, as a map."""
     return {f"account/{account.name}": to_plain(account)}
 
 
 def belongs_to_preset(part: str, preset: str) -> bool:
-    """Return whether `part` is a part of `preset`."""
+    """Return whether `part` belongs to `preset`."""
     return part == f"preset/{preset}" or part.startswith(f"preset/{preset}/")
 
 
-def _made(kind: type, values: dict[str, t.Any]) -> t.Any:
-    # A newer peer may know more fields; they are left out, not refused.
-    known = {field.name for field in dataclasses.fields(kind)}
-    return kind(**{k: v for k, v in values.items() if k in known})
+def _from_plain(part_class: type, values: dict[str, t.Any]) -> t.Any:
+    # Ignores unknown fields, which a newer peer may send.
+    known = {field.name for field in dataclasses.fields(part_class)}
+    return part_class(**{k: v for k, v in values.items() if k in known})
 
 
 def build_config(revision: int, items: dict[str, t.Any]) -> fleet.FleetConfig:
-    """Return the configuration that the parts in `items` describe."""
+    """Return the configuration made of the parts in `items`."""
     empty = fleet.FleetConfig()
     return apply_changes(empty, revision, items, [])
 
@@ -112,12 +112,12 @@
     changed: dict[str, t.Any],
     removed: list[str],
 ) -> fleet.FleetConfig:
-    """Return `config` with some parts changed; `config` itself stays.
+    """Return a copy of `config` with some parts changed or removed.
 
-    What did not change is shared between both, so the time that it takes
-    follows the change and not the number of accounts and policies.
+    Unchanged objects are shared with `config`, so that accounts and policies
+    are not copied one by one.
     """
-    made = dataclasses.replace(
+    updated = dataclasses.replace(
         config,
         revision=revision,
         presets=dict(config.presets),
@@ -125,59 +125,67 @@
         drained=dict(config.drained),
         quarantined=dict(config.quarantined),
     )
-    copied: set[str] = set()
+    copied_presets: set[str] = set()
     for part in removed:
-        _remove(made, part, copied)
-    # A preset's own figures sort before its policies.
+        _remove(updated, part, copied_presets)
+    # Sorting puts the scalar fields of a preset before its policies.
     for part in sorted(changed):
-        _set(made, part, changed[part], copied)
-    return made
+        _set(updated, part, changed[part], copied_presets)
+    return updated
 
 
-def _remove(config: fleet.FleetConfig, part: str, copied: set[str]) -> None:
-    head, _, rest = part.partition("/")
-    if head != "preset":
-        getattr(config, _FIELDS[head]).pop(rest, None)
+def _remove(
+    config: fleet.FleetConfig, part: str, copied_presets: set[str]
+) -> None:
+    prefix, _, rest = part.partition("/")
+    if prefix != "preset":
+        getattr(config, _FIELD_BY_PREFIX[prefix]).pop(rest, None)
     elif "/" not in rest:
         config.presets.pop(rest, None)
     else:
         name, group, policy = rest.split("/", 2)
         if name in config.presets:
-            preset = _own(config, name, copied)
+            preset = _copied_preset(config, name, copied_presets)
             getattr(preset, group).pop(policy, None)
 
 
-def _set(config, part: str, value: t.Any, copied: set[str]) -> None:
-    head, _, rest = part.partition("/")
+def _set(config, part: str, value: t.Any, copied_presets: set[str]) -> None:
+    prefix, _, rest = part.partition("/")
     if part == IN_FORCE:
         config.in_force = value
-    elif head == "account":
-        config.accounts[rest] = _made(fleet.Account, value)
-    elif head in _FIELDS:
-        getattr(config, _FIELDS[head])[rest] = value
-    elif head == "preset" and "/" not in rest:
-        made = _made(fleet.Preset, value)
+    elif prefix == "account":
+        config.accounts[rest] = _from_plain(fleet.Account, value)
+    elif prefix in _FIELD_BY_PREFIX:
+        getattr(config, _FIELD_BY_PREFIX[prefix])[rest] = value
+    elif prefix == "preset" and "/" not in rest:
+        new = _from_plain(fleet.Preset, value)
         if rest in config.presets:
-            old = _own(config, rest, copied)
-            for group in _POLICIES:
-                setattr(made, group, getattr(old, group))
-        copied.add(rest)
-        config.presets[rest] = made
-    elif head == "preset":
+            old = _copied_preset(config, rest, copied_presets)
+            for group in _POLICY_CLASSES:
+                setattr(new, group, getattr(old, group))
+        copied_presets.add(rest)
+        config.presets[rest] = new
+    elif prefix == "preset":
         name, group, policy = rest.split("/", 2)
-        kind = _POLICIES[group]
-        made = value if kind is None else _made(kind, value)
-        getattr(_own(config, name, copied), group)[policy] = made
+        part_class = _POLICY_CLASSES[group]
+        new = value if part_class is None else _from_plain(part_class, value)
+        getattr(_copied_preset(config, name, copied_presets), group)[
+            policy
+        ] = new
 
 
-def _own(config: fleet.FleetConfig, name: str, copied: set[str]):
-    """Return preset `name`, first copied if `config` shares it."""
+def _copied_preset(
+    config: fleet.FleetConfig, name: str, copied_presets: set[str]
+):
+    """Return preset `name` of `config`, copied unless in `copied_presets`."""
     preset = config.presets[name]
-    if name not in copied:
-        groups = {group: dict(getattr(preset, group)) for group in _POLICIES}
+    if name not in copied_presets:
+        groups = {
+            group: dict(getattr(preset, group)) for group in _POLICY_CLASSES
+        }
         preset = dataclasses.replace(preset, **groups)
         config.presets[name] = preset
-        copied.add(name)
+        copied_presets.add(name)
     return preset
 
 
@@ -186,14 +194,14 @@
 
 
 class Parts:
-    """One map of parts at one revision.
+    """Map of parts at one revision, with a log of recent changes.
 
     Attributes
     ----------
     revision : int
-        Grows with every change; 0 is the empty map.
+        Grows with every change; 0 for the empty map.
     items : dict
-        Part to plain value.
+        Part name to plain value.
     """
 
     def __init__(self):
@@ -202,26 +210,26 @@
         self.digest_sum = 0
         self.change_log: collections.deque[tuple[int, list[str]]]
         self.change_log = collections.deque(maxlen=MAX_CHANGE_LOG)
-        # Deltas since a revision below this one need the whole map.
+        # The change log has no deltas from revisions below this one.
         self.oldest_base = 0
 
     @property
     def digest(self) -> str:
-        """Return the digest of the whole map; equal maps have equal ones."""
+        """Return the digest of the full map, which equal maps share."""
         return f"{self.digest_sum:032x}"
 
     def config(self) -> fleet.FleetConfig:
-        """Return the configuration described."""
+        """Return the configuration made of all parts."""
         return build_config(self.revision, self.items)
 
     def change(
         self, revision: int, changed: dict[str, t.Any], removed: list[str]
     ) -> None:
-        """Change parts and move to `revision`, which must be higher."""
+        """Change and remove parts and set `revision`, which must be higher."""
         for part in removed:
-            self._drop(part)
+            self._remove_part(part)
         for part, value in changed.items():
-            self._drop(part)
+            self._remove_part(part)
             self.items[part] = value
             self.digest_sum = (
                 self.digest_sum + _digest(part, value)
@@ -232,63 +240,63 @@
         self.revision = revision
 
     def delta_since(self, revision: int) -> Delta:
-        """Return what a holder of `revision` lacks, whole where unknown."""
+        """Return the delta since `revision`, or the full map if unknown."""
         if not self.oldest_base <= revision <= self.revision:
             items = dict(self.items)
             return Delta(-1, self.revision, items, [], self.digest)
-        touched: set[str] = set()
+        changed_names: set[str] = set()
         for at, names in reversed(self.change_log):
             if at <= revision:
                 break
-            touched.update(names)
-        changed = {p: self.items[p] for p in touched if p in self.items}
-        removed = sorted(touched - changed.keys())
+            changed_names.update(names)
+        changed = {p: self.items[p] for p in changed_names if p in self.items}
+        removed = sorted(changed_names - changed.keys())
         return Delta(revision, self.revision, changed, removed, self.digest)
 
     def apply(self, delta: Delta) -> bool:
-        """Take `delta` in, whole and only upward.
+        """Apply `delta` atomically, if it leads to a higher revision.
 
         Returns
         -------
         bool
-            Whether the map moved; an older or known revision is ignored.
+            Whether the map changed; older and equal revisions are ignored.
 
         Raises
         ------
         errors.FrameError
-            If the map would not have the digest that `delta` names, or
-            `delta` starts elsewhere. The map is unchanged then.
+            If the digest of the result differs from that of `delta`, or
+            `delta` starts after the held revision. The map is unchanged.
         """
         if delta.revision <= self.revision:
             return False
-        # Parts from before this revision may come again; a gap may not be.
+        # A delta may overlap known revisions but must not leave a gap.
         if not delta.whole and delta.since > self.revision:
             raise errors.FrameError(
-                "delta starts at another revision",
+                "delta starts after the held revision",
                 given=delta.since,
                 expected=self.revision,
             )
-        trial = Parts()
+        candidate = Parts()
         if not delta.whole:
-            trial.items = dict(self.items)
-            trial.digest_sum = self.digest_sum
-        trial.change(delta.revision, delta.changed, delta.removed)
-        # A delta lost or made wrongly on its way would leave this router
-        # with rules that nobody accepted; the digest of the whole shows it.
-        if trial.digest != delta.digest:
+            candidate.items = dict(self.items)
+            candidate.digest_sum = self.digest_sum
+        candidate.change(delta.revision, delta.changed, delta.removed)
+        # Rejects a wrong delta, which would yield a configuration that no
+        # operator accepted.
+        if candidate.digest != delta.digest:
             raise errors.FrameError(
-                "digest of the configuration",
-                given=trial.digest,
+                "configuration digest mismatch",
+                given=candidate.digest,
                 expected=delta.digest,
             )
-        self.items = trial.items
-        self.digest_sum = trial.digest_sum
+        self.items = candidate.items
+        self.digest_sum = candidate.digest_sum
         self.revision = delta.revision
-        self._note(delta)
+        self._log_change(delta)
         return True
 
     def dump(self) -> dict[str, t.Any]:
-        """Return the plain form that :meth:`load` reads."""
+        """Return a plain representation for :meth:`load`."""
         return {
             "revision": self.revision,
             "items": self.items,
@@ -299,27 +307,29 @@
 
     @classmethod
     def load(cls, values: dict[str, t.Any]) -> "Parts":
-        """Return the map that :meth:`dump` wrote.
+        """Return the map that was dumped as `values`.
 
         Raises
         ------
         errors.StorageError
-            If the digest does not fit.
+            If the digest does not match.
         """
-        made = cls()
-        made.change(values["revision"], values["items"], [])
-        made.change_log.clear()
-        made.change_log.extend((at, names) for at, names in values["journal"])
-        made.oldest_base = values["known_from"]
-        if made.digest != values["digest"]:
+        loaded = cls()
+        loaded.change(values["revision"], values["items"], [])
+        loaded.change_log.clear()
+        loaded.change_log.extend(
+            (at, names) for at, names in values["journal"]
+        )
+        loaded.oldest_base = values["known_from"]
+        if loaded.digest != values["digest"]:
             raise errors.StorageError(
-                "digest of the stored configuration",
-                given=made.digest,
+                "digest mismatch of the stored configuration",
+                given=loaded.digest,
                 expected=values["digest"],
             )
-        return made
+        return loaded
 
-    def _note(self, delta: Delta) -> None:
+    def _log_change(self, delta: Delta) -> None:
         if delta.whole:
             self.change_log.clear()
             self.oldest_base = delta.revision
@@ -330,7 +340,7 @@
             (delta.revision, [*delta.changed, *delta.removed])
         )
 
-    def _drop(self, part: str) -> None:
+    def _remove_part(self, part: str) -> None:
         if part in self.items:
             old = self.items.pop(part)
             self.digest_sum = (self.digest_sum - _digest(part, old)) % _MODULUS
--- a/amaranthring/core/fleet.py
+++ b/amaranthring/core/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet's revisioned configuration: what operators change.
+"""Versioned configuration of the fleet, changed by operators.
 
-One :class:`FleetConfig` is one revision, applied whole. It is built by the
-keepers' state machine and spread to every router.
+A :class:`FleetConfig` is one revision and is applied atomically. The keepers'
+state machine builds it, and every router receives it.
 """
 
 import dataclasses
@@ -14,11 +14,12 @@
     Attributes
     ----------
     priority : int
-        Lower is served earlier.
+        Lower values are served first.
     deadline_seconds : float
-        Time from arrival to the first token, or to the answer of a service.
+        Time from arrival to the first token, or to the response of a
+        service.
     queue_most : int
-        Requests that may wait at one admission owner.
+        Limit of requests waiting at one admission owner.
     """
 
     priority: int = 1
@@ -33,11 +34,11 @@
     Attributes
     ----------
     weight : float
-        Share in the fair queue.
+        Weight in the fair queue.
     rate_per_second : float
-        Requests a second over the whole fleet; 0 is no limit.
+        Requests per second across the fleet; 0 means no limit.
     burst : float
-        Requests that may come at once above the rate.
+        Requests that may exceed the rate at once.
     """
 
     weight: float = 1.0
@@ -47,14 +48,14 @@
 
 @dataclasses.dataclass
 class ServicePolicy:
-    """How a plain service is called.
+    """Settings for calls to a plain service.
 
     Attributes
     ----------
     idempotent_methods : list of str
         HTTP methods that may be repeated.
     timeout_seconds : float
-        Time for a whole answer.
+        Time limit for a complete response.
     """
 
     idempotent_methods: list[str] = dataclasses.field(
@@ -65,7 +66,7 @@
 
 @dataclasses.dataclass
 class Preset:
-    """What operators switch between; exactly one is in force.
+    """Named set of policies; exactly one preset is in force.
 
     Attributes
     ----------
@@ -74,15 +75,15 @@
     retry_budget : float
         Retries allowed as a share of recent successes, 0 to 1.
     first_token_seconds, between_tokens_seconds : float
-        Time allowed to an engine before it counts as failed.
+        Time limits after which an engine counts as failed.
     drain_seconds : float
-        Time a leaving target or router has to end what it runs.
+        Time for a leaving target or router to finish its requests.
     probe_per_second : float
-        Probes a router may send.
+        Limit of probes that a router sends.
     lease_seconds : float
-        Time after which an unrenewed target is lost.
+        Time without renewal after which a target is lost.
     classes, accounts, services : dict
-        Policies by name; what is missing has the defaults.
+        Policies by name; names without one use the defaults.
     desired_models : dict
         Model to number of replicas that should serve it.
     desired_roles : dict
@@ -127,9 +128,9 @@
     Attributes
     ----------
     token_hashes : list of str
-        SHA-256 of its bearer tokens; two while a token is changed.
+        SHA-256 of its bearer tokens; two during a token rotation.
     default_class : str
-        Class of a request that names none.
+        Class of requests that name none.
     """
 
     name: str
@@ -139,7 +140,7 @@
 
 @dataclasses.dataclass
 class FleetConfig:
-    """One revision of everything that operators decide.
+    """One revision of the configuration.
 
     Attributes
     ----------
@@ -148,9 +149,9 @@
     in_force : str
         Name of the one preset in force.
     drained : dict
-        Target to reason, for targets that operators drain.
+        Target to reason, for targets drained by operators.
     quarantined : dict
-        Request fingerprint to the wall time, in seconds, of its expiry.
+        Request fingerprint to its expiry, in seconds of wall time.
     """
 
     revision: int = 0
--- a/amaranthring/core/handshake.py
+++ b/amaranthring/core/handshake.py
@@ -1,8 +1,8 @@
-"""How the two ends of a stream prove to each other who they are.
+"""Mutual authentication of the two ends of a stream.
 
-The handshake is a challenge in both directions: each end proves knowledge of
-a fleet key over both nonces, so that a recorded hello is worth nothing, and
-two keys may be held at once while keys are changed.
+Both ends exchange nonces and prove knowledge of a fleet key with a MAC over
+both nonces, so a recorded handshake cannot be replayed. Several keys are
+accepted at once, which allows rotation.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass
 class Identity:
-    """Who a process says it is.
+    """Identity that a process claims.
 
     Attributes
     ----------
@@ -31,7 +31,7 @@
     data_centre : str
         Data centre from its settings.
     incarnation : int
-        Grows with every start, so a restarted process is told apart.
+        Grows with every start, to tell a restarted process apart.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 @wire.message("hello")
 class Hello:
-    """First frame of either end; `nonce` is the challenge to the other."""
+    """First frame of each end; `nonce` is its challenge to the other."""
 
     version: int
     nonce: bytes
@@ -50,7 +50,7 @@
 
 @wire.message("proof")
 class Proof:
-    """Second frame of either end: identity, and its proof under `key_id`."""
+    """Second frame of each end: its identity with a MAC under `key_id`."""
 
     identity: Identity
     key_id: str
@@ -59,30 +59,32 @@
 
 @dataclasses.dataclass
 class Keys:
-    """Fleet keys by id; the first signs, all are accepted."""
+    """Fleet keys by ID; the first one signs, all are accepted."""
 
     by_id: dict[str, bytes]
 
     @property
     def signing(self) -> tuple[str, bytes]:
-        """Return id and bytes of the key that signs."""
+        """Return the ID and the bytes of the signing key."""
         return next(iter(self.by_id.items()))
 
 
-def _mac(key: bytes, side: str, identity: Identity, ours, theirs) -> bytes:
-    text = wire.encode_value((side, identity, ours, theirs))
-    return hmac.new(key, text, hashlib.sha256).digest()
+def _mac(
+    key: bytes, side: str, identity: Identity, own_nonce, peer_nonce
+) -> bytes:
+    payload = wire.encode_value((side, identity, own_nonce, peer_nonce))
+    return hmac.new(key, payload, hashlib.sha256).digest()
 
 
-async def _next_frame(stream, unpacker, kind: type) -> t.Any:
+async def _next_frame(stream, unpacker, message_class: type) -> t.Any:
     while True:
         for parts in unpacker:
             frame = wire.decode(parts)
-            if not isinstance(frame.message, kind):
+            if not isinstance(frame.message, message_class):
                 raise errors.HandshakeError(
                     "unexpected frame",
                     given=type(frame.message).__name__,
-                    expected=kind.__name__,
+                    expected=message_class.__name__,
                 )
             return frame.message
         unpacker.feed(await stream.read_bytes(READ_BYTES, partial=True))
@@ -91,38 +93,43 @@
 async def authenticate(
     stream, identity: Identity, keys: Keys, side: str, unpacker
 ) -> Identity:
-    """Authenticate both ends of `stream` and return who the other is.
+    """Authenticate both ends of `stream` and return the peer's identity.
 
     Parameters
     ----------
     side : str
-        ``client`` for the end that dialled, else ``server``.
+        ``client`` for the end that connected, else ``server``.
 
     Raises
     ------
     errors.HandshakeError
-        If the other end cannot prove itself.
+        If the peer sends an unexpected frame, another protocol version or
+        an invalid proof.
     """
     nonce = os.urandom(NONCE_BYTES)
     hello = Hello(wire.VERSION, nonce)
     await stream.write(wire.encode(wire.ONE_WAY, 0, hello))
-    theirs = await _next_frame(stream, unpacker, Hello)
-    if theirs.version != wire.VERSION:
+    peer_hello = await _next_frame(stream, unpacker, Hello)
+    if peer_hello.version != wire.VERSION:
         raise errors.HandshakeError(
-            "version", given=theirs.version, expected=wire.VERSION
+            "protocol version mismatch",
+            given=peer_hello.version,
+            expected=wire.VERSION,
         )
     key_id, key = keys.signing
-    mac = _mac(key, side, identity, nonce, theirs.nonce)
+    mac = _mac(key, side, identity, nonce, peer_hello.nonce)
     proof = Proof(identity, key_id, mac)
     await stream.write(wire.encode(wire.ONE_WAY, 0, proof))
-    answer = await _next_frame(stream, unpacker, Proof)
-    other = "server" if side == "client" else "client"
-    known = keys.by_id.get(answer.key_id, b"")
-    expected = _mac(known, other, answer.identity, theirs.nonce, nonce)
-    if not known or not hmac.compare_digest(expected, answer.mac):
+    peer_proof = await _next_frame(stream, unpacker, Proof)
+    peer_side = "server" if side == "client" else "client"
+    peer_key = keys.by_id.get(peer_proof.key_id, b"")
+    expected_mac = _mac(
+        peer_key, peer_side, peer_proof.identity, peer_hello.nonce, nonce
+    )
+    if not peer_key or not hmac.compare_digest(expected_mac, peer_proof.mac):
         raise errors.HandshakeError(
-            "peer's proof is wrong",
-            given=answer.key_id,
+            "invalid proof from the peer",
+            given=peer_proof.key_id,
             expected=f"one of {sorted(keys.by_id)}",
         )
-    return answer.identity
+    return peer_proof.identity
--- a/amaranthring/core/hashing.py
+++ b/amaranthring/core/hashing.py
@@ -15,25 +15,25 @@
 
 
 def order(key: str, nodes: collections.abc.Iterable[str]) -> list[str]:
-    """Return `nodes`, best first, for `key`; equal on every router."""
+    """Return `nodes` by descending weight for `key`, alike on every router."""
     return sorted(nodes, key=lambda node: (-weight(key, node), node))
 
 
 def first(key: str, nodes: collections.abc.Iterable[str]) -> str | None:
-    """Return the best of `nodes` for `key`, or None if there is none."""
+    """Return the node with the highest weight for `key`, or None."""
     return max(nodes, key=lambda node: (weight(key, node), node), default=None)
 
 
 def digest(*parts: bytes | str) -> str:
     """Return a 128-bit hex digest of length-prefixed `parts`."""
-    made = hashlib.blake2b(digest_size=16)
+    hasher = hashlib.blake2b(digest_size=16)
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
-        made.update(len(data).to_bytes(8, "big"))
-        made.update(data)
-    return made.hexdigest()
+        hasher.update(len(data).to_bytes(8, "big"))
+        hasher.update(data)
+    return hasher.hexdigest()
 
 
 def token_hash(token: str) -> str:
-    """Return the hash under which a bearer token is kept."""
+    """Return the hash under which a bearer token is stored."""
     return hashlib.sha256(token.encode()).hexdigest()
--- a/amaranthring/core/links.py
+++ b/amaranthring/core/links.py
@@ -1,9 +1,9 @@
-"""Authenticated msgpack streams between the fleet's own processes.
+"""Authenticated msgpack streams between the processes of the fleet.
 
 A :class:`Link` is one connection with one reading task. Both ends may send
-one-way messages and call each other; a handler that returns an awaitable is
-run in a task of its own so that a call that waits does not hold up the
-stream. A :class:`Dialler` keeps one link to one peer up, with one task.
+one-way messages and requests. A handler that returns an awaitable runs in its
+own task, so that it does not block the stream. A :class:`Dialler` maintains
+one link to one peer and reconnects when it breaks.
 """
 
 import asyncio
@@ -29,9 +29,8 @@
 HANDSHAKE_SECONDS = 2.0
 SEND_BUFFER_BYTES = 4 * 1024 * 1024
 INITIAL_BACKOFF_SECONDS = 0.05
-# Where all have lost power, routers are back 0.9 s before the keepers: each
-# dials on at this pace, and who dials seldom is linked late. An attempt costs
-# a packet and, while nobody listens, its refusal.
+# Bounds the delay until a link is back: after a power loss of the whole fleet
+# routers start before keepers, and retry at this interval.
 MAX_BACKOFF_SECONDS = 0.4
 STABLE_SECONDS = 1.0
 
@@ -50,17 +49,17 @@
 
 
 class Handlers:
-    """Handlers by message class; a package adds its own at construction.
+    """Registry of handlers by message class, with traffic counters.
 
     Attributes
     ----------
     sent : Counter
-        Bytes handed to all links that use these handlers, by message tag;
-        errors under ``error``, answers without a body under ``done``.
+        Bytes sent on all links with these handlers, by message tag; errors
+        count under ``error``, replies without a body under ``done``.
     received : Counter
-        Frames that came over all these links, by message tag.
+        Frames received on these links, by message tag.
     received_bytes : int
-        Bytes that came over all these links.
+        Bytes received on these links.
     """
 
     def __init__(self):
@@ -69,11 +68,11 @@
         self.received: collections.Counter[str] = collections.Counter()
         self.received_bytes = 0
 
-    def add(self, kind: type, handler: Handler) -> None:
-        """Route messages of class `kind` to `handler`."""
-        if kind in self.by_class:
-            raise ValueError(f"{kind.__name__} has a handler already")
-        self.by_class[kind] = handler
+    def add(self, message_class: type, handler: Handler) -> None:
+        """Register `handler` for messages of class `message_class`."""
+        if message_class in self.by_class:
+            raise ValueError(f"{message_class.__name__} already has a handler")
+        self.by_class[message_class] = handler
 
 
 class Link:
@@ -82,9 +81,9 @@
     Attributes
     ----------
     peer : Identity
-        The other end, proved by the handshake.
+        Identity of the other end, proved by the handshake.
     sent_bytes, received_bytes : int
-        Traffic so far.
+        Bytes so far.
     sent_frames : int
         Frames written so far.
     """
@@ -98,27 +97,27 @@
         self.received_bytes = 0
         self.closed = False
         self._ids = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future] = {}
+        self._pending: dict[int, asyncio.Future] = {}
         self._tasks: set[asyncio.Task] = set()
 
     def send(self, message: t.Any) -> None:
-        """Send a one-way message; delivery is not promised.
+        """Send a one-way message without a guarantee of delivery.
 
         Raises
         ------
         errors.LinkClosedError, errors.LinkOverloadedError
-            If the message surely was not handed to the stream.
+            If the message was certainly not written to the stream.
         """
         frame = wire.encode(wire.ONE_WAY, 0, message)
         self._write(frame, wire.tag_of(type(message)))
 
     def send_encoded(self, frame: bytes, tag: str) -> None:
-        """Send the bytes of a one-way frame, encoded once for many links.
+        """Send a one-way frame that was encoded once for many links.
 
         Parameters
         ----------
         tag : str
-            Of the message in it.
+            Tag of the message in the frame.
 
         Raises
         ------
@@ -140,13 +139,13 @@
         Raises
         ------
         errors.AmaranthringError
-            What the peer's handler raised, under the same type.
+            Whatever the peer's handler raised, as the same type.
         errors.LinkClosedError, errors.LinkTimeoutError
-            If no reply came; the peer may have acted all the same.
+            If no reply arrived; the peer may still have run the request.
         """
         call_id = next(self._ids)
         future = asyncio.get_running_loop().create_future()
-        self._waiting[call_id] = future
+        self._pending[call_id] = future
         try:
             frame = wire.encode(wire.REQUEST, call_id, message)
             self._write(frame, wire.tag_of(type(message)))
@@ -156,20 +155,21 @@
                 f"no reply from {self.peer.name} in {timeout} s"
             ) from error
         finally:
-            self._waiting.pop(call_id, None)
+            self._pending.pop(call_id, None)
 
     def close(self) -> None:
-        """Close the stream; calls that wait fail with LinkClosedError."""
+        """Close the stream; pending calls fail with LinkClosedError."""
         if self.closed:
             return
         self.closed = True
         self.stream.close()
-        for future in self._waiting.values():
+        for future in self._pending.values():
             if not future.done():
                 future.set_exception(
                     errors.LinkClosedError(f"link to {self.peer.name} closed")
                 )
-                # The waiter may itself be gone; then nobody reads it.
+                # Marks the exception as retrieved, as the caller may have
+                # been cancelled.
                 future.exception()
         for task in list(self._tasks):
             task.cancel()
@@ -194,7 +194,7 @@
             self.close()
 
     def has_unsent_bytes(self) -> bool:
-        """Return whether bytes wait that the system has not taken yet."""
+        """Return whether the send buffer holds unsent bytes."""
         return not self.closed and self.stream.writing()
 
     def _write(self, data: bytes, tag: str) -> None:
@@ -222,10 +222,10 @@
             self.handlers.received[wire.tag_of(type(frame.message))] += 1
         handler = self.handlers.by_class.get(type(frame.message))
         if handler is None:
-            self._answer(
+            self._reply(
                 frame,
                 errors.FrameError(
-                    "no handler here",
+                    "no handler for this message",
                     given=type(frame.message).__name__,
                     expected="a message for this role",
                 ),
@@ -234,33 +234,33 @@
         try:
             result = handler(self, frame.message)
         except errors.AmaranthringError as error:
-            self._answer(frame, error)
+            self._reply(frame, error)
             return
         except Exception:
             log.exception("link.handler-failed peer={}", self.peer.name)
-            self._answer(frame, errors.InternalError("handler failed"))
+            self._reply(frame, errors.InternalError("handler failed"))
             return
         if inspect.isawaitable(result):
-            task = asyncio.ensure_future(self._finish(frame, result))
+            task = asyncio.ensure_future(self._reply_when_done(frame, result))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             if inspect.iscoroutine(result):
-                # A task that is cancelled before its first step never awaits
-                # it, of which Python would warn on standard error.
+                # A task cancelled before its first step never awaits the
+                # coroutine; closing it avoids a warning on standard error.
                 task.add_done_callback(lambda _: result.close())
         else:
-            self._answer(frame, result)
+            self._reply(frame, result)
 
-    async def _finish(self, frame: wire.Frame, pending) -> None:
+    async def _reply_when_done(self, frame: wire.Frame, pending) -> None:
         try:
-            self._answer(frame, await pending)
+            self._reply(frame, await pending)
         except errors.AmaranthringError as error:
-            self._answer(frame, error)
+            self._reply(frame, error)
         except Exception:
             log.exception("link.handler-failed peer={}", self.peer.name)
-            self._answer(frame, errors.InternalError("handler failed"))
+            self._reply(frame, errors.InternalError("handler failed"))
 
-    def _answer(self, frame: wire.Frame, result: t.Any) -> None:
+    def _reply(self, frame: wire.Frame, result: t.Any) -> None:
         if frame.kind != wire.REQUEST:
             return
         failed = isinstance(result, errors.AmaranthringError)
@@ -271,11 +271,11 @@
         try:
             self._write(wire.encode(kind, frame.call_id, result), tag)
         except errors.LinkError:
-            # The caller sees its link close and treats the call as unknown.
+            # Closing the link tells the peer that the outcome is unknown.
             self.close()
 
     def _resolve(self, frame: wire.Frame) -> None:
-        future = self._waiting.pop(frame.call_id, None)
+        future = self._pending.pop(frame.call_id, None)
         if future is None or future.done():
             return
         if frame.kind == wire.ERROR:
@@ -292,7 +292,7 @@
     Raises
     ------
     errors.HandshakeError
-        If the peer cannot prove itself in time; the stream is closed.
+        If the handshake fails or takes too long; the stream is closed.
     """
     unpacker = wire.unpacker()
     try:
@@ -305,23 +305,23 @@
         raise
     except (*STREAM_ERRORS, msgpack.UnpackException, ValueError) as error:
         stream.close()
-        raise errors.HandshakeError("handshake broke off") from error
+        raise errors.HandshakeError("handshake did not complete") from error
     return Link(stream, peer, handlers), unpacker
 
 
 class LinkServer(tornado.tcpserver.TCPServer):
-    """Accepts links from peers, one task each.
+    """Accepts links from peers, each served by its own task.
 
     Parameters
     ----------
     identity : Identity
-        This process.
+        Identity of this process.
     keys : Keys
         Fleet keys.
     handlers : Handlers
-        What answers incoming messages.
+        Handlers of incoming messages.
     on_link, on_gone : callable, optional
-        Called with each link after its handshake and after its end.
+        Called with each link after its handshake and after its close.
     """
 
     def __init__(self, identity, keys, handlers, on_link=None, on_close=None):
@@ -335,7 +335,7 @@
         self.closed = False
 
     async def handle_stream(self, stream, address):
-        """Serve one connection until it ends."""
+        """Authenticate and serve one connection until it closes."""
         stream.set_nodelay(True)
         stream.max_write_buffer_size = SEND_BUFFER_BYTES
         try:
@@ -346,9 +346,8 @@
             log.warning("link.refused address={} fault={}", address, error)
             return
         if self.closed:
-            # The handshake ended after `close_all`, or swallowed the
-            # cancellation that came with its last frame: served now, this
-            # link would outlive the process's end and hold it up.
+            # The handshake completed after `close_all`; a link served now
+            # would keep the process from exiting.
             link.close()
             return
         self.links.add(link)
@@ -371,7 +370,7 @@
 
 
 class Dialler:
-    """Keeps one link to one peer up, reconnecting with a bounded backoff.
+    """Maintains one link to one peer, reconnecting with bounded backoff.
 
     Parameters
     ----------
@@ -379,7 +378,7 @@
         ``host:port`` of the peer's fleet listener.
     on_link, on_gone : callable, optional
         Called with each new link, before any other use of it, and after
-        its end.
+        its close.
     """
 
     def __init__(
@@ -397,13 +396,13 @@
         self.stopped = False
 
     def start(self) -> None:
-        """Start the task that keeps the link up."""
+        """Start the task that maintains the link."""
         self.task = asyncio.ensure_future(self.run())
 
     def stop(self) -> None:
-        """End the task and the link."""
-        # A cancellation that comes in the very step in which the handshake
-        # ends is swallowed by wait_for; the task would dial for ever.
+        """Cancel the task and close the link."""
+        # wait_for swallows a cancellation that arrives in the step in which
+        # the handshake completes; without this flag the task would go on.
         self.stopped = True
         if self.task:
             self.task.cancel()
@@ -411,21 +410,21 @@
             self.link.close()
 
     async def run(self) -> None:
-        """Connect, serve, and connect again until stopped."""
-        wait = INITIAL_BACKOFF_SECONDS
+        """Connect, serve the link, and reconnect until stopped."""
+        backoff = INITIAL_BACKOFF_SECONDS
         while not self.stopped:
             try:
                 link, unpacker = await self._connect()
             except (errors.HandshakeError, *STREAM_ERRORS):
-                # Jitter, so that all routers do not return at one instant
-                # to a peer that restarted.
-                await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-                wait = min(wait * 2, MAX_BACKOFF_SECONDS)
+                # Jitter keeps routers from reconnecting to a restarted peer
+                # all at once.
+                await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
+                backoff = min(backoff * 2, MAX_BACKOFF_SECONDS)
                 continue
             if self.stopped:
                 link.close()
                 return
-            began = time.monotonic()
+            connected_at = time.monotonic()
             self.link = link
             if self.on_link:
                 self.on_link(link)
@@ -435,15 +434,15 @@
                 self.link = None
                 if self.on_close:
                     self.on_close(link)
-            if time.monotonic() - began > STABLE_SECONDS:
-                wait = INITIAL_BACKOFF_SECONDS
-            # A peer that accepts and closes at once must not be dialled in
-            # a tight loop; only a link that lasted resets the backoff.
-            await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-            wait = min(wait * 2, MAX_BACKOFF_SECONDS)
+            if time.monotonic() - connected_at > STABLE_SECONDS:
+                backoff = INITIAL_BACKOFF_SECONDS
+            # Only a link that lasted resets the backoff, so a peer that
+            # accepts and closes at once is not retried in a tight loop.
+            await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
+            backoff = min(backoff * 2, MAX_BACKOFF_SECONDS)
 
     def send(self, message: t.Any) -> bool:
-        """Send one-way if the link is up; return whether it was handed on."""
+        """Send a one-way message; return whether it was written to a link."""
         if self.link is None:
             return False
         try:
@@ -453,7 +452,7 @@
         return True
 
     async def call(self, message: t.Any, timeout: float) -> t.Any:
-        """Call the peer.
+        """Send a request to the peer and return its reply.
 
         Raises
         ------
--- a/amaranthring/core/listeners.py
+++ b/amaranthring/core/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets, for streams and for HTTP, and their orderly end."""
+"""Listening sockets for streams and HTTP, and their graceful shutdown."""
 
 import array
 import asyncio
@@ -15,29 +15,29 @@
 
 log = logbook.Logger(__name__)
 
-# A connection whose first packet came before new ones are ignored is there
-# after one more way to the peer and back, also across regions.
+# One round trip, also across regions: lets TCP handshakes complete whose SYN
+# arrived before the filter was attached.
 SETTLE_SECONDS = 0.1
 
-# ``SO_ATTACH_FILTER`` of Linux, which Python has no name for.
+# Socket option of Linux that the socket module does not define.
 SO_ATTACH_FILTER = 26
-# A filter in the kernel's packet filter language (code, jump if true, jump
-# if false, operand) on a TCP header: a packet that opens a connection has
-# SYN and not ACK in its flags; it is dropped and all others pass.
+# Classic BPF program on the TCP header: (code, jump if true, jump if false,
+# operand). It drops packets with SYN but not ACK, which open connections,
+# and passes all others.
 TCP_FLAGS_OFFSET = 13
 SYN, ACK = 0x02, 0x10
 DROP_SYN_FILTER = (
-    (0x30, 0, 0, TCP_FLAGS_OFFSET),  # load the byte with the flags
-    (0x54, 0, 0, SYN | ACK),  # keep these two
-    (0x15, 0, 1, SYN),  # if it is SYN alone:
+    (0x30, 0, 0, TCP_FLAGS_OFFSET),  # load the flags byte
+    (0x54, 0, 0, SYN | ACK),  # mask SYN and ACK
+    (0x15, 0, 1, SYN),  # if only SYN is set:
     (0x06, 0, 0, 0),  # drop the packet
-    (0x06, 0, 0, 0xFFFFFFFF),  # else take all of it
+    (0x06, 0, 0, 0xFFFFFFFF),  # else pass the whole packet
 )
 
 
 @dataclasses.dataclass
 class Listener:
-    """A server and the sockets on which it takes connections.
+    """A server and the sockets on which it accepts connections.
 
     Attributes
     ----------
@@ -51,42 +51,43 @@
     sockets: list[socket.socket]
 
     async def close(self) -> None:
-        """Stop listening; serve every connection that was opened before.
-
-        The kernel opens connections on its own. Those that it has opened and
-        the process has not taken are reset when the listening socket closes:
-        their callers may have sent a whole request, get no answer, and can't
-        tell whether it ran. So connections are kept from being opened first,
-        then the loop takes what is open, then the socket closes. A caller
-        who comes in between is refused as soon as it tries again, with
-        nothing sent.
+        """Stop listening without resetting connections already established.
+
+        The kernel establishes connections before the process accepts them,
+        and resets those still in the backlog when the listening socket
+        closes; a caller could not tell whether its request ran. So a filter
+        first drops new SYN packets, then the event loop accepts the backlog,
+        then the sockets close. Callers that connect in between retransmit
+        their SYN and are refused with nothing sent.
         """
         for sock in self.sockets:
-            _ignore_opening(sock)
+            _drop_new_connections(sock)
         await asyncio.sleep(SETTLE_SECONDS)
         self.server.stop()
 
 
-def _ignore_opening(sock: socket.socket) -> None:
-    """Let the kernel open no more connections on `sock`."""
-    codes = b"".join(struct.pack("HBBI", *code) for code in DROP_SYN_FILTER)
-    held = array.array("B", codes)
-    address, _ = held.buffer_info()
+def _drop_new_connections(sock: socket.socket) -> None:
+    """Make the kernel drop packets that open connections to `sock`."""
+    instructions = b"".join(
+        struct.pack("HBBI", *instruction) for instruction in DROP_SYN_FILTER
+    )
+    buffer = array.array("B", instructions)
+    address, _ = buffer.buffer_info()
     program = struct.pack("HP", len(DROP_SYN_FILTER), address)
     try:
         sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     except OSError as error:
-        # Connections opened within the last step of the loop may be lost.
+        # Without the filter, connections in the backlog may be reset.
         logs.event(log, "listener.unfiltered", fault=error.strerror)
 
 
 def bind_sockets(address: str) -> list[socket.socket]:
-    """Return listening sockets on ``host:port``.
+    """Return sockets that listen on ``host:port``.
 
     Raises
     ------
     errors.ListenError
-        If the address is taken or not of this VM.
+        If the address is in use or not an address of this VM.
     """
     host, port = address.rsplit(":", 1)
     try:
@@ -100,7 +101,7 @@
 
 
 def serve(server: tornado.tcpserver.TCPServer, address: str) -> Listener:
-    """Let `server` take connections on ``host:port``.
+    """Make `server` accept connections on ``host:port``.
 
     Raises
     ------
--- a/amaranthring/core/pacing.py
+++ b/amaranthring/core/pacing.py
@@ -1,43 +1,40 @@
-"""Keeps bulk from filling a link that also carries what cannot wait.
+"""Rate limit for bulk data on a network link shared with urgent traffic.
 
-What a process tells all who link to it grows with their number; heartbeats
-and votes on the same link do not, and they are late when bulk queues before
-them. A :class:`Pacer` leaves bulk what the rest of the traffic does not use
-of a share of the link.
+Bulk data that a process sends to all its peers grows with their number and
+would delay heartbeats and votes queued behind it. A :class:`Pacer` grants bulk
+data what other traffic leaves unused of a share of the link.
 """
 
 import asyncio
 import collections.abc
 import typing as t
 
-# Of the link, to all traffic that is counted. The rest is for headers,
-# handshakes and answers to those who ask.
+# Share of the link for all counted traffic; the rest is for headers,
+# handshakes and replies.
 LINK_SHARE = 0.5
-# Bulk that was held back may come at once up to so much time's worth: it
-# queues for half of that before a heartbeat, and two keepers' queues together
-# stay below an election time (0.45 s).
+# Largest burst, as time at the limited rate. One burst delays a heartbeat by
+# half of this; two stay below the election timeout (0.45 s).
 BURST_SECONDS = 0.2
-# Debt beyond this is forgotten, so that bulk never waits longer for the
-# traffic of a burst that is over.
+# Caps the debt, so that bulk data waits no longer than this after a burst of
+# other traffic.
 MAX_DEBT_SECONDS = 1.0
-# A claim lasts for one and a half of the heartbeats (0.1 s) at which whoever
-# claims looks again.
+# Exceeds the heartbeat interval (0.1 s), at which the caller retries.
 RESERVE_SECONDS = 0.15
-# Where nobody said what the link carries: 6 Mbit/s, the thinnest known.
+# Bytes a second if no rate is known: 6 Mbit/s, the slowest supported link.
 DEFAULT_LINK_RATE = 0.75e6
 
 
 class Pacer:
-    """Says how many bytes of bulk may go now.
+    """Token bucket for bulk data that also debits all other traffic.
 
     Parameters
     ----------
     sent : Counter
-        Bytes sent so far, by kind; all of them count.
+        Bytes sent so far by message tag; all of them are debited.
     clock : callable
-        Seconds.
+        Returns seconds.
     link_rate : float
-        Bytes a second that the link carries; 0 if not told.
+        Bytes a second that the link carries; 0 if unknown.
     """
 
     def __init__(
@@ -52,52 +49,56 @@
         self.lock = asyncio.Lock()
         self.waiters = 0
         self.reserved_until = float("-inf")
-        self._room = self.rate * BURST_SECONDS
-        self._seen = self._total()
-        self._at = clock()
+        self._balance = self.rate * BURST_SECONDS
+        self._seen_total = self._total()
+        self._updated_at = clock()
 
     def available(self) -> float:
-        """Return how many bytes may go now; none while others wait."""
+        """Return how many bytes may be sent now; 0 while others wait."""
         return 0.0 if self.waiters else max(0.0, self._update())
 
     def reserve(self) -> float:
-        """Return how many bytes may go now, before those who wait.
+        """Return how many bytes may be sent now, ahead of all waiters.
 
-        If none, nobody else gets a turn for a moment, in which the caller
-        asks again: one that looks only now and then would never find room
-        while others wait for it.
+        If there are none, waiters are held back until the caller has had time
+        to retry. Otherwise a caller that polls would starve, as waiters would
+        use the budget between its polls.
         """
-        room = max(0.0, self._update())
-        if not room:
-            self.reserved_until = self._at + RESERVE_SECONDS
-        return room
+        balance = max(0.0, self._update())
+        if not balance:
+            self.reserved_until = self._updated_at + RESERVE_SECONDS
+        return balance
 
     async def acquire(self) -> None:
-        """Return once something may go, to one caller after the other.
+        """Wait until bulk data may be sent; callers are served in order.
 
-        The caller sends before it next awaits. What goes may be larger than
-        the room: the next one waits the longer.
+        The caller must send before it next awaits. It may exceed the available
+        bytes, for which the next caller waits longer.
         """
         self.waiters += 1
         try:
             async with self.lock:
-                while (wait := self._wait()) > 0:  # noqa: ASYNC110
-                    await asyncio.sleep(wait)
+                while (delay := self._delay()) > 0:  # noqa: ASYNC110
+                    await asyncio.sleep(delay)
         finally:
             self.waiters -= 1
 
-    def _wait(self) -> float:
-        room = self._update()
-        claimed = self.reserved_until - self._at
-        return max(claimed, (1.0 - room) / self.rate if room <= 0 else 0.0)
+    def _delay(self) -> float:
+        balance = self._update()
+        reserved = self.reserved_until - self._updated_at
+        return max(
+            reserved, (1.0 - balance) / self.rate if balance <= 0 else 0.0
+        )
 
     def _update(self) -> float:
         now, total = self.clock(), self._total()
-        room = self._room + (now - self._at) * self.rate
-        room = min(room, self.rate * BURST_SECONDS) - (total - self._seen)
-        self._room = max(room, -self.rate * MAX_DEBT_SECONDS)
-        self._at, self._seen = now, total
-        return self._room
+        balance = self._balance + (now - self._updated_at) * self.rate
+        balance = min(balance, self.rate * BURST_SECONDS) - (
+            total - self._seen_total
+        )
+        self._balance = max(balance, -self.rate * MAX_DEBT_SECONDS)
+        self._updated_at, self._seen_total = now, total
+        return self._balance
 
     def _total(self) -> int:
         return sum(self.sent.values())
--- a/amaranthring/core/records.py
+++ b/amaranthring/core/records.py
@@ -1,4 +1,4 @@
-"""Data classes that several packages share."""
+"""Data classes shared by several packages."""
 
 import dataclasses
 import enum
@@ -7,14 +7,14 @@
 
 
 class TargetKind(enum.StrEnum):
-    """What kind of work a target does."""
+    """Kind of a target."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class TargetState(enum.StrEnum):
-    """What a router may do with a target."""
+    """State of a target as a router sees it."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -31,7 +31,7 @@
     name : str
         Unique name in the fleet.
     incarnation : int
-        Grows with every start of the target; an older one is refused.
+        Grows with every start of the target; older ones are rejected.
     kind : TargetKind
         Engine or service.
     address : str
@@ -43,7 +43,7 @@
     capacity : int
         Requests that it can run at once.
     fencing : bool
-        Whether it refuses an order with an old fencing number.
+        Whether it rejects orders with an old fencing number.
     honours_keys : bool
         Whether it deduplicates by idempotency key itself.
     role : str
@@ -65,16 +65,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class LoadReport:
-    """A target's lagging report of its load.
+    """Load of a target as last reported by it.
 
     Attributes
     ----------
     sequence : int
-        Grows within an incarnation; an older report is dropped.
+        Grows within an incarnation; older reports are dropped.
     running, waiting : int
         Requests running and waiting inside the target.
     kv_used : float
-        Share of its KV memory in use, 0 to 1.
+        Fraction of its KV cache memory in use, 0 to 1.
     """
 
     target: str
@@ -87,32 +87,32 @@
 
 @dataclasses.dataclass
 class Request:
-    """A caller's request after decoding, on its way through the router.
+    """A caller's decoded request.
 
     Attributes
     ----------
     request_id : str
         Unique; returned to the caller and used by ``explain``.
     account : str
-        Client account, authenticated.
+        Authenticated client account.
     cls : str
         Class of traffic, such as ``interactive`` or ``batch``.
     priority : int
-        Lower is served earlier; also sent to engines.
+        Lower values are served first; also sent to engines.
     serves : str
         Model or service asked for.
     kind : TargetKind
-        Which kind of target it needs.
+        Kind of target that it needs.
     chat : str
-        Digest that names the chat; empty for plain services.
+        Digest that identifies the chat; empty for plain services.
     body : bytes
-        Body as it is sent on.
+        Body as forwarded to the target.
     body_digest : str
         Digest of account and body.
     deadline : float
-        On the router's monotonic clock, in seconds.
+        Seconds on the router's monotonic clock.
     idempotent : bool
-        Whether running it twice is harmless.
+        Whether it may safely run twice.
     key : str
         Idempotency key, or empty.
     stream : bool
@@ -138,27 +138,27 @@
 
 @dataclasses.dataclass
 class Grant:
-    """Leave of an admission owner to send one request to one target.
+    """Permission of an admission owner to send one request to one target.
 
     Attributes
     ----------
     grant_id : str
-        Names the grant at its owner.
+        Identifies the grant at its owner.
     owner : str
-        Router that granted; empty for a grant from local estimates.
+        Router that granted it; empty if granted from local estimates.
     target : Target
-        Where to send.
+        Target to send the request to.
     remembered : bool
-        Whether the target was the chat's remembered place.
+        Whether the target was remembered for the chat.
     import_from : Target, optional
-        Where the chat's KV cache may be imported from.
+        Target from which the chat's KV cache may be imported.
     queued_seconds : float
-        Time spent waiting at the owner.
+        Time in the queue of the owner.
     cell : str
-        Cell of targets that the owner counts.
+        Cell of targets whose load the owner counts.
     load, in_flight, targets : int
-        What the owner decided on: requests at the target and in the cell,
-        this one included, and targets of the cell.
+        Inputs to the decision: requests at the target and in the cell,
+        including this one, and the number of targets in the cell.
     """
 
     grant_id: str
@@ -185,7 +185,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """What the ledger says of a claim."""
+    """State of a claim in the ledger."""
 
     GRANTED = "granted"
     IN_PROGRESS = "in-progress"
@@ -196,18 +196,18 @@
 
 @dataclasses.dataclass
 class StoredAnswer:
-    """The answer of a settled non-idempotent call.
+    """Response to a settled non-idempotent call.
 
     Attributes
     ----------
     status : int
-        HTTP status the target answered.
+        HTTP status of the response.
     content_type : str
-        Its content type.
+        Content type of the body.
     body : bytes
-        Its body; empty with ``kept`` false when it was above the bound.
+        Body; empty with ``kept`` false if it exceeded the size limit.
     kept : bool
-        Whether the body was kept.
+        Whether the body was stored.
     """
 
     status: int
@@ -218,16 +218,16 @@
 
 @dataclasses.dataclass
 class Claim:
-    """Result of asking the ledger for a claim.
+    """Result of a request for a claim in the ledger.
 
     Attributes
     ----------
     state : ClaimState
-        ``GRANTED`` to exactly one attempt, ever.
+        ``GRANTED`` for exactly one attempt ever.
     attempt : str
-        The attempt that holds the claim.
+        Attempt that holds the claim.
     target : str
-        Target the holder named, if any.
+        Target that the holder named, if any.
     outcome : Outcome, optional
         For a settled claim.
     answer : StoredAnswer, optional
--- a/amaranthring/core/validation.py
+++ b/amaranthring/core/validation.py
@@ -1,12 +1,10 @@
-"""Checks plain decoded values against data classes.
-
-Messages, files and snapshots arrive as maps and lists. :func:`reader`
-returns a function that checks such a value against a type hint and makes
-the data class of it. A reader is built when it is first used, so a message
-type costs nothing at import: a keeper that is restarted while others are
-down must listen again within a fraction of a second, and on a small VM
-building pydantic's validators for all messages took longer than that
-(1.34 s of imports on a quarter of a core, 0.5 s without).
+"""Validates plain decoded values against data classes.
+
+Messages, files and snapshots arrive as maps and lists. :func:`validator`
+returns a function that checks such a value against a type hint and converts it
+to the data class. Validators are built at their first use, which keeps imports
+fast: a restarted keeper must listen again within a fraction of a second, also
+on a small VM.
 """
 
 import dataclasses
@@ -19,18 +17,18 @@
 
 Validator = t.Callable[[t.Any], t.Any]
 
-SHOWN_CHARACTERS = 80
+MAX_SHOWN_CHARACTERS = 80
 _ABSENT = object()
 
 
-def _fault(value: t.Any, expected: str) -> errors.FrameError:
-    shown = f"{type(value).__name__} {str(value)[:SHOWN_CHARACTERS]}"
-    return errors.FrameError("value", given=shown, expected=expected)
+def _invalid(value: t.Any, expected: str) -> errors.FrameError:
+    shown = f"{type(value).__name__} {str(value)[:MAX_SHOWN_CHARACTERS]}"
+    return errors.FrameError("invalid value", given=shown, expected=expected)
 
 
 @functools.cache
 def validator(hint: t.Any) -> Validator:
-    """Return a function that checks a plain value against `hint`.
+    """Return a function that validates plain values against `hint`.
 
     Parameters
     ----------
@@ -41,13 +39,13 @@
     Returns
     -------
     callable
-        Takes the plain value and returns it as `hint` says. It raises
-        :class:`errors.FrameError` with what was given and expected.
+        Takes a plain value and returns it converted to `hint`. Raises
+        :class:`errors.FrameError` if the value is invalid.
 
     Raises
     ------
     TypeError
-        If `hint` is of a kind that no message uses yet.
+        If `hint` is not supported.
     """
     origin = t.get_origin(hint)
     if hint is t.Any:
@@ -76,28 +74,28 @@
         return _scalar(hint)
     if hint in (int, float, str, bytes, bool, None, type(None)):
         return _scalar(hint)
-    raise TypeError(f"no reader for {hint!r}")
+    raise TypeError(f"unsupported type hint {hint!r}")
 
 
-def _scalar(kind: t.Any) -> Validator:
-    if kind in (None, type(None)):
+def _scalar(cls: t.Any) -> Validator:
+    if cls in (None, type(None)):
         return _none
-    if kind is float:
+    if cls is float:
         return _float
-    if kind is int:
+    if cls is int:
         return _int
 
-    def read(value):
-        if isinstance(value, kind):
+    def validate(value):
+        if isinstance(value, cls):
             return value
-        raise _fault(value, kind.__name__)
+        raise _invalid(value, cls.__name__)
 
-    return read
+    return validate
 
 
 def _none(value: t.Any) -> None:
     if value is not None:
-        raise _fault(value, "nothing")
+        raise _invalid(value, "nothing")
 
 
 def _float(value: t.Any) -> float:
@@ -105,135 +103,143 @@
         return value
     if isinstance(value, int) and not isinstance(value, bool):
         return float(value)
-    raise _fault(value, "float")
+    raise _invalid(value, "float")
 
 
 def _int(value: t.Any) -> int:
-    # A bool is an int to Python; in a message it is a field mixed up.
+    # bool is a subclass of int but not a valid int in a message.
     if isinstance(value, int) and not isinstance(value, bool):
         return value
-    raise _fault(value, "int")
+    raise _invalid(value, "int")
 
 
 def _union(hints: tuple) -> Validator:
-    readers = [validator(hint) for hint in hints]
+    validators = [validator(hint) for hint in hints]
     if type(None) in hints:
-        readers.insert(0, readers.pop(hints.index(type(None))))
+        validators.insert(0, validators.pop(hints.index(type(None))))
 
-    def read(value):
-        for one in readers:
+    def validate(value):
+        for validate_item in validators:
             try:
-                return one(value)
+                return validate_item(value)
             except errors.FrameError as error:
                 last = error
         raise last
 
-    return read
+    return validate
 
 
 def _literal(allowed: tuple) -> Validator:
-    def read(value):
+    def validate(value):
         if value in allowed:
             return value
-        raise _fault(value, f"one of {allowed}")
+        raise _invalid(value, f"one of {allowed}")
 
-    return read
+    return validate
 
 
-def _collection(kind: type, hint: t.Any) -> Validator:
-    item = validator(hint)
+def _collection(cls: type, hint: t.Any) -> Validator:
+    validate_item = validator(hint)
 
-    def read(value):
+    def validate(value):
         if not isinstance(value, list | tuple | set | frozenset):
-            raise _fault(value, "list")
-        return kind(map(item, value))
+            raise _invalid(value, "list")
+        return cls(map(validate_item, value))
 
-    return read
+    return validate
 
 
 def _tuple(hints: tuple) -> Validator:
     if len(hints) == 2 and hints[1] is Ellipsis:
         return _collection(tuple, hints[0])
-    items = [validator(hint) for hint in hints]
+    validators = [validator(hint) for hint in hints]
 
-    def read(value):
-        if not isinstance(value, list | tuple) or len(value) != len(items):
-            raise _fault(value, f"list of {len(items)}")
-        pairs = zip(items, value, strict=True)
-        return tuple(item(one) for item, one in pairs)
+    def validate(value):
+        if not isinstance(value, list | tuple) or len(value) != len(
+            validators
+        ):
+            raise _invalid(value, f"list of {len(validators)}")
+        pairs = zip(validators, value, strict=True)
+        return tuple(validate_item(item) for validate_item, item in pairs)
 
-    return read
+    return validate
 
 
-def _named_tuple(kind: t.Any) -> Validator:
-    hints = t.get_type_hints(kind)
-    items = [validator(hints[name]) for name in kind._fields]
-    least = len(items) - len(kind._field_defaults)
+def _named_tuple(cls: t.Any) -> Validator:
+    hints = t.get_type_hints(cls)
+    validators = [validator(hints[name]) for name in cls._fields]
+    min_length = len(validators) - len(cls._field_defaults)
 
-    def read(value):
+    def validate(value):
         if not isinstance(value, list | tuple):
-            raise _fault(value, f"values of {kind.__name__}")
-        if not least <= len(value) <= len(items):
-            raise _fault(value, f"{least} to {len(items)} values")
-        return kind(
-            *(item(one) for item, one in zip(items, value, strict=False))
+            raise _invalid(value, f"values of {cls.__name__}")
+        if not min_length <= len(value) <= len(validators):
+            raise _invalid(value, f"{min_length} to {len(validators)} values")
+        return cls(
+            *(
+                validate_item(item)
+                for validate_item, item in zip(validators, value, strict=False)
+            )
         )
 
-    return read
+    return validate
 
 
 def _mapping(key_hint: t.Any, value_hint: t.Any) -> Validator:
-    read_key = validator(key_hint)
-    read_value = validator(value_hint)
+    validate_key = validator(key_hint)
+    validate_value = validator(value_hint)
 
-    def read(value):
+    def validate(value):
         if not isinstance(value, dict):
-            raise _fault(value, "map")
-        return {read_key(key): read_value(of) for key, of in value.items()}
+            raise _invalid(value, "map")
+        return {
+            validate_key(key): validate_value(item)
+            for key, item in value.items()
+        }
 
-    return read
+    return validate
 
 
-def _enumeration(kind: type[enum.Enum]) -> Validator:
-    def read(value):
+def _enumeration(cls: type[enum.Enum]) -> Validator:
+    def validate(value):
         try:
-            return kind(value)
+            return cls(value)
         except ValueError as error:
-            raise _fault(value, f"one of {[str(e) for e in kind]}") from error
+            raise _invalid(value, f"one of {[str(e) for e in cls]}") from error
 
-    return read
+    return validate
 
 
-def _record(kind: type) -> Validator:
-    # Built at its first use: a data class may hold itself.
+def _record(cls: type) -> Validator:
+    # Built at the first use, as a data class may contain itself.
     @functools.cache
     def fields() -> list[tuple[str, Validator, bool]]:
-        hints = t.get_type_hints(kind)
+        hints = t.get_type_hints(cls)
         return [
             (field.name, validator(hints[field.name]), _is_required(field))
-            for field in dataclasses.fields(kind)
+            for field in dataclasses.fields(cls)
             if field.init
         ]
 
-    def read(value):
-        if isinstance(value, kind):
+    def validate(value):
+        if isinstance(value, cls):
             return value
         if not isinstance(value, dict):
-            raise _fault(value, f"fields of {kind.__name__}")
-        given = {}
-        for name, read_field, required in fields():
-            found = value.get(name, _ABSENT)
-            if found is _ABSENT:
+            raise _invalid(value, f"fields of {cls.__name__}")
+        values = {}
+        for name, validate_field, required in fields():
+            field_value = value.get(name, _ABSENT)
+            if field_value is _ABSENT:
                 if required:
-                    raise _fault("nothing", f"{kind.__name__}.{name}")
+                    raise _invalid("nothing", f"{cls.__name__}.{name}")
                 continue
             try:
-                given[name] = read_field(found)
+                values[name] = validate_field(field_value)
             except errors.FrameError as error:
-                raise _within(error, f"{kind.__name__}.{name}") from error
-        return kind(**given)
+                raise _at_field(error, f"{cls.__name__}.{name}") from error
+        return cls(**values)
 
-    return read
+    return validate
 
 
 def _is_required(field: dataclasses.Field) -> bool:
@@ -241,7 +247,9 @@
     return field.default is missing and field.default_factory is missing
 
 
-def _within(error: errors.FrameError, where: str) -> errors.FrameError:
+def _at_field(error: errors.FrameError, location: str) -> errors.FrameError:
     return errors.FrameError(
-        f"{where}: {error.detail}", given=error.given, expected=error.expected
+        f"{location}: {error.detail}",
+        given=error.given,
+        expected=error.expected,
     )
--- a/amaranthring/core/wire.py
+++ b/amaranthring/core/wire.py
@@ -1,10 +1,10 @@
 """Typed messages and their msgpack frames.
 
-A message is a data class registered under a short tag with
-:func:`message`. A frame is one msgpack array ``[kind, call_id, tag, body]``;
-msgpack delimits itself, so a stream needs no length prefix. Bodies are maps
-of field names, so that a newer peer may add fields with defaults. What comes
-in is validated once, here, against the data class.
+A message is a data class registered under a short tag with :func:`message`. A
+frame is one msgpack array ``[kind, call_id, tag, body]``; msgpack is
+self-delimiting, so a stream needs no length prefix. Bodies are maps by field
+name, unless compact, so that a newer peer may add fields with defaults.
+Incoming messages are validated here against the data class.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 
 VERSION = 1
 MAX_FRAME_BYTES = 8 * 1024 * 1024
-# The fastest of zlib's: names that come again are found at every level.
+# Fastest level of zlib; repeated names compress well at every level.
 COMPRESSION_LEVEL = 1
 
 ONE_WAY = 0
@@ -26,10 +26,10 @@
 REPLY = 2
 ERROR = 3
 
-_CLASSES: dict[str, type] = {}
-_TAGS: dict[type, str] = {}
-_COMPACT: dict[str, list[str]] = {}
-_COMPRESSED: set[str] = set()
+_CLASS_BY_TAG: dict[str, type] = {}
+_TAG_BY_CLASS: dict[type, str] = {}
+_COMPACT_FIELDS: dict[str, list[str]] = {}
+_COMPRESSED_TAGS: set[str] = set()
 
 C = t.TypeVar("C", bound=type)
 
@@ -43,7 +43,7 @@
     kind : int
         ``ONE_WAY``, ``REQUEST``, ``REPLY`` or ``ERROR``.
     call_id : int
-        Ties a reply to its request; 0 for one-way messages.
+        Matches a reply to its request; 0 for one-way messages.
     message : object
         The validated message, or the error of an ``ERROR`` frame.
     """
@@ -72,41 +72,43 @@
     Parameters
     ----------
     compact : bool
-        Send its fields by position instead of by name: for small messages
-        that are sent every second. A newer peer may add fields at the end.
+        Encode fields by position instead of by name, for small, frequent
+        messages. A newer peer may add fields at the end.
     compressed : bool
-        Send it compressed: for messages that repeat the same names and go
-        to many over a thin link.
+        Compress the body, for repetitive messages sent to many peers over
+        a slow link.
     """
 
     def register(cls: C) -> C:
-        # One method generated for each class instead of four: a process
-        # defines some sixty messages before it can listen.
-        made = dataclasses.dataclass(repr=False, eq=False, match_args=False)(
-            cls
-        )
-        made.__repr__ = _repr
-        made.__eq__ = _equal
-        made.__hash__ = None
-        if tag in _CLASSES:
-            raise ValueError(f"message tag {tag!r} is taken")
+        # Generates only __init__ for each class, which shortens the start of
+        # a process: it defines some sixty messages before it can listen.
+        message_class = dataclasses.dataclass(
+            repr=False, eq=False, match_args=False
+        )(cls)
+        message_class.__repr__ = _repr
+        message_class.__eq__ = _equal
+        message_class.__hash__ = None
+        if tag in _CLASS_BY_TAG:
+            raise ValueError(f"message tag {tag!r} is already registered")
         if compressed:
-            _COMPRESSED.add(tag)
+            _COMPRESSED_TAGS.add(tag)
         if compact:
-            _COMPACT[tag] = [one.name for one in dataclasses.fields(made)]
-        _CLASSES[tag] = made
-        _TAGS[made] = tag
-        return made
+            _COMPACT_FIELDS[tag] = [
+                field.name for field in dataclasses.fields(message_class)
+            ]
+        _CLASS_BY_TAG[tag] = message_class
+        _TAG_BY_CLASS[message_class] = tag
+        return message_class
 
     return register
 
 
-def tag_of(kind: type) -> str:
-    """Return the tag under which message class `kind` is registered."""
-    return _TAGS[kind]
+def tag_of(message_class: type) -> str:
+    """Return the tag under which `message_class` is registered."""
+    return _TAG_BY_CLASS[message_class]
 
 
-def _plain(value: t.Any) -> t.Any:
+def _to_plain(value: t.Any) -> t.Any:
     if dataclasses.is_dataclass(value):
         return vars(value)
     if isinstance(value, set | frozenset):
@@ -115,8 +117,8 @@
 
 
 def encode_value(value: t.Any) -> bytes:
-    """Return msgpack bytes of a message, data class or plain value."""
-    return msgpack.packb(value, default=_plain)
+    """Return the msgpack bytes of a message, data class or plain value."""
+    return msgpack.packb(value, default=_to_plain)
 
 
 def decode_value(data: bytes) -> t.Any:
@@ -137,69 +139,69 @@
     """Return the bytes of one frame."""
     if kind == ERROR:
         return encode_value((kind, call_id, "", body.to_record()))
-    tag = "" if body is None else _TAGS[type(body)]
-    if tag in _COMPACT:
-        body = [getattr(body, name) for name in _COMPACT[tag]]
-    if tag in _COMPRESSED:
+    tag = "" if body is None else _TAG_BY_CLASS[type(body)]
+    if tag in _COMPACT_FIELDS:
+        body = [getattr(body, name) for name in _COMPACT_FIELDS[tag]]
+    if tag in _COMPRESSED_TAGS:
         body = zlib.compress(encode_value(body), COMPRESSION_LEVEL)
     return encode_value((kind, call_id, tag, body))
 
 
 def decode_message(tag: str, body: t.Any) -> t.Any:
-    """Return the validated message of `tag` made from `body`.
+    """Return the validated message with `tag` and `body`.
 
     Raises
     ------
     errors.FrameError
-        If the tag is unknown or the body does not fit its class.
+        If the tag is unknown or the body is invalid for its class.
     """
-    kind = _CLASSES.get(tag)
-    if kind is None:
+    message_class = _CLASS_BY_TAG.get(tag)
+    if message_class is None:
         raise errors.FrameError(
             "unknown message", given=tag, expected="a known message tag"
         )
-    if tag in _COMPRESSED:
-        body = decode_value(_decompressed(tag, body))
-    if tag in _COMPACT and isinstance(body, list):
-        # Fields that a newer peer added at the end are passed over.
-        body = dict(zip(_COMPACT[tag], body, strict=False))
+    if tag in _COMPRESSED_TAGS:
+        body = decode_value(_decompress(tag, body))
+    if tag in _COMPACT_FIELDS and isinstance(body, list):
+        # Ignores fields that a newer peer has added at the end.
+        body = dict(zip(_COMPACT_FIELDS[tag], body, strict=False))
     try:
-        return validation.validator(kind)(body)
+        return validation.validator(message_class)(body)
     except errors.FrameError as error:
         raise errors.FrameError(
-            f"message {tag} does not fit: {error.detail}",
+            f"invalid message {tag}: {error.detail}",
             given=error.given,
             expected=error.expected,
         ) from error
 
 
-def _decompressed(tag: str, data: t.Any) -> bytes:
-    """Return what `data` was before it was compressed, if it fits a frame."""
-    inflater = zlib.decompressobj()
+def _decompress(tag: str, data: t.Any) -> bytes:
+    """Return `data` decompressed, up to the size limit of a frame."""
+    decompressor = zlib.decompressobj()
     try:
-        found = inflater.decompress(data, MAX_FRAME_BYTES)
+        decompressed = decompressor.decompress(data, MAX_FRAME_BYTES)
     except (zlib.error, TypeError) as error:
         raise errors.FrameError(
-            f"message {tag} is not compressed",
+            f"message {tag} cannot be decompressed",
             given=type(data).__name__,
             expected="compressed bytes",
         ) from error
-    if not inflater.eof:
+    if not decompressor.eof:
         raise errors.FrameError(
-            f"message {tag} is cut or too long",
-            given=f"{len(found)} bytes without an end",
+            f"message {tag} is truncated or too long",
+            given=f"{len(decompressed)} bytes without end of stream",
             expected=f"{MAX_FRAME_BYTES} bytes at most",
         )
-    return found
+    return decompressed
 
 
 def encode_message(body: t.Any) -> tuple[str, dict[str, t.Any]]:
-    """Return tag and plain fields of message `body`."""
-    return _TAGS[type(body)], decode_value(encode_value(body))
+    """Return the tag and the plain fields of message `body`."""
+    return _TAG_BY_CLASS[type(body)], decode_value(encode_value(body))
 
 
 def decode(parts: t.Any) -> Frame:
-    """Return the frame made from the unpacked array `parts`."""
+    """Return the frame decoded from the unpacked array `parts`."""
     if not isinstance(parts, list) or len(parts) != 4:
         raise errors.FrameError(
             "malformed frame",
@@ -209,7 +211,9 @@
     kind, call_id, tag, body = parts
     if not isinstance(call_id, int) or kind not in (0, 1, 2, 3):
         raise errors.FrameError(
-            "malformed frame", given=f"{kind!r}, {call_id!r}", expected="ints"
+            "malformed frame",
+            given=f"{kind!r}, {call_id!r}",
+            expected="integers",
         )
     if kind == ERROR:
         if not isinstance(body, dict):
@@ -221,7 +225,7 @@
 
 
 def unpacker() -> msgpack.Unpacker:
-    """Return a streaming unpacker whose buffer is bounded."""
+    """Return a streaming unpacker with a bounded buffer."""
     return msgpack.Unpacker(
         max_buffer_size=MAX_FRAME_BYTES, strict_map_key=False
     )
