--- a/amaranthring/core/__init__.py
+++ b/amaranthring/core/__init__.py
@@ -1,1 +1,1 @@
-"""What every package shares: streams, identifiers, clocks, metrics, logs."""
+"""Shared basics: streams, identifiers, clocks, metrics and logs."""
--- a/amaranthring/core/clocks.py
+++ b/amaranthring/core/clocks.py
@@ -1,17 +1,16 @@
-"""The clock by which leases and silences are measured."""
+"""Clock for leases and for timeouts of unreachable peers."""
 
 import time
 
 
 def boottime() -> float:
-    """Return seconds that go on while the VM is suspended.
+    """Return monotonic seconds that include the time the VM is suspended.
 
-    ``CLOCK_MONOTONIC`` stands still then, and a lease would outlive its
-    time.
+    ``CLOCK_MONOTONIC`` stops during a suspension, so a lease measured with
+    it would outlive its expiry.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-# When this process began, or a little later: a daemon loads this module
-# first.
+# Approximate start of the process: daemons import this module first.
 STARTED_AT = boottime()
--- a/amaranthring/core/connections.py
+++ b/amaranthring/core/connections.py
@@ -1,24 +1,24 @@
-"""Callers' connections: which wait for a request, and which still send."""
+"""Callers' connections: idle ones and those with unsent data."""
 
 import asyncio
 import socket
 import time
 import typing as t
 
-# A caller that has just connected sends its request within this time, also
-# on a slow line; one that was answered has read by then that it shall close.
+# Gives a new caller on a slow line time to send its request, and a served
+# one time to read that the connection is to be closed.
 MIN_IDLE_SECONDS = 1.0
 POLL_SECONDS = 0.1
 
 
 class IdleConnections:
-    """Connections of one HTTP server on which the next request is awaited.
+    """Connections of one HTTP server that wait for their next request.
 
     Attributes
     ----------
     since : dict
-        Connection, as tornado's HTTP server names it, to the monotonic
-        seconds from which on it has waited.
+        Connection object of tornado's HTTP server to the monotonic seconds
+        since which it has been idle.
     """
 
     def __init__(self):
@@ -31,39 +31,39 @@
         return iter(self.idle_since)
 
     def add(self, server_conn: t.Any) -> None:
-        """Take in a connection that is new, or whose request has ended."""
+        """Add a connection that is new or whose request has ended."""
         self.idle_since[server_conn] = time.monotonic()
 
     def discard(self, server_conn: t.Any) -> None:
-        """Forget a connection whose request has come or that has closed."""
+        """Remove a connection that got a request or has closed."""
         self.idle_since.pop(server_conn, None)
 
     def close_idle(self) -> None:
-        """Close the connections that have waited for long.
+        """Close connections that have been idle for the minimum time.
 
-        A caller that keeps one open would send its next request into the
-        end of the process. One whose request has come already is left to be
-        read: closed now, it would be reset without an answer.
+        A connection kept open could receive a request just as the process
+        exits. One with unread input stays open: closing it would reset a
+        request that has already arrived.
         """
-        longest = time.monotonic() - MIN_IDLE_SECONDS
+        idle_before = time.monotonic() - MIN_IDLE_SECONDS
         for server_conn, since in list(self.idle_since.items()):
             stream = server_conn.stream
-            if since <= longest and not _has_input(stream):
+            if since <= idle_before and not _has_input(stream):
                 stream.close()
 
     async def drain(
-        self, until: float, running: t.Callable[[], int] = lambda: 0
+        self, deadline: float, running: t.Callable[[], int] = lambda: 0
     ) -> None:
-        """Close them as they get idle, until none has a request.
+        """Close connections as they become idle, until none has a request.
 
         Parameters
         ----------
-        until : float
-            Monotonic seconds after which what is left is left.
+        deadline : float
+            Monotonic seconds at which to give up on the remaining ones.
         running : callable
-            Returns how many requests are in progress.
+            Returns the number of requests in flight.
         """
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             self.close_idle()
             if not self.idle_since and not running():
                 return
@@ -71,34 +71,34 @@
 
 
 def _has_input(stream) -> bool:
-    """Return whether the start of a request has come."""
+    """Return whether part of a request has arrived."""
     if stream.closed():
         return False
-    # Headers that were read and not yet handed on end the reading; of those
-    # that have only begun, what tornado has buffered is the only sign.
+    # Complete headers end the pending read; incomplete ones show only in
+    # the size of the read buffer, which tornado keeps private.
     if not stream.reading() or stream._read_buffer_size > 0:
         return True
     try:
-        # Of the plain socket: one with TLS cannot be looked into.
+        # Peeks at the plain socket, as TLS sockets do not support MSG_PEEK.
         return bool(socket.socket.recv(stream.socket, 1, socket.MSG_PEEK))
     except OSError:
         return False
 
 
-def call_when_sent(connection: t.Any, call: t.Callable[[], None]) -> None:
-    """Call `call` once all that was written to a caller has been sent.
+def call_when_sent(connection: t.Any, callback: t.Callable[[], None]) -> None:
+    """Call `callback` once everything written to a caller has been sent.
 
-    At once if nothing waits to be sent; also when the connection breaks. An
-    answer in the process's own buffer is lost with the process.
+    It is called at once if nothing is buffered, and also if the connection
+    breaks. A buffered response is lost if the process exits first.
 
     Parameters
     ----------
     connection : tornado.httputil.HTTPConnection
-        The caller's.
+        Connection to the caller.
     """
     stream = getattr(connection, "stream", None)
     if stream is None or not stream.writing():
-        call()
+        callback()
         return
-    # Writes are done in order.
-    stream.write(b"").add_done_callback(lambda _: call())
+    # Writes complete in order, so an empty one ends last.
+    stream.write(b"").add_done_callback(lambda _: callback())
--- a/amaranthring/core/decisions.py
+++ b/amaranthring/core/decisions.py
@@ -1,8 +1,8 @@
-"""Bounded ring of decisions, kept so that a request can be explained.
+"""Bounded log of decisions, from which a request can be explained.
 
-Every router keeps what it decided about its last requests. A request id
-begins with the name of the router that took the request, so any router can
-find the one to ask.
+Every router keeps the decisions about its most recent requests. A request ID
+begins with the name of the router that accepted the request, so any router
+can find the one to ask.
 """
 
 import collections
@@ -22,11 +22,11 @@
     Attributes
     ----------
     seconds : float
-        Since the request was first noted.
+        Seconds since the first decision about the request.
     event : str
-        Stable name of the step.
+        Stable event name of the step.
     fields : dict
-        What it was decided on.
+        Inputs to the decision.
     """
 
     seconds: float
@@ -35,7 +35,7 @@
 
 
 class DecisionLog:
-    """The ring of one router, oldest request dropped first."""
+    """Decisions of one router; the oldest request is evicted first."""
 
     def __init__(self, max_requests: int = MAX_REQUESTS, clock=time.time):
         self.max_requests = max_requests
@@ -46,10 +46,10 @@
         )
 
     def record(self, request_id: str, event: str, **fields: t.Any) -> None:
-        """Add a decision to a request.
+        """Record a decision about a request.
 
-        A request that loops through retries keeps its first decisions; the
-        ring must stay bounded whatever a single request does.
+        Only the first decisions of a request are kept, so that one that is
+        retried endlessly cannot grow the log.
         """
         decisions = self.by_request.get(request_id)
         if decisions is None:
@@ -59,11 +59,11 @@
                 oldest, _ = self.by_request.popitem(last=False)
                 del self.started_at[oldest]
         if len(decisions) < MAX_DECISIONS_PER_REQUEST:
-            passed = self.clock() - self.started_at[request_id]
-            decisions.append(Decision(round(passed, 6), event, fields))
+            elapsed = self.clock() - self.started_at[request_id]
+            decisions.append(Decision(round(elapsed, 6), event, fields))
 
     def explain(self, request_id: str) -> dict[str, t.Any] | None:
-        """Return the decisions about a request, or None if not kept."""
+        """Return the decisions about a request, or None if unknown."""
         decisions = self.by_request.get(request_id)
         if decisions is None:
             return None
@@ -75,10 +75,10 @@
 
 
 def new_request_id(router: str) -> str:
-    """Return a request id that names the router that took the request."""
+    """Return a request ID that starts with the name of `router`."""
     return f"{router}.{uuid.uuid4().hex[:20]}"
 
 
 def router_name(request_id: str) -> str:
-    """Return the name of the router in a request id, or an empty string."""
+    """Return the name of the router in a request ID, or an empty string."""
     return request_id.rpartition(".")[0]
--- a/amaranthring/core/drain.py
+++ b/amaranthring/core/drain.py
@@ -1,11 +1,11 @@
-"""Counts requests in progress, so that a stop cuts off none of them."""
+"""Tracks requests in flight for a graceful shutdown."""
 
 import asyncio
 import time
 
 
 class Drain:
-    """Requests in progress of one router.
+    """Requests in flight and shutdown state of one router.
 
     Attributes
     ----------
@@ -14,9 +14,9 @@
     closing : bool
         Whether new requests are refused.
     running : int
-        Requests in progress.
+        Number of requests in flight.
     entered_at : float
-        Monotonic seconds at which the last request came.
+        Monotonic seconds at which the latest request arrived.
     """
 
     def __init__(self):
@@ -28,35 +28,37 @@
         self._idle.set()
 
     def request_started(self) -> None:
-        """Count a request in."""
+        """Count a new request as in flight."""
         self.in_flight += 1
         self.last_request_at = time.monotonic()
         self._idle.clear()
 
     def request_finished(self) -> None:
-        """Count a request out."""
+        """Count a request as finished."""
         self.in_flight -= 1
         if not self.in_flight:
             self._idle.set()
 
-    async def wait_for_quiet_period(self, seconds: float, most: float) -> bool:
-        """Tell callers to close; wait until none has come for `seconds`.
+    async def wait_for_quiet_period(
+        self, seconds: float, timeout: float
+    ) -> bool:
+        """Tell callers to close; wait until no request came for `seconds`.
 
         Returns
         -------
         bool
-            Whether that was reached within `most` seconds.
+            Whether that was reached within `timeout` seconds.
         """
         self.leaving = True
-        began = time.monotonic()
+        started = time.monotonic()
         while True:
             now = time.monotonic()
-            quiet_at = max(self.last_request_at, began) + seconds
+            quiet_at = max(self.last_request_at, started) + seconds
             if quiet_at <= now:
                 return True
-            if began + most <= now:
+            if started + timeout <= now:
                 return False
-            await asyncio.sleep(min(quiet_at, began + most) - now)
+            await asyncio.sleep(min(quiet_at, started + timeout) - now)
 
     def close(self) -> None:
         """Refuse new requests from now on."""
@@ -64,7 +66,7 @@
         self.closing = True
 
     async def wait_idle(self, seconds: float) -> bool:
-        """Wait until none is in progress; return whether that was reached."""
+        """Wait until no request is in flight; return False on a timeout."""
         try:
             await asyncio.wait_for(self._idle.wait(), seconds)
         except TimeoutError:
--- a/amaranthring/core/endpoints.py
+++ b/amaranthring/core/endpoints.py
@@ -1,7 +1,7 @@
-"""A small HTTP server for calls that are read whole and answered at once.
+"""Minimal HTTP server that buffers whole requests and responses.
 
-For health checks, figures, announcements and operators' documents, where
-tornado's web framework would double a process's start time and memory.
+It serves health checks, metrics, announcements and operators' documents,
+where tornado's web framework would double a process's start time and memory.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass
 class Request:
-    """One call, read whole."""
+    """One request with its whole body."""
 
     method: str
     path: str
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass
 class Response:
-    """The answer to one call."""
+    """Response to one request."""
 
     status: int = 200
     body: bytes = b""
@@ -50,17 +50,17 @@
 
 
 class Server(tornado.httputil.HTTPServerConnectionDelegate):
-    """Answers every call with what `answer` returns.
+    """Answers every request with the response of `handler`.
 
     Parameters
     ----------
-    answer : callable
-        Returns the result of a call, or raises an ``AmaranthringError``,
-        whose status is then the answer's.
+    handler : callable
+        Returns the response to a request, or raises an
+        ``AmaranthringError`` that supplies the status of the response.
     """
 
-    def __init__(self, answer: Handler):
-        self.handler = answer
+    def __init__(self, handler: Handler):
+        self.handler = handler
         self.drain = drains.Drain()
         self.listener: listeners.Listener | None = None
         self.server = tornado.httpserver.HTTPServer(
@@ -76,56 +76,56 @@
         self.listener = listeners.Listener(self.server, sockets)
 
     def start_request(self, server_conn, request_conn):
-        """Return what takes in one call."""
+        """Return the delegate that reads one request."""
         del server_conn
-        return _Reading(self.handler, request_conn, self.drain)
+        return _RequestReader(self.handler, request_conn, self.drain)
 
     async def close(self, seconds: float) -> None:
-        """Take no more calls; end those in progress within `seconds`."""
+        """Stop listening; wait up to `seconds` for requests in flight."""
         await self.listener.close()
         await self.drain.wait_idle(seconds)
 
 
-class _Reading(tornado.httputil.HTTPMessageDelegate):
-    """One call while it is read and answered."""
+class _RequestReader(tornado.httputil.HTTPMessageDelegate):
+    """Reads one request and writes its response."""
 
-    def __init__(self, answer: Handler, connection, drain: drains.Drain):
-        self.answer = answer
+    def __init__(self, handler: Handler, connection, drain: drains.Drain):
+        self.handler = handler
         self.connection = connection
         self.drain = drain
-        self.call: Request | None = None
-        self.parts: list[bytes] = []
+        self.request: Request | None = None
+        self.chunks: list[bytes] = []
         self.task: asyncio.Task | None = None
 
     def headers_received(self, start_line, headers):
         del headers
         path = start_line.path.partition("?")[0]
-        self.call = Request(start_line.method, path)
+        self.request = Request(start_line.method, path)
 
     def data_received(self, chunk):
-        self.parts.append(chunk)
+        self.chunks.append(chunk)
 
     def finish(self):
-        self.call.body = b"".join(self.parts)
+        self.request.body = b"".join(self.chunks)
         self.drain.request_started()
-        self.task = asyncio.ensure_future(self._run())
+        self.task = asyncio.ensure_future(self._respond())
 
     def on_connection_close(self):
-        # The call goes on: what it changes must not depend on whether the
-        # other end waits for the answer.
+        # The handler runs to its end: what it changes must not depend on
+        # whether the client still waits for the response.
         pass
 
-    async def _run(self) -> None:
+    async def _respond(self) -> None:
         try:
-            await self._write(await self._result())
+            await self._write(await self._response())
         finally:
             connections.call_when_sent(
                 self.connection, self.drain.request_finished
             )
 
-    async def _result(self) -> Response:
+    async def _response(self) -> Response:
         try:
-            return await self.answer(self.call)
+            return await self.handler(self.request)
         except errors.AmaranthringError as error:
             return Response(
                 error.status,
@@ -134,42 +134,42 @@
                 error.retry_after,
             )
         except Exception:
-            log.exception("call.failed path={}", self.call.path)
+            log.exception("call.failed path={}", self.request.path)
             return Response(500)
 
-    async def _write(self, result: Response) -> None:
+    async def _write(self, response: Response) -> None:
         headers = tornado.httputil.HTTPHeaders()
-        headers["Content-Type"] = result.content_type
-        headers["Content-Length"] = str(len(result.body))
-        if result.retry_after is not None:
-            headers["Retry-After"] = f"{result.retry_after:g}"
-        line = status_line(result.status)
+        headers["Content-Type"] = response.content_type
+        headers["Content-Length"] = str(len(response.body))
+        if response.retry_after is not None:
+            headers["Retry-After"] = f"{response.retry_after:g}"
+        line = status_line(response.status)
         try:
-            await self.connection.write_headers(line, headers, result.body)
+            await self.connection.write_headers(line, headers, response.body)
             self.connection.finish()
         except tornado.iostream.StreamClosedError:
-            # Nobody waits for the answer any more.
+            # The client has disconnected.
             return
 
 
 def status_line(status: int) -> tornado.httputil.ResponseStartLine:
-    """Return the first line of an answer with `status`."""
+    """Return the status line of a response with `status`."""
     reason = http.client.responses.get(status, "Unknown")
     return tornado.httputil.ResponseStartLine("HTTP/1.1", status, reason)
 
 
-def serve(address: str, answer: Handler) -> Server:
-    """Serve small calls on `address`."""
-    server = Server(answer)
+def serve(address: str, handler: Handler) -> Server:
+    """Answer requests on `address` with `handler`."""
+    server = Server(handler)
     server.listen(listeners.bind_sockets(address))
     return server
 
 
 def metrics_handler(metrics: metrics_module.Metrics) -> Handler:
-    """Return the function that shows counters and histograms as text."""
+    """Return a handler that renders `metrics` as text."""
 
-    async def answer(_call: Request) -> Response:
+    async def handler(_request: Request) -> Response:
         text = "".join(f"{line}\n" for line in metrics.text_lines())
         return Response(body=text.encode(), content_type="text/plain")
 
-    return answer
+    return handler
--- a/amaranthring/core/garbage_collection.py
+++ b/amaranthring/core/garbage_collection.py
@@ -1,4 +1,4 @@
-"""What garbage collection need not look at."""
+"""Keeps startup objects out of garbage collection."""
 
 import gc
 
@@ -6,7 +6,7 @@
 def freeze_startup_objects() -> None:
     """Leave what was loaded at the start out of garbage collection.
 
-    A full collection would else walk all modules again and again, a pause
+    A full collection would otherwise walk all modules each time, a pause
     of tens of milliseconds between the tokens of every stream.
     """
     gc.collect()
--- a/amaranthring/core/log_writer.py
+++ b/amaranthring/core/log_writer.py
@@ -1,8 +1,8 @@
-"""Log lines to standard output, bounded and never blocking.
+"""Non-blocking log output with a bounded queue.
 
-A process whose output is not read must go on serving. Lines wait in a
-bounded queue and are written by the event loop when the output takes them;
-what does not fit is counted, and the count is written when there is room.
+A process must keep serving while its output is not read. Lines wait in a
+bounded queue and the event loop writes them when the output accepts them.
+Excess lines are dropped, and their number is logged once there is room.
 """
 
 import asyncio
@@ -15,8 +15,7 @@
 import logbook
 
 QUEUE_LINES = 2000
-# A pipe takes 64 KB; a few writes of this size fill it without a pause in
-# which requests wait.
+# A pipe holds 64 KB. Small writes keep the event loop responsive.
 WRITE_BYTES = 16 * 1024
 RETRY_SECONDS = 0.05
 
@@ -27,15 +26,15 @@
     Attributes
     ----------
     dropped : int
-        Lines that did not fit since the last note of it.
+        Lines dropped since the last ``log.dropped`` line.
     """
 
     def __init__(self, fd: int):
         self.fd = fd
         self.lines: collections.deque[bytes] = collections.deque()
         self.dropped = 0
-        self._rest = b""
-        self._armed = False
+        self._unsent = b""
+        self._flush_scheduled = False
         os.set_blocking(fd, False)
 
     def put(self, line: bytes) -> None:
@@ -44,57 +43,57 @@
             self.dropped += 1
             return
         self.lines.append(line)
-        self._arm(0)
+        self._schedule_flush(0)
 
-    def _arm(self, seconds: float) -> None:
-        if self._armed:
+    def _schedule_flush(self, delay: float) -> None:
+        if self._flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._armed = True
-        loop.call_later(seconds, self._due)
+        self._flush_scheduled = True
+        loop.call_later(delay, self._scheduled_flush)
 
-    def _due(self) -> None:
-        self._armed = False
+    def _scheduled_flush(self) -> None:
+        self._flush_scheduled = False
         if not self.flush():
-            self._arm(RETRY_SECONDS)
+            self._schedule_flush(RETRY_SECONDS)
 
     def flush(self) -> bool:
-        """Write what the output takes; return whether all is written."""
-        while self._rest or self.lines or self.dropped:
-            if not self._rest:
-                self._rest = self._next()
+        """Write what the output accepts; return whether nothing is left."""
+        while self._unsent or self.lines or self.dropped:
+            if not self._unsent:
+                self._unsent = self._next_batch()
             try:
-                written = os.write(self.fd, self._rest)
+                written = os.write(self.fd, self._unsent)
             except BlockingIOError:
                 return False
             except OSError:
-                # Nobody will read it any more.
-                self._rest = b""
+                # The reader has closed the output.
+                self._unsent = b""
                 self.lines.clear()
                 self.dropped = 0
                 return True
-            self._rest = self._rest[written:]
+            self._unsent = self._unsent[written:]
         return True
 
-    def _next(self) -> bytes:
-        taken = []
+    def _next_batch(self) -> bytes:
+        batch = []
         size = 0
         if self.dropped:
-            note = {"event": "log.dropped", "lines": self.dropped}
+            notice = {"event": "log.dropped", "lines": self.dropped}
             self.dropped = 0
-            taken.append(json.dumps(note).encode() + b"\n")
+            batch.append(json.dumps(notice).encode() + b"\n")
         while self.lines and size < WRITE_BYTES:
-            taken.append(self.lines.popleft())
-            size += len(taken[-1])
-        return b"".join(taken)
+            batch.append(self.lines.popleft())
+            size += len(batch[-1])
+        return b"".join(batch)
 
 
 class LineHandler(logbook.Handler):
-    """Hands log records to a :class:`LineWriter` as JSON objects."""
+    """Writes log records to a :class:`LineWriter` as JSON objects."""
 
     def __init__(self, writer: LineWriter, process: str, level: str):
         super().__init__(level=level)
@@ -103,18 +102,18 @@
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Queue `record`."""
-        self.writer.put(line_of(self.process, record))
+        self.writer.put(json_line(self.process, record))
 
 
-def line_of(process: str, record: logbook.LogRecord) -> bytes:
-    """Return `record` as one line."""
-    name, _, rest = record.message.partition(" ")
+def json_line(process: str, record: logbook.LogRecord) -> bytes:
+    """Return `record` as one JSON line."""
+    event, _, rest = record.message.partition(" ")
     fields = record.extra["fields"] or {}
     line: dict[str, t.Any] = {
         "time": round(time.time(), 3),
         "level": record.level_name,
         "process": process,
-        "event": name,
+        "event": event,
         **fields,
     }
     if not fields and rest:
@@ -125,14 +124,14 @@
 
 
 def setup(process: str, level: str = "INFO", fd: int = 1) -> LineWriter:
-    """Send the log lines of this process to `fd`.
+    """Send the log lines of this process to file descriptor `fd`.
 
     Parameters
     ----------
     process : str
-        Name of the process, on every line.
+        Name of the process, included in every line.
     level : str
-        Lowest level that is written.
+        Lowest level to write.
     """
     writer = LineWriter(fd)
     LineHandler(writer, process, level).push_application()
--- a/amaranthring/core/logs.py
+++ b/amaranthring/core/logs.py
@@ -1,7 +1,6 @@
 """Structured log lines: a stable event name and key=value fields.
 
-Lines are written for changes of state only; what happens per request is
-counted in :mod:`amaranthring.core.metrics`.
+Counters and durations are kept in :mod:`amaranthring.core.metrics`.
 """
 
 import json
@@ -23,20 +22,20 @@
     Parameters
     ----------
     process : str
-        Name of the process, on every line.
+        Name of the process, included in every line.
     level : str
-        Lowest level written.
+        Lowest level to write.
     form : str
         ``text`` or ``json``.
     """
     handler = logbook.StreamHandler(sys.stderr, level=level)
-    make = json_line if form == "json" else text_line
-    handler.formatter = lambda record, _: make(process, record)
+    format_line = json_line if form == "json" else text_line
+    handler.formatter = lambda record, _: format_line(process, record)
     handler.push_application()
 
 
 def text_line(process: str, record: logbook.LogRecord) -> str:
-    """Return `record` as one line for people."""
+    """Return `record` as one human-readable line."""
     line = f"{record.time.isoformat()} {record.level_name} {process} "
     line += f"{record.channel} {record.message}"
     if record.formatted_exception:
@@ -46,14 +45,14 @@
 
 def json_line(process: str, record: logbook.LogRecord) -> str:
     """Return `record` as one JSON object."""
-    name, _, rest = record.message.partition(" ")
+    event_name, _, rest = record.message.partition(" ")
     fields = record.extra["fields"] or {}
     line = {
         "time": record.time.isoformat(),
         "level": record.level_name,
         "process": process,
         "channel": record.channel,
-        "event": name,
+        "event": event_name,
         **{key: str(value) for key, value in fields.items()},
     }
     if not fields:
--- a/amaranthring/core/metrics.py
+++ b/amaranthring/core/metrics.py
@@ -1,8 +1,8 @@
 """Counters, gauges and histograms of one process.
 
-Counters come first: every decision counts one. Histograms are HDR, by
-client account and class. The number of names is bounded; what is above the
-bound is counted under ``metrics.dropped``.
+Every decision increments a counter. Durations are kept in HDR histograms by
+client account and class. The number of names is bounded; updates beyond the
+bound are counted under ``metrics.dropped``.
 """
 
 import collections
@@ -14,23 +14,22 @@
 MAX_HISTOGRAMS = 8000
 LOWEST_MICROSECONDS = 100
 HIGHEST_MICROSECONDS = 3_600_000_000
-# 2 digits cost 20 KB a histogram and 1 digit 4 KB. With 910 accounts, two
-# classes and four names the finer ones would take more than half of a
-# router's 256 MB; so the accounts' are within 10% and the fleet's within 1%.
+# Significant digits: 2 (within 1%) take 20 KB per histogram, 1 (within 10%)
+# takes 4 KB. The coarser one bounds the memory for many accounts.
 FLEET_DIGITS = 2
 ACCOUNT_DIGITS = 1
 PERCENTILES = (50, 95, 99)
 
 
 @functools.cache
-def _histograms() -> types.ModuleType:
-    # Loaded with the first duration: a keeper records none, and the import
-    # is a tenth of the time that it has to listen again after a restart.
+def _hdr_histogram_module() -> types.ModuleType:
+    # Imported at the first duration: keepers record none and start faster
+    # without it.
     return importlib.import_module("hdrh.histogram")
 
 
 class Metrics:
-    """All figures of one process, read by ``/metrics`` and statsd."""
+    """All metrics of one process, read by ``/metrics`` and statsd."""
 
     def __init__(self):
         self.counters: collections.Counter[str] = collections.Counter()
@@ -53,24 +52,24 @@
     def record(
         self, name: str, seconds: float, account: str = "", cls: str = ""
     ) -> None:
-        """Record a duration for a client account and class, and for all."""
+        """Record a duration for an account and class, and for all accounts."""
         value = max(LOWEST_MICROSECONDS, int(seconds * 1e6))
         self._record((name, "", cls), value, FLEET_DIGITS)
         if account:
             self._record((name, account, cls), value, ACCOUNT_DIGITS)
 
     def text_lines(self) -> list[str]:
-        """Return all figures as text, one ``name{labels} value`` a line."""
-        made = [f"{name} {n}" for name, n in sorted(self.counters.items())]
-        made += [f"{name} {n:g}" for name, n in sorted(self.gauges.items())]
+        """Return all metrics as text lines ``name{labels} value``."""
+        lines = [f"{name} {n}" for name, n in sorted(self.counters.items())]
+        lines += [f"{name} {n:g}" for name, n in sorted(self.gauges.items())]
         for (name, account, cls), histogram in self.histograms.items():
             labels = f'account="{account}",class="{cls}"'
             count = histogram.get_total_count()
-            made.append(f"{name}.count{{{labels}}} {count}")
+            lines.append(f"{name}.count{{{labels}}} {count}")
             for percentile in PERCENTILES:
                 value = histogram.get_value_at_percentile(percentile) / 1e6
-                made.append(f"{name}.p{percentile}{{{labels}}} {value:g}")
-        return made
+                lines.append(f"{name}.p{percentile}{{{labels}}} {value:g}")
+        return lines
 
     def _record(self, key, value: int, digits: int) -> None:
         histogram = self.histograms.get(key)
@@ -78,7 +77,7 @@
             if len(self.histograms) >= MAX_HISTOGRAMS:
                 self.count("metrics.dropped")
                 return
-            histogram = _histograms().HdrHistogram(
+            histogram = _hdr_histogram_module().HdrHistogram(
                 LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, digits
             )
             self.histograms[key] = histogram
--- a/amaranthring/core/pauses.py
+++ b/amaranthring/core/pauses.py
@@ -1,55 +1,56 @@
-"""Notices that this very process stood still.
+"""Detects pauses of this process.
 
-A process that was frozen, or whose VM was, finds on waking that all its
-timers are overdue. Whoever judges others by their silence must first ask
-whether it was itself that did not listen.
+After a freeze of the process or its VM all timers are overdue. Code that
+declares peers lost after a timeout must first check whether this process
+itself was paused.
 """
 
 import typing as t
 
+# Messages read this soon after a pause may have arrived before it.
 BACKLOG_SECONDS = 0.3
 
 
 class PauseDetector:
-    """Watches one task that should run every so often.
+    """Detects pauses from the times at which a periodic task runs.
 
     Parameters
     ----------
     clock : callable
         Monotonic seconds.
-    longest : float
-        Seconds between two notices above which this process stood still.
+    max_interval : float
+        Seconds between two checks beyond which the process was paused.
 
     Attributes
     ----------
     woke_at : float
-        When the last pause was noticed; 0 if there was none.
+        Time at which the last pause was detected; 0 if there was none.
     began_at : float
-        When that pause began, at the earliest.
+        Time of the last check before that pause.
     """
 
-    def __init__(self, clock: t.Callable[[], float], longest: float):
+    def __init__(self, clock: t.Callable[[], float], max_interval: float):
         self.clock = clock
-        self.max_interval = longest
+        self.max_interval = max_interval
         self.checked_at = clock()
         self.resumed_at = 0.0
         self.paused_at = 0.0
 
     def check(self) -> bool:
-        """Return whether the process stood still since the last notice."""
+        """Return whether the process was paused since the last check."""
         now = self.clock()
-        began, self.checked_at = self.checked_at, now
-        if now - began <= self.max_interval:
+        previous_check, self.checked_at = self.checked_at, now
+        if now - previous_check <= self.max_interval:
             return False
         self.resumed_at = now
-        self.paused_at = began
+        self.paused_at = previous_check
         return True
 
     def trusted_arrival(self) -> float:
-        """Return the latest moment at which a message read now is trusted.
+        """Return the arrival time to assume for a message that is read now.
 
-        What is read right after a pause may have waited in the socket since
-        before it; it counts as come when the pause began.
+        A message read right after a pause may have waited in the socket since
+        before it, so it counts as received at the last check before the pause.
         """
         now = self.clock()
         if now - self.checked_at > self.max_interval:
--- a/amaranthring/core/periodic.py
+++ b/amaranthring/core/periodic.py
@@ -1,4 +1,4 @@
-"""A step that a task takes over and over, whatever becomes of one of them."""
+"""Steps of periodic tasks, isolated from each other's failures."""
 
 import typing as t
 
@@ -12,11 +12,10 @@
 def run_step(
     step: t.Callable[[], None], name: str, metrics: metrics_module.Metrics
 ) -> None:
-    """Take `step`; a fault of it is counted and logged, not raised.
+    """Run `step`; count and log an exception instead of raising it.
 
-    One fault, such as that of a subscriber, would otherwise end the task
-    for good: leases would no longer run out, batches no longer be sent, and
-    nothing would show it but targets that go stale elsewhere.
+    Otherwise one exception, such as a subscriber's, would end the periodic
+    task: leases would no longer expire and batches no longer be sent.
     """
     try:
         step()
--- a/amaranthring/core/signals.py
+++ b/amaranthring/core/signals.py
@@ -1,4 +1,4 @@
-"""Orderly end of a process by signal."""
+"""Events set by process signals, for graceful shutdown and reload."""
 
 import asyncio
 import signal
@@ -7,9 +7,9 @@
 
 
 def reload_event() -> asyncio.Event:
-    """Return an event that each SIGHUP sets.
+    """Return an event that every SIGHUP sets.
 
-    Without a handler SIGHUP ends the process.
+    Without a handler SIGHUP would terminate the process.
     """
     event = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -22,10 +22,10 @@
 
     Notes
     -----
-    From then on both signals are ignored, so an impatient operator does not
-    cut off what the first signal lets end. The loop's own signal handling
-    will not do: closing the loop restores the default, and a second signal
-    between that and the end of the process would kill it.
+    Both signals are ignored afterwards, so that a second one does not
+    interrupt the graceful shutdown. The event loop's own signal handlers do
+    not suffice: closing the loop restores the defaults, so a second signal
+    before the process exits would kill it.
     """
     event = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/amaranthring/core/timeouts.py
+++ b/amaranthring/core/timeouts.py
@@ -1,74 +1,73 @@
-"""Time limits on others that this process's own stalls do not use up.
+"""Timeouts that do not count stalls of this process.
 
-A process that is not scheduled for a while finds on waking that its timers
-are due, and what it waited for may have come meanwhile. The event loop runs
-its timers in the very step in which it reads, before those who wait are
-resumed: a plain timeout then blames another process for the own stall.
+After a stall the event loop runs overdue timers before it resumes the tasks
+whose input has arrived meanwhile, so a plain timeout would blame another
+process for the stall of this one.
 """
 
 import asyncio
 import contextlib
 
-# Time that counts is counted in steps of this length. A step whose timer
-# comes late counts as none.
+# Unit in which running time is counted. A tick whose timer fires late is not
+# counted.
 TICK_SECONDS = 0.03
-# Timers of a loop that has work to do come a few milliseconds late.
+# Timers of a busy loop fire a few milliseconds late.
 TIMER_TOLERANCE_SECONDS = 0.02
-# Time for reading what came while this process stood still.
+# Time for reading input that arrived during a stall.
 READ_SECONDS = 0.01
-# Stalls that are forgiven while one thing is awaited, so that a process
-# that stalls all the time still comes to an end.
+# Stalls that one timeout does not count. The limit makes the timeout expire
+# even if the process stalls all the time.
 MAX_STALLS = 10
 
 
 def is_late(due: float) -> bool:
-    """Return whether this process stood still when a timer was to run.
+    """Return whether a stall of this process delayed a timer.
 
     Parameters
     ----------
     due : float
-        When the timer was to run, in monotonic seconds.
+        Scheduled time of the timer, in seconds of the running loop's clock.
     """
     return asyncio.get_running_loop().time() - due > TIMER_TOLERANCE_SECONDS
 
 
 class _Countdown:
-    """Ends `limit` after so much time in which this process ran."""
+    """Expires `limit` after `seconds` of running time of this process."""
 
     def __init__(self, limit: asyncio.Timeout, seconds: float):
         self.limit = limit
-        self.left = seconds
+        self.remaining = seconds
         self.stalls = 0
-        self._arm()
+        self._schedule()
 
-    def _arm(self) -> None:
+    def _schedule(self) -> None:
         loop = asyncio.get_running_loop()
-        self.step = min(self.left, TICK_SECONDS)
-        self.due = loop.time() + self.step
-        self.timer = loop.call_at(self.due, self._tick)
+        self.tick = min(self.remaining, TICK_SECONDS)
+        self.due = loop.time() + self.tick
+        self.timer = loop.call_at(self.due, self._on_timer)
 
-    def _tick(self) -> None:
+    def _on_timer(self) -> None:
         if is_late(self.due) and self.stalls < MAX_STALLS:
             self.stalls += 1
         else:
-            self.left -= self.step
-        if self.left > 0:
-            self._arm()
+            self.remaining -= self.tick
+        if self.remaining > 0:
+            self._schedule()
         else:
             self.limit.reschedule(self.due)
 
 
 @contextlib.asynccontextmanager
 async def timeout(seconds: float):
-    """Limit a block to `seconds` in which this process ran.
+    """Limit a block to `seconds` of running time of this process.
 
-    For what another process can only do after this one has: a connection
-    that is begun late is also made late.
+    Suits waits whose end depends on work of this process, such as opening a
+    connection.
 
     Raises
     ------
     TimeoutError
-        When the time has run out.
+        When the time limit is exceeded.
     """
     async with asyncio.timeout(None) as limit:
         countdown = _Countdown(limit, seconds)
@@ -80,29 +79,29 @@
 
 @contextlib.asynccontextmanager
 async def timeout_at(due: float):
-    """Limit a block to the moment `due`, and to what has come by then.
+    """Limit a block to the time `due`.
 
-    A process that wakes after that moment first reads what came while it
-    stood still.
+    If a stall delays the timer, the block gets a short time to read input that
+    arrived during the stall.
 
     Parameters
     ----------
     due : float
-        In seconds of the running loop's clock.
+        Seconds of the running loop's clock.
 
     Raises
     ------
     TimeoutError
-        When the time has run out.
+        When the time limit is exceeded.
     """
     loop = asyncio.get_running_loop()
     async with asyncio.timeout(None) as limit:
 
-        def end() -> None:
-            grace = READ_SECONDS if is_late(due) else 0.0
-            limit.reschedule(loop.time() + grace)
+        def expire() -> None:
+            read_time = READ_SECONDS if is_late(due) else 0.0
+            limit.reschedule(loop.time() + read_time)
 
-        timer = loop.call_at(due, end)
+        timer = loop.call_at(due, expire)
         try:
             yield
         finally:
