--- a/tests/test_exporters.py
+++ b/tests/test_exporters.py
@@ -1,4 +1,4 @@
-"""Figures, log lines and the ring of decisions stay bounded."""
+"""Metrics and their export, the decision log, and log lines."""
 
 import json
 import socket
@@ -14,35 +14,40 @@
 
 
 class TestMetrics(unittest.TestCase):
-    """One process's figures."""
+    """Metrics of one process."""
 
-    def test_names_are_bounded(self):
-        """A caller that invents names must not fill the memory.
+    def test_number_of_names_is_bounded(self):
+        """Names made up by callers must not exhaust the memory.
 
-        Each unknown name would make a counter of its own; above the bound
-        they are counted together, and known names still count.
+        Beyond the bound new names share one counter; known ones still count.
         """
-        made = metrics.Metrics()
+        process_metrics = metrics.Metrics()
         for number in range(metrics.MAX_NAMES + 10):
-            made.count(f"name-{number}")
-        made.count("name-0")
-        self.assertLessEqual(len(made.counters), metrics.MAX_NAMES + 1)
-        self.assertEqual(made.counters["metrics.dropped"], 10)
-        self.assertEqual(made.counters["name-0"], 2)
+            process_metrics.count(f"name-{number}")
+        process_metrics.count("name-0")
+        self.assertLessEqual(
+            len(process_metrics.counters), metrics.MAX_NAMES + 1
+        )
+        self.assertEqual(process_metrics.counters["metrics.dropped"], 10)
+        self.assertEqual(process_metrics.counters["name-0"], 2)
 
     def test_summary_gives_percentiles_by_account_and_class(self):
-        made = metrics.Metrics()
+        process_metrics = metrics.Metrics()
         for milliseconds in range(1, 101):
-            made.record("first-token", milliseconds / 1e3, "vanua", "chat")
-        every, own = exporters.summarize(made)["histograms"]
-        self.assertEqual((every["account"], every["class"]), ("", "chat"))
-        self.assertEqual((own["account"], own["class"]), ("vanua", "chat"))
-        self.assertAlmostEqual(every["p50"], 0.050, delta=0.002)
-        self.assertAlmostEqual(every["p99"], 0.099, delta=0.002)
-        self.assertAlmostEqual(own["p50"], 0.050, delta=0.005)
-        self.assertAlmostEqual(own["p99"], 0.099, delta=0.010)
-
-    def test_statsd_gets_differences(self):
+            process_metrics.record(
+                "first-token", milliseconds / 1e3, "vanua", "chat"
+            )
+        total, by_account = exporters.summarize(process_metrics)["histograms"]
+        self.assertEqual((total["account"], total["class"]), ("", "chat"))
+        self.assertEqual(
+            (by_account["account"], by_account["class"]), ("vanua", "chat")
+        )
+        self.assertAlmostEqual(total["p50"], 0.050, delta=0.002)
+        self.assertAlmostEqual(total["p99"], 0.099, delta=0.002)
+        self.assertAlmostEqual(by_account["p50"], 0.050, delta=0.005)
+        self.assertAlmostEqual(by_account["p99"], 0.099, delta=0.010)
+
+    def test_statsd_receives_counter_increments(self):
         sink = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.addCleanup(sink.close)
         sink.bind(("127.0.0.1", 0))
@@ -50,39 +55,39 @@
         section = models.StatsdSection(
             host="127.0.0.1", port=sink.getsockname()[1]
         )
-        made = metrics.Metrics()
-        sender = exporters.StatsdSender(made, section)
-        made.count("served", 3)
+        process_metrics = metrics.Metrics()
+        sender = exporters.StatsdSender(process_metrics, section)
+        process_metrics.count("served", 3)
         sender.send()
         self.assertIn(b"amaranthring.served:3|c", sink.recv(2000))
-        made.count("served", 2)
+        process_metrics.count("served", 2)
         sender.send()
         self.assertIn(b"amaranthring.served:2|c", sink.recv(2000))
 
 
 class TestDecisions(unittest.TestCase):
-    """The ring that explains requests."""
+    """Decision log that explains requests."""
 
-    def test_oldest_request_and_endless_retries_are_dropped(self):
-        ring = decisions.DecisionLog(max_requests=2)
+    def test_oldest_requests_and_excess_decisions_are_dropped(self):
+        decision_log = decisions.DecisionLog(max_requests=2)
         for name in ("r1.a", "r1.b", "r1.c"):
             for _ in range(decisions.MAX_DECISIONS_PER_REQUEST + 5):
-                ring.record(name, "retry", target="e1")
-        self.assertIsNone(ring.explain("r1.a"))
-        kept = ring.explain("r1.c")["decisions"]
+                decision_log.record(name, "retry", target="e1")
+        self.assertIsNone(decision_log.explain("r1.a"))
+        kept = decision_log.explain("r1.c")["decisions"]
         self.assertEqual(len(kept), decisions.MAX_DECISIONS_PER_REQUEST)
-        self.assertEqual(len(ring.started_at), 2)
+        self.assertEqual(len(decision_log.started_at), 2)
 
-    def test_request_id_names_its_router(self):
+    def test_request_id_contains_the_router_name(self):
         request_id = decisions.new_request_id("r1.porto")
         self.assertEqual(decisions.router_name(request_id), "r1.porto")
         self.assertEqual(decisions.router_name("nonsense"), "")
 
 
 class TestLogs(unittest.TestCase):
-    """Lines for changes of state."""
+    """Log lines for changes of state."""
 
-    def test_json_line_holds_event_and_fields(self):
+    def test_lines_contain_event_and_fields(self):
         with logbook.TestHandler() as handler:
             logs.event(logbook.Logger("x"), "engine.left", name="e1")
         line = json.loads(logs.json_line("r1", handler.records[0]))
--- a/tests/test_fields.py
+++ b/tests/test_fields.py
@@ -1,4 +1,4 @@
-"""Plain values against data classes."""
+"""Validation of plain values against data classes."""
 
 import dataclasses
 import enum
@@ -10,13 +10,13 @@
 
 
 class Colour(enum.StrEnum):
-    """An enumeration of texts."""
+    """A string enumeration."""
 
     RED = "red"
 
 
 class Pair(t.NamedTuple):
-    """A tuple whose last value a newer version has added."""
+    """A named tuple whose last field has a default."""
 
     left: int
     right: int = 7
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class Leaf:
-    """A record with a default."""
+    """A data class with a default."""
 
     name: str
     size: float = 1.0
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass
 class Tree:
-    """A record that holds others, and itself."""
+    """A data class that contains others and itself."""
 
     leaves: list[Leaf]
     colour: Colour = Colour.RED
@@ -41,11 +41,11 @@
     above: "Tree | None" = None
 
 
-class TestReader(unittest.TestCase):
-    """What a reader takes and makes."""
+class TestValidValues(unittest.TestCase):
+    """Conversion of valid values."""
 
-    def test_nested_records(self):
-        found = validation.validator(Tree)(
+    def test_nested_data_classes(self):
+        result = validation.validator(Tree)(
             {
                 "leaves": [{"name": "a"}, {"name": "b", "size": 2}],
                 "colour": "red",
@@ -54,44 +54,44 @@
                 "above": {"leaves": []},
             }
         )
-        self.assertEqual([Leaf("a"), Leaf("b", 2.0)], found.leaves)
-        self.assertIs(Colour.RED, found.colour)
-        self.assertEqual([Pair(1, 7), Pair(1, 2)], found.pairs)
-        self.assertEqual([], found.above.leaves)
+        self.assertEqual([Leaf("a"), Leaf("b", 2.0)], result.leaves)
+        self.assertIs(Colour.RED, result.colour)
+        self.assertEqual([Pair(1, 7), Pair(1, 2)], result.pairs)
+        self.assertEqual([], result.above.leaves)
 
-    def test_unknown_fields_are_passed_over(self):
-        found = validation.validator(Leaf)({"name": "a", "newer": 1})
-        self.assertEqual(Leaf("a"), found)
+    def test_unknown_fields_are_ignored(self):
+        result = validation.validator(Leaf)({"name": "a", "newer": 1})
+        self.assertEqual(Leaf("a"), result)
 
 
-class TestFaults(unittest.TestCase):
-    """What a reader refuses, saying what was given and expected."""
+class TestInvalidValues(unittest.TestCase):
+    """Errors for invalid values say what was given and expected."""
 
-    def check(self, hint, value, expected):
+    def assert_invalid(self, hint, value, expected):
         with self.assertRaises(errors.FrameError) as caught:
             validation.validator(hint)(value)
         self.assertIn(expected, str(caught.exception))
 
     def test_missing_field_is_named(self):
-        self.check(Tree, {"leaves": [{}]}, "Leaf.name")
-
-    def test_kinds_are_not_mixed_up(self):
-        self.check(int, True, "int")
-        self.check(int, "1", "int")
-        self.check(float, "1", "float")
-        self.check(str, 1, "str")
-        self.check(list[int], {"a": 1}, "list")
-        self.check(dict[str, int], [], "map")
-        self.check(Colour, "blue", "red")
-        self.check(t.Literal["a", "b"], "c", "one of")
-
-    def test_tuples_of_a_wrong_length(self):
-        self.check(tuple[int, str], [1], "list of 2")
-        self.check(Pair, [1, 2, 3], "1 to 2 values")
-
-    def test_optional_names_the_fault_of_the_value(self):
-        self.check(int | None, "x", "int")
-
-    def test_unknown_hint_is_a_fault_of_the_code(self):
+        self.assert_invalid(Tree, {"leaves": [{}]}, "Leaf.name")
+
+    def test_wrong_types(self):
+        self.assert_invalid(int, True, "int")
+        self.assert_invalid(int, "1", "int")
+        self.assert_invalid(float, "1", "float")
+        self.assert_invalid(str, 1, "str")
+        self.assert_invalid(list[int], {"a": 1}, "list")
+        self.assert_invalid(dict[str, int], [], "map")
+        self.assert_invalid(Colour, "blue", "red")
+        self.assert_invalid(t.Literal["a", "b"], "c", "one of")
+
+    def test_tuples_of_wrong_length(self):
+        self.assert_invalid(tuple[int, str], [1], "list of 2")
+        self.assert_invalid(Pair, [1, 2, 3], "1 to 2 values")
+
+    def test_optional_reports_the_expected_type(self):
+        self.assert_invalid(int | None, "x", "int")
+
+    def test_unsupported_hint_raises_type_error(self):
         with self.assertRaises(TypeError):
             validation.validator(object)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines that are bounded and never block."""
+"""Non-blocking log writer with a bounded queue."""
 
 import json
 import os
@@ -11,7 +11,7 @@
 
 
 class TestLineWriter(unittest.IsolatedAsyncioTestCase):
-    """Lines into a pipe that is read, or not."""
+    """Lines written to a pipe."""
 
     def setUp(self):
         self.read_end, self.write_end = os.pipe()
@@ -23,39 +23,41 @@
     def read(self):
         data = b""
         try:
-            while more := os.read(self.read_end, 65536):
-                data += more
+            while chunk := os.read(self.read_end, 65536):
+                data += chunk
         except BlockingIOError:
             pass
         return data
 
-    async def test_nobody_reads(self):
-        """The log collector hangs while callers go on asking.
+    async def test_unread_lines_are_dropped_and_counted(self):
+        """A log collector that hangs must neither block nor fill memory.
 
-        A write that waits for it would hold up every request; lines without
-        bound would take the process's memory.
+        Lines beyond the bound of the queue are dropped and their number is
+        logged later.
         """
         line = b"x" * 199 + b"\n"
-        most = log_writer.QUEUE_LINES
-        for _ in range(3 * most):
+        queue_lines = log_writer.QUEUE_LINES
+        for _ in range(3 * queue_lines):
             self.writer.put(line)
             self.writer.flush()
-        self.assertLessEqual(len(self.writer.lines), most)
+        self.assertLessEqual(len(self.writer.lines), queue_lines)
         self.assertGreater(self.writer.dropped, 0)
-        got = b""
+        output = b""
         while not self.writer.flush():
-            got += self.read()
-        got += self.read()
-        notes = [n for n in got.split(b"\n") if b"log.dropped" in n]
-        told = sum(json.loads(note)["lines"] for note in notes)
-        self.assertEqual(3 * most, told + got.count(line))
-
-    async def test_lines_are_objects_with_their_fields(self):
+            output += self.read()
+        output += self.read()
+        notices = [
+            entry for entry in output.split(b"\n") if b"log.dropped" in entry
+        ]
+        reported = sum(json.loads(notice)["lines"] for notice in notices)
+        self.assertEqual(3 * queue_lines, reported + output.count(line))
+
+    async def test_lines_are_json_objects_with_fields(self):
         handler = log_writer.LineHandler(self.writer, "router", "INFO")
         log = logbook.Logger("x")
         with handler.applicationbound():
             logs.event(log, "request", id="r1", ms=3.5)
         self.writer.flush()
-        found = json.loads(self.read())
-        self.assertEqual("request", found["event"])
-        self.assertEqual(("r1", 3.5), (found["id"], found["ms"]))
+        line = json.loads(self.read())
+        self.assertEqual("request", line["event"])
+        self.assertEqual(("r1", 3.5), (line["id"], line["ms"]))
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Streams between our processes: calls, errors, handshake, bad frames."""
+"""Links between processes: calls, errors, handshakes, invalid frames."""
 
 import asyncio
 import unittest
@@ -15,7 +15,7 @@
 
 @wire.message("test-echo")
 class Echo:
-    """A message for these tests."""
+    """Message used by these tests."""
 
     text: str
     number: int = 0
@@ -26,7 +26,7 @@
 
 
 class TestLink(unittest.IsolatedAsyncioTestCase):
-    """One client and one server over loopback."""
+    """One client and one server over the loopback interface."""
 
     async def asyncSetUp(self):
         self.handlers = links.Handlers()
@@ -53,9 +53,9 @@
             await asyncio.sleep(0.01)
         return self.dialler
 
-    async def test_handshake_in_progress_does_not_outlive_the_server(self):
-        # A process is told to stop while a peer is in its handshake. The
-        # link that came of it was served on, and the process never ended.
+    async def test_handshake_in_progress_does_not_outlive_server(self):
+        # A link whose handshake completes after the server was closed must
+        # not be served, as it would keep the process from exiting.
         relay = tcp_relay.Relay(self.address)
         await relay.start()
         self.addAsyncCleanup(relay.stop)
@@ -75,7 +75,7 @@
         reply = await dialler.call(Echo("a"), timeout=1)
         self.assertEqual(reply, Echo("a!", 2))
 
-    async def test_error_of_the_peer_keeps_its_type(self):
+    async def test_error_from_peer_keeps_its_type(self):
         async def refuse(link, message):
             raise errors.QueueFullError("full", retry_after=2.0)
 
@@ -86,12 +86,12 @@
         self.assertEqual(caught.exception.retry_after, 2.0)
         self.assertEqual(caught.exception.outcome, errors.Outcome.NOT_RUN)
 
-    async def test_wrong_key_is_refused_by_both_ends(self):
+    async def test_wrong_key_is_rejected_by_both_ends(self):
         dialler = await self.dial(links.Keys({"a": b"x" * 32}))
         self.assertIsNone(dialler.link)
         self.assertEqual(self.server.links, set())
 
-    async def test_second_key_is_accepted_while_keys_rotate(self):
+    async def test_second_key_is_accepted_during_rotation(self):
         self.server.keys = links.Keys({"b": b"n" * 32, "a": b"k" * 32})
         self.handlers.add(Echo, lambda link, m: m)
         rotated = links.Keys({"a": b"k" * 32, "b": b"n" * 32})
@@ -99,18 +99,20 @@
         reply = await dialler.call(Echo("a"), timeout=1)
         self.assertEqual(reply, Echo("a"))
 
-    async def test_message_that_does_not_fit_closes_the_link(self):
+    async def test_invalid_message_closes_the_link(self):
         dialler = await self.dial()
-        first = dialler.link
-        bad = wire.encode_value((wire.ONE_WAY, 0, "test-echo", {"text": 5}))
-        first.stream.write(bad)
+        link = dialler.link
+        invalid_frame = wire.encode_value(
+            (wire.ONE_WAY, 0, "test-echo", {"text": 5})
+        )
+        link.stream.write(invalid_frame)
         for _ in range(100):
-            if first.closed:
+            if link.closed:
                 break
             await asyncio.sleep(0.01)
-        self.assertTrue(first.closed)
+        self.assertTrue(link.closed)
 
-    async def test_call_in_flight_fails_when_the_peer_goes(self):
+    async def test_call_in_flight_fails_when_peer_closes(self):
         async def never(link, message):
             await asyncio.sleep(30)
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers, operators and targets, from the settings."""
+"""TLS of the listeners for callers, operators and targets."""
 
 import pathlib
 import shutil
@@ -20,7 +20,7 @@
 
 
 class TestTls(unittest.TestCase):
-    """One router with a certificate that is good for loopback only."""
+    """One router with a certificate that is valid for loopback only."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -45,9 +45,9 @@
         fleet.start("router-1")
         return fleet.settings["router-1"].listen
 
-    def health(self, address, context):
-        """Return the status of the health check, asked until it answers."""
-        until = time.monotonic() + 20
+    def health_status(self, address, context):
+        """Return the status of the health check, once it responds."""
+        deadline = time.monotonic() + 20
         while True:
             try:
                 url = f"https://{address}/health"
@@ -57,24 +57,26 @@
             except urllib.error.URLError as error:
                 if isinstance(error.reason, ssl.SSLError):
                     raise error.reason from error
-                self.assertLess(time.monotonic(), until)
+                self.assertLess(time.monotonic(), deadline)
                 time.sleep(0.05)
 
     def test_callers_and_operators_are_served_over_tls(self):
         listen = self.start_router()
         trusted = ssl.create_default_context(cafile=self.certificate)
-        self.assertEqual(self.health(listen.callers, trusted), 503)
+        self.assertEqual(self.health_status(listen.callers, trusted), 503)
         with self.assertRaises(ssl.SSLCertVerificationError):
-            self.health(listen.callers, ssl.create_default_context())
-        operator = self.folder / "operator.ini"
-        text = operator.read_text().replace("http://", "https://")
-        trust = f"certificate_file = {self.certificate}\n"
-        operator.write_text(text + trust)
-        self.assertEqual(self.status(operator), 0)
-        operator.write_text(text)
-        self.assertEqual(self.status(operator), 1)
+            self.health_status(listen.callers, ssl.create_default_context())
+        operator_file = self.folder / "operator.ini"
+        settings_text = operator_file.read_text().replace(
+            "http://", "https://"
+        )
+        certificate_line = f"certificate_file = {self.certificate}\n"
+        operator_file.write_text(settings_text + certificate_line)
+        self.assertEqual(self.status_exit_code(operator_file), 0)
+        operator_file.write_text(settings_text)
+        self.assertEqual(self.status_exit_code(operator_file), 1)
 
-    def status(self, operator):
+    def status_exit_code(self, operator_file):
         """Return the exit code of ``amaranthring status``."""
         return subprocess.run(
             [
@@ -82,7 +84,7 @@
                 "-m",
                 "amaranthring",
                 "--operator",
-                str(operator),
+                str(operator_file),
                 "status",
             ],
             capture_output=True,
@@ -90,7 +92,7 @@
             check=False,
         ).returncode
 
-    def test_certificate_and_key_go_together(self):
+    def test_unusable_certificate_or_key_is_rejected(self):
         with self.assertRaises(errors.SettingsError):
             file_checks.load_tls_context(self.certificate, "")
         with self.assertRaises(errors.SettingsError):
@@ -100,6 +102,6 @@
             file_checks.load_tls_context(self.certificate, self.key)
         self.assertIn("open to others", str(caught.exception))
 
-    def test_settings_name_all_four_files(self):
+    def test_example_settings_contain_the_internal_key(self):
         example = settings.example("router")
         self.assertIn("internal_certificate_key_file", example)
