--- a/amaranthring/core/connections.py
+++ b/amaranthring/core/connections.py
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    since : dict
+    idle_since : dict
         Connection object of tornado's HTTP server to the monotonic seconds
         since which it has been idle.
     """
@@ -54,7 +54,7 @@
     async def drain(
         self, deadline: float, running: t.Callable[[], int] = lambda: 0
     ) -> None:
-        """Close connections as they become idle, until none has a request.
+        """Close connections as they become idle, until none is left.
 
         Parameters
         ----------
--- a/amaranthring/core/drain.py
+++ b/amaranthring/core/drain.py
@@ -13,9 +13,9 @@
         Whether callers are told to close their connections.
     closing : bool
         Whether new requests are refused.
-    running : int
+    in_flight : int
         Number of requests in flight.
-    entered_at : float
+    last_request_at : float
         Monotonic seconds at which the latest request arrived.
     """
 
--- a/amaranthring/core/links.py
+++ b/amaranthring/core/links.py
@@ -320,7 +320,7 @@
         Fleet keys.
     handlers : Handlers
         Handlers of incoming messages.
-    on_link, on_gone : callable, optional
+    on_link, on_close : callable, optional
         Called with each link after its handshake and after its close.
     """
 
@@ -376,7 +376,7 @@
     ----------
     address : str
         ``host:port`` of the peer's fleet listener.
-    on_link, on_gone : callable, optional
+    on_link, on_close : callable, optional
         Called with each new link, before any other use of it, and after
         its close.
     """
--- a/amaranthring/core/listeners.py
+++ b/amaranthring/core/listeners.py
@@ -106,7 +106,7 @@
     Raises
     ------
     errors.ListenError
-        As in :func:`listening`.
+        As in :func:`bind_sockets`.
     """
     sockets = bind_sockets(address)
     server.add_sockets(sockets)
--- a/amaranthring/core/log_writer.py
+++ b/amaranthring/core/log_writer.py
@@ -71,7 +71,7 @@
             except BlockingIOError:
                 return False
             except OSError:
-                # The reader has closed the output.
+                # The output is closed or broken for good.
                 self._unsent = b""
                 self.lines.clear()
                 self.dropped = 0
--- a/amaranthring/core/pauses.py
+++ b/amaranthring/core/pauses.py
@@ -23,9 +23,9 @@
 
     Attributes
     ----------
-    woke_at : float
+    resumed_at : float
         Time at which the last pause was detected; 0 if there was none.
-    began_at : float
+    paused_at : float
         Time of the last check before that pause.
     """
 
--- a/amaranthring/errors.py
+++ b/amaranthring/errors.py
@@ -34,7 +34,7 @@
     given : object, optional
         Value that was received.
     expected : object, optional
-        Description of the accepted values.
+        What would have been accepted.
     retry_after : float, optional
         Seconds to wait before a retry.
     outcome : Outcome, optional
