--- a/amaranthring/callers/__init__.py
+++ b/amaranthring/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Callers: HTTP for chats and plain services."""
+"""HTTP interface to callers: chats and plain services."""
--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -1,10 +1,10 @@
-"""Chats: one attempt of a chat completion, streamed or whole.
+"""Chat completions: one attempt, streamed or complete.
 
-A stream that breaks is resumed at its engine where it stood. If that engine
-is gone, the request is run again elsewhere only while the caller has seen
-nothing of it; after that another engine must continue the very text that
-was sent, and say so, or the stream ends with a typed error. See
-``docs/design/way.md``.
+A stream that breaks is resumed at its engine, at the next expected event. If
+the engine is lost, the request runs again at another engine only while the
+caller has received nothing. After that, another engine must continue exactly
+the text that was sent, and state it in a header, or the stream ends with a
+typed error. See ``docs/design/way.md``.
 """
 
 import asyncio
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass
 class Sink:
-    """Where a streamed answer goes.
+    """Destination of a streamed response.
 
     Attributes
     ----------
     begin : callable
         Called once, before the first bytes.
     send : callable
-        Takes bytes; returns an awaitable while the caller reads slowly,
+        Sends bytes; returns an awaitable while the caller reads slowly,
         else None.
     """
 
@@ -47,18 +47,18 @@
 
 @dataclasses.dataclass
 class StreamProgress:
-    """How far a streamed answer has come.
+    """Progress of a streamed response.
 
     Attributes
     ----------
-    events : sse.Events or None
-        None until an attempt got as far as its engine.
+    events : sse.EventRewriter or None
+        None until a request was sent to an engine.
     begun : bool
-        Whether the caller has seen anything.
+        Whether the caller has received anything.
     opened : bool
-        Whether the engine of now accepted the request under its terms, so
-        that its stream may be resumed.
-    started, last : float
+        Whether the current engine accepted the request with a valid
+        response head, so that its stream may be resumed.
+    started, last_sent : float
         Monotonic time of arrival, and of the last bytes sent on.
     first_token : float
         Seconds from arrival to the first bytes sent on.
@@ -72,101 +72,101 @@
     begun: bool = False
     opened: bool = False
     first_token: float = 0.0
-    last: float = 0.0
+    last_sent: float = 0.0
     worst_gap: float = 0.0
 
-    def follow(self, name: str, shown: str) -> None:
-        """Take the next events from stream `name`."""
+    def follow(self, name: str, token: str) -> None:
+        """Expect the next events from stream `name`."""
         if self.events is None:
-            self.events = sse.EventRewriter(name, shown)
+            self.events = sse.EventRewriter(name, token)
         else:
-            self.events.switch_to(name, shown)
+            self.events.switch_to(name, token)
 
 
 async def stream(
-    needs: execution.Dependencies, request: records.Request, sink: Sink
+    deps: execution.Dependencies, request: records.Request, sink: Sink
 ) -> None:
-    """Stream the answer of `request` into `sink`.
+    """Stream the response to `request` into `sink`.
 
     Raises
     ------
     errors.AmaranthringError
-        If it could not be brought to its end.
+        If the response could not be completed.
     """
-    await execution.check(needs, request)
-    delivery = StreamProgress(sink, time.monotonic())
+    await execution.check(deps, request)
+    progress = StreamProgress(sink, time.monotonic())
 
-    async def once(attempt: execution.Attempt) -> None:
-        await _attempt(needs, request, attempt, delivery)
+    async def run_attempt(attempt: execution.Attempt) -> None:
+        await _stream_attempt(deps, request, attempt, progress)
 
-    await execution.run(needs, request, once)
-    _record(needs, request, delivery)
+    await execution.run(deps, request, run_attempt)
+    _record_metrics(deps, request, progress)
 
 
-async def _attempt(needs, request, attempt, delivery) -> None:
+async def _stream_attempt(deps, request, attempt, progress) -> None:
     name = f"{request.request_id}.{attempt.number}"
     headers = execution.upstream_headers(request, attempt.grant, name)
     headers["Content-Type"] = JSON
     body = request.body
-    if delivery.begun:
-        body = continuation_body(request.body, delivery.events)
+    if progress.begun:
+        body = continuation_body(request.body, progress.events)
     call = upstream.Call("POST", request.path, headers, body)
-    preset = needs.config().preset
-    left = max(0.001, request.deadline - time.monotonic())
-    allowed = preset.first_token_seconds
-    if not delivery.begun:
-        allowed = min(allowed, left)
+    preset = deps.config().preset
+    remaining = max(0.001, request.deadline - time.monotonic())
+    timeout = preset.first_token_seconds
+    if not progress.begun:
+        timeout = min(timeout, remaining)
     exchange = upstream.Exchange(attempt.target)
     try:
-        with execution.AbortOnTargetLoss(needs, exchange):
+        with execution.AbortOnTargetLoss(deps, exchange):
             try:
-                delivery.opened = False
-                await exchange.send(call, allowed)
-                # While the engine works.
-                shown = _token(needs, request, attempt.target, name)
-                delivery.follow(name, shown)
-                await _open_stream(exchange, name, delivery)
-                delivery.opened = True
-                await _relay(exchange, delivery, preset)
+                progress.opened = False
+                await exchange.send(call, timeout)
+                # Signed after sending, while the engine works, to save time.
+                token = _resume_token(deps, request, attempt.target, name)
+                progress.follow(name, token)
+                await _open_stream(exchange, name, progress)
+                progress.opened = True
+                await _relay(exchange, progress, preset)
                 return
             finally:
                 attempt.sent = attempt.sent or exchange.sent
     except errors.UpstreamError as error:
-        await _after_break(needs, request, attempt, delivery, name, error)
+        await _resume_or_raise(deps, request, attempt, progress, name, error)
 
 
-async def _after_break(needs, request, attempt, delivery, name, error):
-    """Bring a broken stream to its end at its own engine, or raise."""
+async def _resume_or_raise(deps, request, attempt, progress, name, error):
+    """Resume a broken stream at its engine until it ends, or raise."""
     if not attempt.sent:
         raise error
     timed_out = isinstance(error, errors.UpstreamTimeoutError)
-    if delivery.opened and not attempt.target_lost and not timed_out:
+    if progress.opened and not attempt.target_lost and not timed_out:
         for _ in range(MAX_RESUMES):
             try:
-                await _resume(needs, attempt.target, name, delivery)
-                needs.metrics.count("way.resumed")
+                await _resume(deps, attempt.target, name, progress)
+                deps.metrics.count("way.resumed")
                 return
             except errors.NotFoundError:
-                # The process that ran it is gone; another took its port.
+                # The process that ran the stream is gone.
                 attempt.target_lost = True
                 break
-            except errors.UpstreamError as again:
-                if again.outcome is errors.Outcome.NOT_RUN:
+            except errors.UpstreamError as resume_error:
+                if resume_error.outcome is errors.Outcome.NOT_RUN:
                     break
     if not attempt.target_lost:
         await execution.detect_target_loss(attempt)
     if not attempt.target_lost:
         await cancel(attempt.target, name)
-    if delivery.begun:
+    if progress.begun:
         attempt.retryable = (
-            continuation_body(request.body, delivery.events) is not None
+            continuation_body(request.body, progress.events) is not None
         )
     raise error
 
 
-async def _resume(needs, target, name, delivery) -> None:
-    """Go on with stream `name` at `target` at the event expected next."""
-    events = delivery.events
+async def _resume(deps, target, name, progress) -> None:
+    """Resume stream `name` at `target` from the next expected event."""
+    events = progress.events
     events.switch_to(name, events.shown.decode()[4:-1])
     body = json.dumps({"offset": events.expected}).encode()
     path = f"/v1/streams/{name}{RESUME_SUFFIX}"
@@ -175,54 +175,56 @@
         "Content-Type": JSON,
     }
     call = upstream.Call("POST", path, headers, body)
-    preset = needs.config().preset
+    preset = deps.config().preset
     exchange = upstream.Exchange(target)
-    with execution.AbortOnTargetLoss(needs, exchange):
+    with execution.AbortOnTargetLoss(deps, exchange):
         await exchange.send(call, preset.first_token_seconds)
-        await _open_stream(exchange, name, delivery)
-        await _relay(exchange, delivery, preset)
+        await _open_stream(exchange, name, progress)
+        await _relay(exchange, progress, preset)
 
 
-async def _open_stream(exchange, name, delivery) -> None:
+async def _open_stream(exchange, name, progress) -> None:
     await exchange.read_head()
     path = exchange.call.path
     if exchange.status == 404 and path.endswith(RESUME_SUFFIX):
         raise errors.NotFoundError(
             "the engine does not know the stream", given=name
         )
-    if delivery.begun and not path.endswith(RESUME_SUFFIX):
-        # First of all: an engine that refuses the unknown field says nothing
-        # about the caller's own request.
-        _check_continued(exchange, delivery.events.expected)
+    if progress.begun and not path.endswith(RESUME_SUFFIX):
+        # Checked first: an engine that rejects the field ``continue_from``
+        # says nothing about the caller's own request.
+        _check_continued(exchange, progress.events.expected)
     check_response_head(exchange, name)
-    kind = exchange.headers.get("Content-Type", "")
-    if not kind.startswith(EVENT_STREAM):
+    content_type = exchange.headers.get("Content-Type", "")
+    if not content_type.startswith(EVENT_STREAM):
         raise errors.UpstreamError(
-            "the answer is no event stream", given=kind, expected=EVENT_STREAM
+            "the response is not an event stream",
+            given=content_type,
+            expected=EVENT_STREAM,
         )
 
 
 def check_response_head(exchange: upstream.Exchange, name: str) -> None:
-    """Refuse an answer that is an error or another request's.
+    """Reject a response that is an error or belongs to another request.
 
     Raises
     ------
     errors.UpstreamError, errors.BadRequestError
-        With outcome ``not-run`` only if the engine says so.
+        With outcome ``not-run`` only if the engine states it.
     """
-    told = exchange.headers.get(upstream.OUTCOME_HEADER, "")
-    not_run = told == errors.Outcome.NOT_RUN
+    reported = exchange.headers.get(upstream.OUTCOME_HEADER, "")
+    not_run = reported == errors.Outcome.NOT_RUN
     outcome = errors.Outcome.NOT_RUN if not_run else errors.Outcome.UNKNOWN
     if exchange.status in (400, 413, 422):
         raise errors.BadRequestError(
-            "the engine refused the request",
+            "the engine rejected the request",
             given=f"status {exchange.status}",
-            expected="a request that the model takes",
+            expected="a request that the model accepts",
             outcome=outcome,
         )
     if exchange.status != 200:
         raise errors.UpstreamError(
-            "the engine answered an error",
+            "the engine returned an error",
             given=f"status {exchange.status}",
             expected="status 200",
             retry_after=1.0,
@@ -231,35 +233,37 @@
     given = exchange.headers.get(upstream.REQUEST_ID_HEADER, "")
     if given != name:
         raise errors.UpstreamError(
-            "the answer of another request", given=given[:64], expected=name
+            "the response belongs to another request",
+            given=given[:64],
+            expected=name,
         )
 
 
 def _check_continued(exchange, expected: int) -> None:
-    """Refuse an engine that started anew instead of continuing.
+    """Reject an engine that started anew instead of continuing.
 
-    It would send other words under numbers that the caller has not seen;
-    the numbers alone would not show it.
+    It would send other words under event numbers that the caller has not
+    seen; the numbers alone would not show it.
     """
     given = exchange.headers.get(CONTINUED_HEADER, "")
     if given != str(expected):
         raise errors.UpstreamError(
-            "the engine does not continue a text",
+            "the engine did not continue the text",
             given=given[:64],
             expected=f"{CONTINUED_HEADER}: {expected}",
         )
 
 
-async def _relay(exchange, delivery: StreamProgress, preset) -> None:
-    """Pass events on until the end mark; one write for each read."""
-    events = delivery.events
-    send = delivery.sink.send
+async def _relay(exchange, progress: StreamProgress, preset) -> None:
+    """Forward events until the end marker, with one write per read."""
+    events = progress.events
+    send = progress.sink.send
     first = True
     while True:
         data = await exchange.read()
         if not data:
             raise errors.TruncatedResponseError(
-                "the stream ended without its end mark",
+                "the stream ended without its end marker",
                 given=f"{events.expected} events",
                 expected="data: [DONE]",
             )
@@ -268,45 +272,45 @@
             if first:
                 first = False
                 exchange.set_timeout(preset.between_tokens_seconds)
-            _note_time(delivery)
-            exchange.note_progress(delivery.last)
-            waits = send(ready)
-            if waits is not None:
+            _record_timing(progress)
+            exchange.note_progress(progress.last_sent)
+            pending = send(ready)
+            if pending is not None:
                 exchange.paused = True
-                await waits
+                await pending
                 exchange.paused = False
-                delivery.last = time.monotonic()
-                exchange.note_progress(delivery.last)
+                progress.last_sent = time.monotonic()
+                exchange.note_progress(progress.last_sent)
         if events.ended:
             return
         if events.error:
             raise events.error
 
 
-def _note_time(delivery: StreamProgress) -> None:
+def _record_timing(progress: StreamProgress) -> None:
     now = time.monotonic()
-    if not delivery.begun:
-        delivery.begun = True
-        delivery.sink.begin()
-        delivery.first_token = now - delivery.started
-    elif now - delivery.last > delivery.worst_gap:
-        delivery.worst_gap = now - delivery.last
-    delivery.last = now
+    if not progress.begun:
+        progress.begun = True
+        progress.sink.begin()
+        progress.first_token = now - progress.started
+    elif now - progress.last_sent > progress.worst_gap:
+        progress.worst_gap = now - progress.last_sent
+    progress.last_sent = now
 
 
-def _record(needs, request, delivery: StreamProgress) -> None:
-    record = needs.metrics.record
+def _record_metrics(deps, request, progress: StreamProgress) -> None:
+    record = deps.metrics.record
     account, cls = request.account, request.cls
-    record("first-token", delivery.first_token, account, cls)
-    record("between-tokens-worst", delivery.worst_gap, account, cls)
-    record("whole", time.monotonic() - delivery.started, account, cls)
-    needs.metrics.count("way.streamed")
-    if delivery.events.duplicates:
-        needs.metrics.count("way.repeated-events", delivery.events.duplicates)
+    record("first-token", progress.first_token, account, cls)
+    record("between-tokens-worst", progress.worst_gap, account, cls)
+    record("whole", time.monotonic() - progress.started, account, cls)
+    deps.metrics.count("way.streamed")
+    if progress.events.duplicates:
+        deps.metrics.count("way.repeated-events", progress.events.duplicates)
 
 
-def _token(needs, request, target: records.Target, name: str) -> str:
-    place = tokens.StreamReference(
+def _resume_token(deps, request, target: records.Target, name: str) -> str:
+    reference = tokens.StreamReference(
         request.account,
         target.name,
         target.incarnation,
@@ -314,21 +318,21 @@
         request.serves,
         time.time() + tokens.LIFETIME_SECONDS,
     )
-    return tokens.sign(place, needs.keys)
+    return tokens.sign(reference, deps.keys)
 
 
 def continuation_body(body: bytes, events: sse.EventRewriter) -> bytes | None:
-    """Return the body that asks to continue what was sent, or None."""
+    """Return the body that asks to continue the sent text, or None."""
     text = events.text()
     if text is None:
         return None
-    asked = json.loads(body)
-    asked["continue_from"] = {"text": text, "tokens": events.expected}
-    return json.dumps(asked).encode()
+    fields = json.loads(body)
+    fields["continue_from"] = {"text": text, "tokens": events.expected}
+    return json.dumps(fields).encode()
 
 
 async def cancel(target: records.Target, name: str) -> None:
-    """Tell an engine to stop a stream; best effort, the end is the same."""
+    """Ask an engine to stop a stream; failures are ignored."""
     headers = {upstream.REQUEST_ID_HEADER: name}
     call = upstream.Call("POST", f"/v1/streams/{name}/cancel", headers)
     exchange = upstream.Exchange(target)
@@ -341,95 +345,95 @@
 
 
 async def resume(
-    needs: execution.Dependencies,
+    deps: execution.Dependencies,
     request: records.Request,
-    place: tokens.StreamReference,
+    reference: tokens.StreamReference,
     number: int,
     sink: Sink,
 ) -> None:
-    """Stream what a caller that came back has not seen yet.
+    """Stream the events that a reconnected caller has not received.
 
     Parameters
     ----------
-    place : tokens.Place
-        From the checked token.
+    reference : tokens.StreamReference
+        From the verified token.
     number : int
-        Event to begin with.
+        First event to send.
 
     Raises
     ------
     errors.ResumeError
-        If the engine that held the stream is gone or has forgotten it.
+        If the engine that held the stream is gone or has lost the stream.
     """
-    await needs.check_limits(request)
-    target = needs.get_target(place.target)
-    if target is None or target.incarnation != place.incarnation:
-        raise _stream_gone(place, "an engine that is gone")
-    shown = _token(needs, request, target, place.stream)
-    delivery = StreamProgress(sink, time.monotonic())
-    delivery.events = sse.EventRewriter(place.stream, shown, number)
-    failed = None
+    await deps.check_limits(request)
+    target = deps.get_target(reference.target)
+    if target is None or target.incarnation != reference.incarnation:
+        raise _stream_gone_error(reference, "an engine that is gone")
+    token = _resume_token(deps, request, target, reference.stream)
+    progress = StreamProgress(sink, time.monotonic())
+    progress.events = sse.EventRewriter(reference.stream, token, number)
+    last_error = None
     for _ in range(MAX_RESUMES):
         try:
-            await _resume(needs, target, place.stream, delivery)
+            await _resume(deps, target, reference.stream, progress)
             break
         except errors.NotFoundError as error:
-            raise _stream_gone(place, str(error)) from error
+            raise _stream_gone_error(reference, str(error)) from error
         except errors.UpstreamError as error:
-            failed = error
+            last_error = error
     else:
-        if delivery.begun:
-            raise failed
-        raise _stream_gone(place, str(failed)) from failed
-    needs.metrics.count("way.came-back")
-    _record(needs, request, delivery)
+        if progress.begun:
+            raise last_error
+        raise _stream_gone_error(reference, str(last_error)) from last_error
+    deps.metrics.count("way.came-back")
+    _record_metrics(deps, request, progress)
 
 
-def _stream_gone(
-    place: tokens.StreamReference, given: str
+def _stream_gone_error(
+    reference: tokens.StreamReference, given: str
 ) -> errors.ResumeError:
     return errors.ResumeError(
         "the stream is gone; send the whole request again",
         given=given,
-        expected=f"stream {place.stream} at {place.target}",
+        expected=f"stream {reference.stream} at {reference.target}",
         outcome=errors.Outcome.UNKNOWN,
     )
 
 
 async def complete(
-    needs: execution.Dependencies, request: records.Request
+    deps: execution.Dependencies, request: records.Request
 ) -> execution.Response:
-    """Return the whole answer of a chat that is not streamed.
+    """Return the response to a chat that is not streamed.
 
     Raises
     ------
     errors.AmaranthringError
-        If no attempt brought one.
+        If no attempt succeeded.
     """
-    await execution.check(needs, request)
+    await execution.check(deps, request)
     started = time.monotonic()
 
-    async def once(attempt: execution.Attempt) -> execution.Response:
-        return await _whole_attempt(needs, request, attempt)
+    async def run_attempt(attempt: execution.Attempt) -> execution.Response:
+        return await _complete_attempt(deps, request, attempt)
 
-    answer = await execution.run(needs, request, once)
+    response = await execution.run(deps, request, run_attempt)
     seconds = time.monotonic() - started
-    needs.metrics.record("whole", seconds, request.account, request.cls)
-    needs.metrics.count("way.answered")
-    return answer
+    deps.metrics.record("whole", seconds, request.account, request.cls)
+    deps.metrics.count("way.answered")
+    return response
 
 
-async def _whole_attempt(needs, request, attempt) -> execution.Response:
+async def _complete_attempt(deps, request, attempt) -> execution.Response:
     name = f"{request.request_id}.{attempt.number}"
     headers = execution.upstream_headers(request, attempt.grant, name)
     headers["Content-Type"] = JSON
     call = upstream.Call("POST", request.path, headers, request.body)
     exchange = upstream.Exchange(attempt.target)
-    left = max(0.001, request.deadline - time.monotonic())
+    remaining = max(0.001, request.deadline - time.monotonic())
     try:
-        with execution.AbortOnTargetLoss(needs, exchange):
+        with execution.AbortOnTargetLoss(deps, exchange):
             try:
-                await exchange.open(call, left)
+                await exchange.open(call, remaining)
                 check_response_head(exchange, name)
                 body = await exchange.read_all(execution.MAX_RESPONSE_BYTES)
             finally:
@@ -440,5 +444,5 @@
     except asyncio.CancelledError:
         exchange.close()
         raise
-    kind = exchange.headers.get("Content-Type", JSON)
-    return execution.Response(200, kind, body)
+    content_type = exchange.headers.get("Content-Type", JSON)
+    return execution.Response(200, content_type, body)
--- a/amaranthring/callers/codec.py
+++ b/amaranthring/callers/codec.py
@@ -1,7 +1,7 @@
-"""The border towards callers: outside data is decoded once, here.
+"""Decodes callers' requests and encodes errors.
 
-What comes out is :class:`records.Request`; what goes back is one JSON form
-for every error, which OpenAI's clients read too.
+Requests become :class:`records.Request`. All errors have one JSON form,
+which OpenAI's clients also understand.
 """
 
 import dataclasses
@@ -33,7 +33,7 @@
 
 
 class Message(pydantic.BaseModel):
-    """One message of a chat; what else it holds passes through."""
+    """One message of a chat; other fields pass through unchanged."""
 
     model_config = pydantic.ConfigDict(extra="allow")
 
@@ -42,7 +42,7 @@
 
 
 class Chat(pydantic.BaseModel):
-    """Body of ``POST /v1/chat/completions``, as far as a router reads it."""
+    """The fields of ``POST /v1/chat/completions`` that a router reads."""
 
     model_config = pydantic.ConfigDict(extra="allow", strict=True)
 
@@ -54,18 +54,18 @@
 
 @dataclasses.dataclass
 class Caller:
-    """Who calls, authenticated.
+    """An authenticated caller.
 
     Attributes
     ----------
     account : fleet.Account
         Client account.
     cls : str
-        Class of traffic.
+        Traffic class.
     policy : fleet.ClassPolicy
-        Its limits.
+        Limits of the class.
     deadline_seconds : float
-        Time allowed, from now.
+        Time allowed for the request.
     """
 
     account: fleet.Account
@@ -75,7 +75,7 @@
 
 
 class Accounts:
-    """Client accounts by token hash, made once for each revision."""
+    """Client accounts by token hash, rebuilt for each revision."""
 
     def __init__(self):
         self.config: fleet.FleetConfig | None = None
@@ -87,23 +87,23 @@
         Raises
         ------
         errors.UnauthenticatedError
-            If no account has it.
+            If no account has this token.
         """
         if config is not self.config:
             self.by_hash = {
-                one: account
+                token_hash: account
                 for account in config.accounts.values()
-                for one in account.token_hashes
+                for token_hash in account.token_hashes
             }
             self.config = config
-        found = self.by_hash.get(hashing.token_hash(token))
-        if found is None:
+        account = self.by_hash.get(hashing.token_hash(token))
+        if account is None:
             raise errors.UnauthenticatedError(
                 "no client account has this token",
                 given="an unknown token",
                 expected="Authorization: Bearer TOKEN",
             )
-        return found
+        return account
 
 
 def decode_caller(
@@ -111,7 +111,7 @@
     config: fleet.FleetConfig,
     accounts: Accounts,
 ) -> Caller:
-    """Return who calls.
+    """Return the authenticated caller.
 
     Raises
     ------
@@ -134,9 +134,9 @@
         )
     policy = config.preset.class_policy(cls)
     seconds = policy.deadline_seconds
-    asked = headers.get(DEADLINE_HEADER)
-    if asked is not None:
-        seconds = min(seconds, _seconds(asked))
+    requested = headers.get(DEADLINE_HEADER)
+    if requested is not None:
+        seconds = min(seconds, _seconds(requested))
     return Caller(account, cls, policy, seconds)
 
 
@@ -147,7 +147,7 @@
         seconds = math.nan
     if not 0 < seconds < math.inf:
         raise errors.BadRequestError(
-            f"{DEADLINE_HEADER} is no time",
+            f"{DEADLINE_HEADER} is not a number of seconds",
             given=text[:64],
             expected="seconds above 0",
         )
@@ -160,7 +160,7 @@
     Raises
     ------
     errors.BadRequestError
-        Naming the first field that does not fit.
+        If a field is invalid; the error names the first one.
     """
     try:
         return Chat.model_validate_json(body)
@@ -168,19 +168,18 @@
         first = error.errors(include_url=False)[0]
         where = ".".join(str(part) for part in first["loc"]) or "body"
         raise errors.BadRequestError(
-            f"{where} does not fit",
+            f"{where} is invalid",
             given=repr(first["input"])[:80],
             expected=first["msg"],
         ) from error
 
 
 def chat_digest(account: str, chat: Chat) -> str:
-    """Return the digest that names a chat.
+    """Return the digest that identifies a chat.
 
-    A chat that returns carries its first messages again and more behind
-    them. So its name follows from the messages up to and with the first of
-    a user, which is the same at every return, or from the caller's own
-    ``prompt_cache_key``.
+    Each request of a chat repeats its earlier messages. The digest covers
+    the messages up to and including the first user message, which stay the
+    same, or the caller's ``prompt_cache_key`` if there is one.
     """
     if chat.prompt_cache_key:
         return hashing.digest(
@@ -217,7 +216,7 @@
 
 
 def decode_idempotency_key(headers: t.Mapping[str, str]) -> str:
-    """Return the idempotency key, or nothing.
+    """Return the idempotency key, or an empty string.
 
     Raises
     ------
@@ -266,7 +265,7 @@
 
 
 def retry_after(error: errors.AmaranthringError) -> float | None:
-    """Return when coming back makes sense, in seconds, or None."""
+    """Return the seconds to wait before a retry, or None."""
     if error.retry_after is not None:
         return error.retry_after
     return DEFAULT_RETRY_SECONDS if error.status in RETRY_STATUSES else None
@@ -277,7 +276,7 @@
     outcome: errors.Outcome,
     request_id: str,
 ) -> dict[str, t.Any]:
-    """Return the one JSON form of every error."""
+    """Return the JSON form of an error."""
     record = error.to_record()
     return {
         "error": {
--- a/amaranthring/callers/execution.py
+++ b/amaranthring/callers/execution.py
@@ -1,8 +1,8 @@
-"""The way of a request through a router, as far as all kinds share it.
+"""Request execution that chats and service calls share.
 
-Limits, quarantine, then attempts: place and admit, run, release, and perhaps
-again. :mod:`amaranthring.callers.chats` and
-:mod:`amaranthring.callers.services` hold what one attempt does.
+Checks limits and the quarantine, then runs attempts: admit, run, release
+and, where allowed, retry. :mod:`amaranthring.callers.chats` and
+:mod:`amaranthring.callers.services` implement a single attempt.
 """
 
 import asyncio
@@ -30,9 +30,9 @@
 
 @dataclasses.dataclass
 class Dependencies:
-    """What the way needs from other packages, filled by ``app.py``.
+    """Interfaces to other packages that request execution uses.
 
-    The callables are those of ``docs/INTERNALS.md``; beside them:
+    ``docs/INTERNALS.md`` describes the callables that are not listed here.
 
     Attributes
     ----------
@@ -40,20 +40,20 @@
         Name of this router; request ids begin with it.
     keys : links.Keys
         Fleet keys; they sign resume tokens.
-    target : callable
-        Target by name, or None.
-    serves : callable
-        Names of models or services that announced targets serve, by kind.
+    get_target : callable
+        Returns a target by name, or None.
+    served_names : callable
+        Returns the models or services that announced targets serve, by kind.
     metrics : Metrics
         Counters and histograms of this process.
     drain : Drain
         Requests in progress.
     may_run : callable
         Whether the holder of an attempt may still run it.
-    attempts : set of str
-        Claimed attempts that run here.
+    running_attempts : set of str
+        Claimed attempts that run on this router.
     settlements : Settlements
-        What the ledger could not be told yet.
+        Settlements that the ledger has not confirmed yet.
     """
 
     router: str
@@ -93,17 +93,17 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """One try of a request at one target.
+    """One attempt to run a request on one target.
 
     Attributes
     ----------
     number : int
-        From 0.
+        Counted from 0.
     sent : bool
-        Whether a byte may have left for the target.
-    lost : bool
-        Whether the target died, or membership gave it up, meanwhile.
-    repeatable : bool
+        Whether any byte may have been sent to the target.
+    target_lost : bool
+        Whether the target crashed or was declared lost meanwhile.
+    retryable : bool
         Whether another attempt may follow.
     """
 
@@ -121,14 +121,14 @@
 
 @dataclasses.dataclass
 class Response:
-    """A whole answer to a caller.
+    """A complete response to a caller.
 
     Attributes
     ----------
     status : int
         HTTP status.
     content_type : str
-        Of the body.
+        Content type of the body.
     outcome : Outcome
         What is known about the call.
     """
@@ -142,21 +142,21 @@
 RunAttempt = t.Callable[[Attempt], t.Awaitable[T]]
 
 
-async def check(needs: Dependencies, request: records.Request) -> None:
-    """Refuse what is above its limits or quarantined.
+async def check(deps: Dependencies, request: records.Request) -> None:
+    """Check the limits of the account and the quarantine.
 
     Raises
     ------
     errors.QuarantinedError, errors.RateLimitedError
-        Nothing ran.
+        If one of them rejects the request; nothing ran.
     """
-    await needs.check_limits(request)
-    refuse_quarantined(needs, request)
+    await deps.check_limits(request)
+    reject_quarantined(deps, request)
 
 
-def refuse_quarantined(needs: Dependencies, request: records.Request) -> None:
-    """Refuse a request that crashed two different targets."""
-    if needs.is_quarantined(request.body_digest):
+def reject_quarantined(deps: Dependencies, request: records.Request) -> None:
+    """Reject a request that crashed two different targets."""
+    if deps.is_quarantined(request.body_digest):
         raise errors.QuarantinedError(
             "this request crashed two targets; it is not run again",
             given=request.body_digest,
@@ -164,22 +164,22 @@
         )
 
 
-def check_served(needs: Dependencies, request: records.Request) -> None:
-    """Refuse a model or service that nothing of the fleet serves.
+def check_served(deps: Dependencies, request: records.Request) -> None:
+    """Reject a model or service that the fleet does not serve.
 
     Raises
     ------
     errors.NotFoundError
         If neither an announced target nor the preset names it.
     """
-    preset = needs.config().preset
+    preset = deps.config().preset
     if request.kind is records.TargetKind.ENGINE:
         planned = preset.desired_models
     else:
         planned = preset.services
     if request.serves in planned:
         return
-    known = needs.served_names(request.kind)
+    known = deps.served_names(request.kind)
     if request.serves not in known:
         raise errors.NotFoundError(
             f"unknown {request.kind} name",
@@ -189,81 +189,83 @@
 
 
 async def run(
-    needs: Dependencies, request: records.Request, once: RunAttempt[T]
+    deps: Dependencies, request: records.Request, run_attempt: RunAttempt[T]
 ) -> T:
-    """Return what `once` returns, in as many attempts as are allowed.
+    """Run a request in as many attempts as are allowed.
 
-    A failure that no target can have seen may always go elsewhere; one that
-    a target may have run goes elsewhere only if the request is idempotent.
-    Every attempt after the first is paid from the retry budget.
+    A request that no target can have run may be retried at another target;
+    one that may have run, only if it is idempotent. A retry is charged to
+    the retry budget unless the target was lost or unreachable.
 
     Raises
     ------
     errors.AmaranthringError
-        Of the last attempt; its outcome is ``not-run`` only if no attempt
-        can have run.
+        The error of the last attempt, or of admission if there was none. Its
+        outcome is ``not-run`` only if no attempt can have run.
     """
     excluded: set[str] = set()
-    failed: errors.AmaranthringError | None = None
+    last_error: errors.AmaranthringError | None = None
     maybe_ran = False
     for number in range(MAX_ATTEMPTS):
         try:
-            grant = await needs.admit(request, excluded)
+            grant = await deps.admit(request, excluded)
         except errors.AmaranthringError as error:
-            # No other place: the failure that led here says more.
-            raise failed or error from error
+            # The error of the previous attempt says more.
+            raise last_error or error from error
         attempt = Attempt(number, grant)
-        _note_grant(needs, request, attempt)
+        _record_grant(deps, request, attempt)
         try:
-            made = await _released(needs, request, attempt, once)
-            needs.record_success(request.account)
-            return made
+            result = await _run_and_release(
+                deps, request, attempt, run_attempt
+            )
+            deps.record_success(request.account)
+            return result
         except errors.CallerDisconnectedError:
-            # No fault of the target, and nobody waits for another attempt.
+            # Not a failure of the target; no caller waits for a retry.
             raise
         except errors.AmaranthringError as error:
             ran = attempt.sent and error.outcome is not errors.Outcome.NOT_RUN
             maybe_ran = maybe_ran or ran
             if maybe_ran and error.outcome is errors.Outcome.NOT_RUN:
                 error.outcome = errors.Outcome.UNKNOWN
-            failed = error
+            last_error = error
         excluded.add(attempt.target.name)
-        needs.metrics.count(f"way.failed.{failed.code}")
+        deps.metrics.count(f"way.failed.{last_error.code}")
         if attempt.target_lost:
-            await _report_crash(needs, request, attempt)
-        if not _may_repeat(needs, request, attempt, failed, maybe_ran):
+            await _report_crash(deps, request, attempt)
+        if not _may_retry(deps, request, attempt, last_error, maybe_ran):
             break
-    raise failed
+    raise last_error
 
 
-async def _report_crash(needs, request, attempt) -> None:
-    """Report that the run coincided with its target's death.
+async def _report_crash(deps, request, attempt) -> None:
+    """Report that a target was lost while it ran the request.
 
-    ``report_crash`` may hold a suspect until its turn, so that suspects are
-    run again apart from one another, and may refuse it for good.
+    ``report_crash`` may delay suspected requests so that they run again
+    separately, and may reject the request.
     """
-    needs.metrics.count("way.target-lost")
+    deps.metrics.count("way.target-lost")
     try:
-        await needs.report_crash(request, attempt.target)
+        await deps.report_crash(request, attempt.target)
     except errors.AmaranthringError:
         attempt.retryable = False
-    if needs.is_quarantined(request.body_digest):
+    if deps.is_quarantined(request.body_digest):
         attempt.retryable = False
 
 
-async def _released(needs, request, attempt, once):
-    """Run one attempt and give its grant back, however it ends."""
+async def _run_and_release(deps, request, attempt, run_attempt):
+    """Run one attempt and release its grant, however it ends."""
     end = records.AttemptEnd.FAILED
-    broken = needs.when_lost(attempt.target.name)
+    lost_future = deps.when_lost(attempt.target.name)
 
-    def note_lost(_) -> None:
+    def mark_lost(_) -> None:
         attempt.target_lost = True
 
-    broken.add_done_callback(note_lost)
+    lost_future.add_done_callback(mark_lost)
     try:
-        made = await once(attempt)
+        result = await run_attempt(attempt)
         end = records.AttemptEnd.DONE
-        return made
+        return result
     except (asyncio.CancelledError, errors.CallerDisconnectedError):
         end = records.AttemptEnd.CANCELLED
         raise
@@ -276,9 +278,9 @@
             end = records.AttemptEnd.NOT_SENT
         raise
     finally:
-        broken.remove_done_callback(note_lost)
-        needs.release(attempt.grant, end)
-        needs.record_decision(
+        lost_future.remove_done_callback(mark_lost)
+        deps.release(attempt.grant, end)
+        deps.record_decision(
             request.request_id,
             "attempt-ended",
             target=attempt.target.name,
@@ -287,41 +289,47 @@
         )
 
 
-def _may_repeat(needs, request, attempt, failed, maybe_ran) -> bool:
+def _may_retry(deps, request, attempt, last_error, maybe_ran) -> bool:
     if not attempt.retryable or attempt.number + 1 >= MAX_ATTEMPTS:
         return False
-    if isinstance(failed, errors.BadRequestError):
+    if isinstance(last_error, errors.BadRequestError):
         return False
     if maybe_ran and not request.idempotent:
         return False
     if time.monotonic() >= request.deadline:
         return False
-    if _costs(attempt, failed) and not needs.may_retry(request.account):
-        needs.metrics.count("way.retry-refused")
+    if _uses_budget(attempt, last_error) and not deps.may_retry(
+        request.account
+    ):
+        deps.metrics.count("way.retry-refused")
         return False
-    needs.metrics.count("way.retried")
+    deps.metrics.count("way.retried")
     return True
 
 
-def _costs(attempt: Attempt, failed: errors.AmaranthringError) -> bool:
-    """Return whether another attempt is paid from the retry budget.
+def _uses_budget(
+    attempt: Attempt, last_error: errors.AmaranthringError
+) -> bool:
+    """Return whether a retry is charged to the retry budget.
 
-    The budget keeps targets that live from doing work twice. A target that
-    died, or that could not be reached, does none; and since its owner closes
-    it, only what was under way there comes again. Were these paid, the death
-    of one of three engines would use up the budget of a small account at
-    once, and innocent requests would be refused.
+    The budget limits repeated work on targets that live. A target that
+    crashed or could not be reached does no work, and its owner stops
+    admitting to it, so only the requests in flight there are retried.
+    Charged to the budget, they would exhaust that of a small account as
+    soon as one of three engines crashed.
     """
-    unreached = isinstance(failed, errors.UpstreamError) and not attempt.sent
-    return not (attempt.target_lost or unreached)
+    unreachable = (
+        isinstance(last_error, errors.UpstreamError) and not attempt.sent
+    )
+    return not (attempt.target_lost or unreachable)
 
 
-def _note_grant(needs, request, attempt) -> None:
+def _record_grant(deps, request, attempt) -> None:
     grant = attempt.grant
-    needs.metrics.record(
+    deps.metrics.record(
         "queueing", grant.queued_seconds, request.account, request.cls
     )
-    needs.record_decision(
+    deps.record_decision(
         request.request_id,
         "granted",
         target=grant.target.name,
@@ -336,25 +344,25 @@
 
 
 class AbortOnTargetLoss:
-    """Breaks an exchange off when membership gives its target up.
+    """Aborts an exchange when its target is lost.
 
-    Without it a request at a target that froze would wait for the token
-    timeout, while membership knows already that nothing will come.
+    Without it, a request to a frozen target would wait for the token
+    timeout, although membership has already declared the target lost.
     """
 
-    def __init__(self, needs: Dependencies, exchange: upstream.Exchange):
-        self.future = needs.when_lost(exchange.target.name)
+    def __init__(self, deps: Dependencies, exchange: upstream.Exchange):
+        self.lost_future = deps.when_lost(exchange.target.name)
         self.exchange = exchange
-        self.future.add_done_callback(self._break)
+        self.lost_future.add_done_callback(self._abort)
 
     def __enter__(self) -> upstream.Exchange:
         return self.exchange
 
     def __exit__(self, *_) -> None:
-        self.future.remove_done_callback(self._break)
+        self.lost_future.remove_done_callback(self._abort)
         self.exchange.close()
 
-    def _break(self, _) -> None:
+    def _abort(self, _) -> None:
         self.exchange.abort(
             errors.UpstreamError(
                 "the target was lost",
@@ -368,7 +376,7 @@
 def upstream_headers(
     request: records.Request, grant: records.Grant, attempt_name: str
 ) -> dict[str, str]:
-    """Return what every target is told about a request."""
+    """Return the headers that every target receives."""
     headers = {
         upstream.REQUEST_ID_HEADER: attempt_name,
         "Amaranthring-Account": request.account,
@@ -385,8 +393,8 @@
 async def detect_target_loss(attempt: Attempt) -> None:
     """Mark the attempt if its target can no longer be reached.
 
-    A broken connection alone is no death: a process that crashed refuses
-    the next connection, one that only dropped this one does not.
+    A broken connection alone is no crash: a crashed process refuses the
+    next connection, one that only dropped this connection accepts it.
     """
     if not attempt.target_lost and not await upstream.is_reachable(
         attempt.target
--- a/amaranthring/callers/handlers.py
+++ b/amaranthring/callers/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers towards callers: account, bounds, and the form of every answer."""
+"""Request handlers for callers: authentication, limits and responses."""
 
 import asyncio
 import json
@@ -28,59 +28,59 @@
 
 
 class CallerHandler(tornado.web.RequestHandler):
-    """Base: request id, account, bounded body, one form of every answer."""
+    """Base class: request id, authentication, body limit and errors."""
 
     def initialize(self, needs: execution.Dependencies, settings, accounts):
-        """Take what the handler needs."""
-        self.needs = needs
+        """Set the dependencies of the handler."""
+        self.deps = needs
         self.limits: settings_models.CallersSection = settings
         self.accounts = accounts
         self.request_id = decisions.new_request_id(needs.router)
-        self.parts: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.size = 0
-        self.refused: errors.AmaranthringError | None = None
+        self.rejection: errors.AmaranthringError | None = None
         self.work: asyncio.Task | None = None
-        self.runs_on = False
-        self.left = False
-        self.entered = False
+        self.runs_to_end = False
+        self.disconnected = False
+        self.counted = False
         self.streaming = False
         self.body_timer: asyncio.TimerHandle | None = None
 
     def set_default_headers(self):
-        """Leave out the server's name."""
+        """Omit the ``Server`` header."""
         self.clear_header("Server")
 
     def prepare(self):
-        """Check all but the body before the body is read."""
-        self.needs.drain.request_started()
-        self.entered = True
-        self.needs.metrics.count("callers.requests")
+        """Check everything but the body before the body is read."""
+        self.deps.drain.request_started()
+        self.counted = True
+        self.deps.metrics.count("callers.requests")
         loop = asyncio.get_running_loop()
         self.body_timer = loop.call_later(
-            self.limits.body_seconds, self._body_late
+            self.limits.body_seconds, self._on_body_timeout
         )
         try:
             self._check_head()
         except errors.AmaranthringError as error:
-            self._refuse(error)
+            self._reject(error)
 
     def _check_head(self) -> None:
-        if self.needs.drain.closing:
+        if self.deps.drain.closing:
             raise errors.ShuttingDownError(
                 "this router is stopping",
                 given=self.request.method,
-                expected="a call to another router",
+                expected="a request to another router",
                 retry_after=1.0,
             )
         headers = self.request.headers
         size = sum(len(name) + len(v) + 4 for name, v in headers.get_all())
         if size > self.limits.header_bytes_most:
             raise errors.HeadersTooLargeError(
-                "the headers are above the bound",
+                "the headers are too large",
                 given=f"{size} bytes",
                 expected=f"{self.limits.header_bytes_most} bytes at most",
             )
-        self.config = self.needs.config()
+        self.config = self.deps.config()
         self.caller = codec.decode_caller(headers, self.config, self.accounts)
         length = headers.get("Content-Length", "0")
         if length.isdigit() and int(length) > self.limits.body_bytes_most:
@@ -88,46 +88,47 @@
 
     def _too_large(self, given: int) -> errors.TooLargeError:
         return errors.TooLargeError(
-            "the body is above the bound",
+            "the body is too large",
             given=f"{given} bytes",
             expected=f"{self.limits.body_bytes_most} bytes at most",
         )
 
-    def _refuse(self, error: errors.AmaranthringError) -> None:
-        """Answer `error`, if need be after a bounded rest of the body.
+    def _reject(self, error: errors.AmaranthringError) -> None:
+        """Respond with `error`, if possible after discarding the body.
 
-        A connection that is closed on unread bytes is reset, and the reset
-        can destroy the answer before the caller reads it. So a body that is
-        not far above the bound is read to its end and thrown away first.
+        Closing a connection with unread bytes resets it, and the reset can
+        destroy the response before the caller reads it. So if at most
+        ``MAX_DISCARDED_BYTES`` of the body remain, they are read and
+        discarded first.
         """
         length = self.request.headers.get("Content-Length", "0")
         known = length.isdigit()
         if known and 0 < int(length) - self.size <= MAX_DISCARDED_BYTES:
-            self.refused = error
-            self.parts.clear()
+            self.rejection = error
+            self.chunks.clear()
             return
         self.set_header("Connection", "close")
         self.write_error_response(error)
 
-    def _body_late(self) -> None:
+    def _on_body_timeout(self) -> None:
         if self._finished:
             return
         self.set_header("Connection", "close")
-        late = errors.BodyTimeoutError(
-            "the body came too slowly",
+        error = errors.BodyTimeoutError(
+            "the body arrived too slowly",
             given=f"{self.size} bytes in {self.limits.body_seconds:g} s",
             expected="the whole body",
         )
-        self.write_error_response(self.refused or late)
+        self.write_error_response(self.rejection or error)
 
     def data_received(self, chunk: bytes):
-        """Take a part of the body."""
+        """Add a chunk of the body."""
         self.size += len(chunk)
-        if self._finished or self.refused:
+        if self._finished or self.rejection:
             return
-        self.parts.append(chunk)
+        self.chunks.append(chunk)
         if self.size > self.limits.body_bytes_most:
-            self._refuse(self._too_large(self.size))
+            self._reject(self._too_large(self.size))
 
     def finish_body(self) -> bytes:
         """Return the whole body.
@@ -135,23 +136,23 @@
         Raises
         ------
         errors.AmaranthringError
-            If the request was refused while its body was read.
+            If the request was rejected while its body was read.
         """
         self.body_timer.cancel()
-        if self.refused:
-            raise self.refused
-        body = b"".join(self.parts)
-        self.parts.clear()
+        if self.rejection:
+            raise self.rejection
+        body = b"".join(self.chunks)
+        self.chunks.clear()
         return body
 
     def write_error_response(self, error: errors.AmaranthringError) -> None:
-        """Write `error` in the one form and end the answer."""
+        """Write `error` as JSON, unless the caller has disconnected."""
         if isinstance(error, errors.CallerDisconnectedError):
-            self.needs.metrics.count(f"callers.{error.code}")
+            self.deps.metrics.count(f"callers.{error.code}")
             return
-        self.needs.metrics.count(f"callers.refused.{error.code}")
+        self.deps.metrics.count(f"callers.refused.{error.code}")
         outcome = self.reported_outcome(error)
-        self.needs.record_decision(
+        self.deps.record_decision(
             self.request_id,
             "answered",
             code=error.code,
@@ -164,58 +165,58 @@
             return
         self.set_status(error.status)
         self.set_header("Content-Type", "application/json")
-        after = codec.retry_after(error)
-        if after is not None:
-            self.set_header("Retry-After", str(max(1, math.ceil(after))))
+        seconds = codec.retry_after(error)
+        if seconds is not None:
+            self.set_header("Retry-After", str(max(1, math.ceil(seconds))))
         self.set_common_headers(outcome)
         self.finish(data)
 
     def reported_outcome(
         self, error: errors.AmaranthringError
     ) -> errors.Outcome:
-        """Return the outcome that `error` may state here."""
+        """Return the outcome that the response to `error` states."""
         return error.outcome
 
     def set_common_headers(self, outcome: errors.Outcome) -> None:
-        """Set the headers that every answer has."""
+        """Set the headers that every response has."""
         self.set_header(codec.REQUEST_ID_HEADER, self.request_id)
         self.set_header(codec.OUTCOME_HEADER, str(outcome))
-        if self.needs.drain.leaving:
+        if self.deps.drain.leaving:
             self.set_header("Connection", "close")
 
-    def write_response(self, answer: execution.Response) -> None:
-        """Write a whole answer."""
-        self.set_status(answer.status)
-        self.set_header("Content-Type", answer.content_type)
-        self.set_common_headers(answer.outcome)
-        self.finish(answer.body)
+    def write_response(self, response: execution.Response) -> None:
+        """Write a complete response."""
+        self.set_status(response.status)
+        self.set_header("Content-Type", response.content_type)
+        self.set_common_headers(response.outcome)
+        self.finish(response.body)
 
     def on_finish(self):
-        """Count the request out once its answer is sent."""
+        """Count the request as finished once its response is sent."""
         if self.body_timer:
             self.body_timer.cancel()
-        if self.entered and self.work is None:
-            self.entered = False
+        if self.counted and self.work is None:
+            self.counted = False
             connection = self.request.connection
             connections.call_when_sent(
-                connection, self.needs.drain.request_finished
+                connection, self.deps.drain.request_finished
             )
 
     def on_connection_close(self):
-        """Cancel the work of a caller that left.
+        """Cancel the work of a caller that disconnected.
 
-        A call that holds a claim runs on to its stored answer, so that the
-        caller's resend gets that answer and not ``unknown``.
+        A call that holds a claim runs until its response is stored, so that
+        the caller's resend gets that response and not ``unknown``.
         """
-        self.left = True
-        if self.work and not self.runs_on:
+        self.disconnected = True
+        if self.work and not self.runs_to_end:
             self.work.cancel()
         self.on_finish()
 
     async def run(self, work: t.Coroutine) -> None:
-        """Do `work`, which the caller's leaving cancels.
+        """Run `work`, which is cancelled if the caller disconnects.
 
-        Whatever fails becomes an answer.
+        Errors become error responses.
         """
         self.work = asyncio.current_task()
         try:
@@ -223,34 +224,34 @@
         except errors.AmaranthringError as error:
             self.write_error_response(error)
         except asyncio.CancelledError:
-            # Cancelled by ``on_connection_close``: the end is as it should
-            # be, and tornado's own handling of the task goes on.
+            # ``on_connection_close`` cancelled the work; tornado still
+            # uses the task, so it must not stay cancelled.
             self.work.uncancel()
-            self.needs.metrics.count("callers.caller-gone")
+            self.deps.metrics.count("callers.caller-gone")
         except tornado.iostream.StreamClosedError:
-            self.needs.metrics.count("callers.caller-gone")
+            self.deps.metrics.count("callers.caller-gone")
         except Exception:
             log.exception("callers.fault request={}", self.request_id)
             self.write_error_response(
-                errors.InternalError("a fault of the router")
+                errors.InternalError("internal error in the router")
             )
         finally:
             self.work = None
-            if self.left or self._finished:
+            if self.disconnected or self._finished:
                 self.on_finish()
 
     def write_error(self, status_code, **_):
-        """Give tornado's own refusals the one form."""
+        """Write tornado's own errors in the JSON form of all errors."""
         if status_code == 405:
-            kind = errors.MethodError
+            error_type = errors.MethodError
         elif status_code == 404:
-            kind = errors.NotFoundError
+            error_type = errors.NotFoundError
         elif status_code < 500:
-            kind = errors.BadRequestError
+            error_type = errors.BadRequestError
         else:
-            kind = errors.InternalError
+            error_type = errors.InternalError
         self.write_error_response(
-            kind(
+            error_type(
                 "no such path or method",
                 given=f"{self.request.method} {self.request.path[:128]}",
                 expected="one of docs/CALLERS.md",
@@ -260,10 +261,10 @@
 
 @tornado.web.stream_request_body
 class ChatHandler(CallerHandler):
-    """``POST /v1/chat/completions``."""
+    """Handles ``POST /v1/chat/completions``."""
 
     async def post(self):
-        """Run a chat, or resume one."""
+        """Run a chat or resume its stream."""
         token = self.request.headers.get(codec.RESUME_HEADER)
         await self.run(self._resume(token) if token else self._chat())
 
@@ -271,26 +272,29 @@
         body = self.finish_body()
         chat = codec.decode_chat(body)
         request = codec.chat_request(self.caller, self.request_id, chat, body)
-        execution.check_served(self.needs, request)
+        execution.check_served(self.deps, request)
         if not request.stream:
-            self.write_response(await chats.complete(self.needs, request))
+            self.write_response(await chats.complete(self.deps, request))
             return
-        await chats.stream(self.needs, request, self.sink())
+        await chats.stream(self.deps, request, self.sink())
         self.finish()
 
     async def _resume(self, token: str) -> None:
         self.finish_body()
         account = self.caller.account.name
-        place, number = tokens.read(token, account, self.needs.keys)
+        reference, number = tokens.read(token, account, self.deps.keys)
         chat = codec.Chat.model_construct(
-            model=place.serves, messages=[], stream=True, prompt_cache_key=""
+            model=reference.serves,
+            messages=[],
+            stream=True,
+            prompt_cache_key="",
         )
         request = codec.chat_request(self.caller, self.request_id, chat, b"")
-        await chats.resume(self.needs, request, place, number, self.sink())
+        await chats.resume(self.deps, request, reference, number, self.sink())
         self.finish()
 
     def sink(self) -> chats.Sink:
-        """Return where the events of the answer go."""
+        """Return the sink for the events of the response."""
         return chats.Sink(self._begin, self._send)
 
     def _begin(self) -> None:
@@ -306,14 +310,14 @@
 
 
 class ModelsHandler(CallerHandler):
-    """``GET /v1/models``."""
+    """Handles ``GET /v1/models``."""
 
     def get(self):
         """List the models that are served now."""
-        found = sorted(self.needs.served_names(records.TargetKind.ENGINE))
+        names = sorted(self.deps.served_names(records.TargetKind.ENGINE))
         models = [
             {"id": name, "object": "model", "owned_by": "amaranthring"}
-            for name in found
+            for name in names
         ]
         self.set_common_headers(errors.Outcome.RAN)
         self.write({"object": "list", "data": models})
@@ -321,7 +325,7 @@
 
 @tornado.web.stream_request_body
 class ServiceHandler(CallerHandler):
-    """``/services/NAME/...`` with any method."""
+    """Handles ``/services/NAME/...`` with any method."""
 
     SUPPORTED_METHODS = (
         "GET",
@@ -333,10 +337,10 @@
         "OPTIONS",
     )
 
-    async def _any(self, service: str, rest: str) -> None:
+    async def _handle(self, service: str, rest: str) -> None:
         await self.run(self._call(service, rest))
 
-    get = head = post = delete = patch = put = options = _any
+    get = head = post = delete = patch = put = options = _handle
 
     async def _call(self, service: str, rest: str) -> None:
         body = self.finish_body()
@@ -352,42 +356,41 @@
             body,
             self.config.preset.service_policy(service),
         )
-        execution.check_served(self.needs, request)
-        self.runs_on = services.is_claimed(request)
+        execution.check_served(self.deps, request)
+        self.runs_to_end = services.is_claimed(request)
         headers = {
             name: self.request.headers[name]
             for name in services.FORWARDED_HEADERS
             if name in self.request.headers
         }
-        self.write_response(await services.call(self.needs, request, headers))
+        self.write_response(await services.call(self.deps, request, headers))
 
     def reported_outcome(self, error):
-        """Return ``not-run`` of a keyed call only if it speaks of the key.
-
-        A caller that resends under a key asks about the key, not about this
-        one connection: an earlier send may have run through another router.
-        Whoever refuses before the ledger answered cannot know that. Told
-        ``not-run`` then, the caller would book again under a new key, and
-        the booking would be doubled. A caller that marks its first send
-        rules the earlier send out, and the ledger's own answers are about
-        the key.
+        """Return ``not-run`` for a keyed call only if it holds for the key.
+
+        A resend under a key asks about all sends under that key, and an
+        earlier one may have run through another router. Without a reply from
+        the ledger a router cannot know. If it stated ``not-run``, the caller
+        would book again under a new key, and the booking would be doubled.
+        If the caller marks its first send, no earlier one exists; the
+        ledger's own replies hold for the key.
         """
         headers = self.request.headers
-        sure = (
+        certain = (
             codec.KEY_HEADER not in headers
             or codec.FIRST_SEND_HEADER in headers
             or self.request.method in SAFE_METHODS
             or isinstance(error, errors.KeyReusedError)
             or getattr(error, "claimed", False)
         )
-        if error.outcome is errors.Outcome.NOT_RUN and not sure:
+        if error.outcome is errors.Outcome.NOT_RUN and not certain:
             return errors.Outcome.UNKNOWN
         return error.outcome
 
 
 class UnknownHandler(CallerHandler):
-    """Any other path."""
+    """Handles every other path."""
 
     def prepare(self):
-        """Answer that the path is unknown."""
+        """Respond that the path is unknown."""
         self.write_error(404)
--- a/amaranthring/callers/server.py
+++ b/amaranthring/callers/server.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers: routes, and a server with bounded headers."""
+"""HTTP server for callers: routes, and a time limit for headers."""
 
 import asyncio
 import json
@@ -19,60 +19,60 @@
 Routes = list[tuple[str, type, dict[str, t.Any]]]
 
 
-class _Watched(tornado.httputil.HTTPMessageDelegate):
-    """Passes a request on, and watches that its headers come in time."""
+class _HeaderTimeout(tornado.httputil.HTTPMessageDelegate):
+    """Forwards a request and limits the time for its headers."""
 
     def __init__(self, delegate, connection, seconds: float, on_headers):
         self.delegate = delegate
         self.connection = connection
         self.seconds = seconds
         self.on_headers = on_headers
-        self.begun = False
-        self._arm()
+        self.headers_begun = False
+        self._start_timer()
 
-    def _arm(self) -> None:
+    def _start_timer(self) -> None:
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(self.seconds, self._look)
+        self.timer = loop.call_later(self.seconds, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         stream = self.connection.stream
         if stream is None or stream.closed():
             return
-        # tornado tells of no first byte; what it buffered while waiting for
-        # the end of the headers is the only sign that they were begun.
-        waiting = stream._read_buffer_size > 0
-        if waiting and self.begun:
-            stream.write(_late_answer(self.seconds))
+        # tornado does not report the first byte; only buffered bytes show
+        # that the headers have begun.
+        has_input = stream._read_buffer_size > 0
+        if has_input and self.headers_begun:
+            stream.write(_timeout_response(self.seconds))
             stream.close()
             return
-        self.begun = waiting
-        self._arm()
+        self.headers_begun = has_input
+        self._start_timer()
 
     def headers_received(self, start_line, headers):
-        """End the watch."""
+        """Stop the timer and forward the headers."""
         self.timer.cancel()
         self.on_headers()
         return self.delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk):
-        """Pass on."""
+        """Forward a chunk of the body."""
         return self.delegate.data_received(chunk)
 
     def finish(self):
-        """Pass on."""
+        """Forward the end of the request."""
         return self.delegate.finish()
 
     def on_connection_close(self):
-        """Pass on."""
+        """Stop the timer and forward the close."""
         self.timer.cancel()
         return self.delegate.on_connection_close()
 
 
-def _late_answer(seconds: float) -> bytes:
+def _timeout_response(seconds: float) -> bytes:
     error = errors.HeadersTimeoutError(
-        "the headers came too slowly",
-        given=f"no end after {seconds:g} s",
-        expected="whole headers",
+        "the headers arrived too slowly",
+        given=f"incomplete after {seconds:g} s",
+        expected="complete headers",
     )
     record = codec.error_record(error, error.outcome, "")
     body = json.dumps(record)
@@ -86,26 +86,26 @@
 
 
 class Server(tornado.httpserver.HTTPServer):
-    """An HTTP server whose headers must come in time.
+    """An HTTP server that limits the time for headers.
 
-    tornado has one timeout for an idle connection and for slow headers. A
-    connection may idle for a minute between requests, so a caller that
-    sends a byte now and then would hold it as long. Here headers that were
-    begun and not ended within ``header_seconds`` to twice that are refused.
+    tornado has one timeout for idle connections and for slow headers. As a
+    connection may stay idle for a minute between requests, a caller that
+    sends a byte now and then could hold one that long. Here headers that
+    are incomplete after one to two times ``header_seconds`` are rejected.
     """
 
     header_seconds = 5.0
 
     def initialize(self, *args, **kwargs):
-        """Keep account of the connections that wait for a request."""
+        """Set up the registry of idle connections."""
         super().initialize(*args, **kwargs)
         self.waiting = connections.IdleConnections()
 
     def start_request(self, server_conn, request_conn):
-        """Watch the headers of the request."""
+        """Limit the time for the headers of the request."""
         self.waiting.add(server_conn)
         delegate = super().start_request(server_conn, request_conn)
-        return _Watched(
+        return _HeaderTimeout(
             delegate,
             request_conn,
             self.header_seconds,
@@ -113,39 +113,39 @@
         )
 
     def on_close(self, server_conn):
-        """Forget a connection that has closed."""
+        """Remove a closed connection."""
         self.waiting.discard(server_conn)
         super().on_close(server_conn)
 
 
 def make_app(
-    needs: execution.Dependencies,
+    deps: execution.Dependencies,
     settings: settings_models.CallersSection,
-    others: Routes | None = None,
+    extra_routes: Routes | None = None,
 ) -> tornado.web.Application:
-    """Return the HTTP application towards callers.
+    """Return the HTTP application for callers.
 
     Parameters
     ----------
-    others : list
+    extra_routes : list
         Further routes on the same listener, such as the health check.
     """
-    given = {
-        "needs": needs,
+    handler_args = {
+        "needs": deps,
         "settings": settings,
         "accounts": codec.Accounts(),
     }
     service = r"/services/([A-Za-z0-9._-]{1,64})/?(.*)"
     routes = [
-        *(others or []),
-        (r"/v1/chat/completions", handlers.ChatHandler, given),
-        (r"/v1/models", handlers.ModelsHandler, given),
-        (service, handlers.ServiceHandler, given),
+        *(extra_routes or []),
+        (r"/v1/chat/completions", handlers.ChatHandler, handler_args),
+        (r"/v1/models", handlers.ModelsHandler, handler_args),
+        (service, handlers.ServiceHandler, handler_args),
     ]
     return tornado.web.Application(
         routes,
         default_handler_class=handlers.UnknownHandler,
-        default_handler_args=given,
+        default_handler_args=handler_args,
         log_function=lambda _: None,
     )
 
@@ -156,9 +156,9 @@
     settings: settings_models.CallersSection,
     ssl_options=None,
 ) -> Server:
-    """Serve `app` on `sockets` within the bounds of ``[callers]``."""
-    # The handlers check the bounds themselves, with typed answers. Above
-    # twice the bound of the headers, tornado closes with no answer.
+    """Serve `app` on `sockets` within the limits of ``[callers]``."""
+    # The handlers check the limits and send typed errors. tornado's limits are
+    # higher, since it closes the connection without a response.
     server = Server(
         app,
         ssl_options=ssl_options,
--- a/amaranthring/callers/settlements.py
+++ b/amaranthring/callers/settlements.py
@@ -1,10 +1,10 @@
-"""Settling claims whose fate the ledger could not be told at once.
+"""Retries settlements of claims until the ledger confirms them.
 
-A router that was cut off while it asked for a claim gives its caller an
-answer and sends nothing. But its command may reach the keepers when the
-network heals: then the claim is held by an attempt that has ended, and every
-resend would be told ``unknown`` for good, though nothing ran. So what this
-router knows about its own attempts is repeated until the ledger has it.
+A router that loses its connection while it requests a claim sends nothing to
+a target. But its command may still reach the keepers later: the claim is then
+held by an attempt that has ended, and every resend would get ``unknown`` for
+good, although nothing ran. So a router repeats what it knows about its own
+attempts until the ledger confirms it.
 """
 
 import asyncio
@@ -26,19 +26,19 @@
 
 
 class Settlements:
-    """What is still to be told to the ledger, oldest first.
+    """Settlements that the ledger has not confirmed, oldest first.
 
     Parameters
     ----------
     settle : callable
-        Tells the ledger; raises while it cannot be reached.
+        Settles a claim; raises while the ledger cannot be reached.
     metrics : Metrics
         Counters.
 
     Attributes
     ----------
     pending : OrderedDict
-        Attempt to what is to be told. Bounded: what does not fit stays
+        Settlement by attempt. Bounded: a claim that does not fit stays
         ``unknown``, which is safe.
     """
 
@@ -57,7 +57,7 @@
         outcome: errors.Outcome,
         answer: records.StoredAnswer | None = None,
     ) -> None:
-        """Tell the ledger about `attempt` as soon as it can be reached."""
+        """Settle `attempt` as soon as the ledger can be reached."""
         if len(self.pending) >= MAX_PENDING:
             self.metrics.count("settlements.dropped")
             return
@@ -69,11 +69,11 @@
     async def _run(self) -> None:
         while self.pending:
             await asyncio.sleep(RETRY_INTERVAL_SECONDS)
-            await self._round()
+            await self._settle_batch()
             self.metrics.gauge("settlements.pending", len(self.pending))
 
-    async def _round(self) -> None:
-        """Tell some; while the first cannot be told, leave out the rest."""
+    async def _settle_batch(self) -> None:
+        """Settle a batch; stop if the ledger cannot be reached."""
         for attempt in list(self.pending)[:BATCH_SIZE]:
             try:
                 await self.settle(*self.pending[attempt])
@@ -82,14 +82,14 @@
             except errors.CommitUnknownError:
                 return
             except errors.AmaranthringError:
-                # The ledger answered: it holds another truth about this
-                # attempt already, such as a settlement that came through.
+                # The ledger replied: it already has a result for this
+                # attempt, such as an earlier settlement.
                 self.metrics.count("settlements.refused")
             else:
                 self.metrics.count("settlements.told")
             self.pending.pop(attempt, None)
 
     def stop(self) -> None:
-        """End the task; what is pending stays ``unknown``."""
+        """Stop the task; pending claims stay ``unknown``."""
         if self.task:
             self.task.cancel()
--- a/amaranthring/callers/tokens.py
+++ b/amaranthring/callers/tokens.py
@@ -1,10 +1,10 @@
-"""Resume tokens: where a caller's stream runs, signed by the fleet.
+"""Resume tokens: signed references to a caller's stream.
 
-A token names account, target with incarnation, stream and expiry, under an
-HMAC of a fleet key. Any router can check it, so a caller resumes through any
-router with no shared state. The number behind it is not signed: it chooses
-nothing but a place within the caller's own stream. So one signature serves a
-whole stream, however long its answer.
+A token holds account, target with incarnation, stream and expiry, with an
+HMAC under a fleet key. Any router can verify it, so a caller can resume
+through any router without shared state. The event number that follows is not
+signed: it only selects a position in the caller's own stream. So one
+signature serves a whole stream.
 """
 
 import base64
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass
 class StreamReference:
-    """Where a stream runs.
+    """A stream and the account that may resume it.
 
     Attributes
     ----------
@@ -35,9 +35,9 @@
     target : str
         Engine that holds it.
     incarnation : int
-        Of the engine; a restarted one has lost the stream.
+        Incarnation of the engine; a restarted engine has lost the stream.
     stream : str
-        Its name at the engine.
+        Name of the stream at the engine.
     serves : str
         Model.
     expires : float
@@ -53,60 +53,60 @@
 
 
 def _mac(key: bytes, payload: bytes) -> bytes:
-    made = hmac.digest(key, b"resume\0" + payload, hashlib.sha256)
-    return made[:MAC_BYTES]
+    digest = hmac.digest(key, b"resume\0" + payload, hashlib.sha256)
+    return digest[:MAC_BYTES]
 
 
-def _text(data: bytes) -> str:
+def _encode(data: bytes) -> str:
     return base64.urlsafe_b64encode(data).decode().rstrip("=")
 
 
-def _bytes(text: str) -> bytes:
+def _decode(text: str) -> bytes:
     return base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
 
 
-def sign(place: StreamReference, keys: links.Keys) -> str:
-    """Return the token of `place`, without a number."""
+def sign(reference: StreamReference, keys: links.Keys) -> str:
+    """Return the token of `reference`, without an event number."""
     key_id, key = keys.signing
-    payload = msgpack.packb((key_id, *vars(place).values()))
-    return f"{_text(payload)}.{_text(_mac(key, payload))}"
+    payload = msgpack.packb((key_id, *vars(reference).values()))
+    return f"{_encode(payload)}.{_encode(_mac(key, payload))}"
 
 
 def read(
     text: str, account: str, keys: links.Keys, now: float | None = None
 ) -> tuple[StreamReference, int]:
-    """Return the place in `text` and the number of the event after it.
+    """Return the reference in `text` and the number of the next event.
 
     Raises
     ------
     errors.ResumeError
-        If it is malformed, forged, another account's, or expired.
+        If the token is malformed, forged, expired or another account's.
     """
     parts = text.split(".")
     if len(parts) != 3 or len(text) > MAX_TOKEN_CHARACTERS:
-        raise _refused("malformed")
+        raise _resume_error("malformed")
     try:
-        payload, mac = _bytes(parts[0]), _bytes(parts[1])
+        payload, mac = _decode(parts[0]), _decode(parts[1])
         key_id, *fields = msgpack.unpackb(payload)
         number = int(parts[2])
-        known = keys.by_id.get(key_id, b"")
+        key = keys.by_id.get(key_id, b"")
     except (ValueError, TypeError, binascii.Error, msgpack.UnpackException):
-        raise _refused("malformed") from None
-    if not known or not hmac.compare_digest(_mac(known, payload), mac):
-        raise _refused("forged, or signed with a key that is gone")
-    place = StreamReference(*fields)
-    if place.account != account:
-        raise _refused("another account's")
-    if place.expires < (time.time() if now is None else now):
-        raise _refused("expired")
+        raise _resume_error("malformed") from None
+    if not key or not hmac.compare_digest(_mac(key, payload), mac):
+        raise _resume_error("forged, or signed with a key that is gone")
+    reference = StreamReference(*fields)
+    if reference.account != account:
+        raise _resume_error("another account's")
+    if reference.expires < (time.time() if now is None else now):
+        raise _resume_error("expired")
     if not 0 <= number < 1 << 31:
-        raise _refused("malformed")
-    return place, number + 1
+        raise _resume_error("malformed")
+    return reference, number + 1
 
 
-def _refused(given: str) -> errors.ResumeError:
+def _resume_error(given: str) -> errors.ResumeError:
     return errors.ResumeError(
-        "Last-Event-ID cannot be followed; send the whole request again",
+        "Last-Event-ID is not valid; send the whole request again",
         given=given,
         expected="the id of the last event of a stream of this account",
         outcome=errors.Outcome.NOT_RUN,
--- a/amaranthring/platform/__init__.py
+++ b/amaranthring/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The users' platform: its names, formats and calls, and nothing else.
+"""Adapter to the users' platform: its names, formats and calls.
 
 Everything that comes from the platform is decoded here, once, into the
-product's own types. What these types mean, and everything that is decided,
-lies in the product; no other package knows a name of the platform's.
+product's own types. Other packages do not use the platform's names, and this
+one makes no decisions.
 """
--- a/amaranthring/platform/__main__.py
+++ b/amaranthring/platform/__main__.py
@@ -1,16 +1,15 @@
-"""Daemons on the platform: ``python -m amaranthring.platform ROLE``."""
+"""Runs a daemon on the platform: ``python -m amaranthring.platform ROLE``."""
 
 import gc
 import importlib
 import sys
 
-# Loaded first: it notes when this process began.
+# Imported first, as it records when this process started.
 from amaranthring.core import clocks  # noqa: F401
 
 if __name__ == "__main__":
-    # Nothing that is loaded at the start is garbage; looking for some takes
-    # a twentieth of the time until a keeper listens. The daemon enables
-    # collection again once it has started.
+    # Objects loaded at startup are not garbage, and collecting would delay
+    # the start. The daemon enables collection once it has started.
     gc.disable()
     daemon = importlib.import_module("amaranthring.platform.daemon")
     sys.exit(daemon.main(sys.argv[1] if len(sys.argv) == 2 else ""))
--- a/amaranthring/platform/control.py
+++ b/amaranthring/platform/control.py
@@ -1,4 +1,4 @@
-"""Calls of targets and operators to a keeper, as the platform makes them."""
+"""Handles the platform's calls of targets and operators to a keeper."""
 
 import json
 import typing as t
@@ -19,7 +19,7 @@
 DEREGISTER = "/Replicas.Deregister/"
 
 EMPTY_OBJECT = b"{}"
-# What a target says of itself; any other state is another writer's.
+# States that a target reports; any other state is invalid.
 STATES = {
     "ready": messages.State.READY,
     "draining": messages.State.DRAINING,
@@ -32,7 +32,7 @@
     Attributes
     ----------
     version : int
-        Of the plan from which `names` are; -1 before the first.
+        Version of the plan that `names` comes from; -1 before the first.
     """
 
     def __init__(self, hub: hubs.Hub):
@@ -41,75 +41,79 @@
         self.names: frozenset[str] = frozenset()
 
     def has(self, name: str) -> bool:
-        """Return whether there is such a service, or no plan to tell."""
-        held = self.hub.machine.version
-        if held != self.version:
-            found = json.loads(plans.decompress(self.hub.machine.body))
-            self.names = frozenset(one["name"] for one in found["backends"])
-            self.version = held
-        return held < 0 or name in self.names
+        """Return whether the plan names the service, or no plan is held."""
+        version = self.hub.machine.version
+        if version != self.version:
+            plan = json.loads(plans.decompress(self.hub.machine.body))
+            self.names = frozenset(
+                backend["name"] for backend in plan["backends"]
+            )
+            self.version = version
+        return version < 0 or name in self.names
 
 
 def make_handler(hub: hubs.Hub) -> endpoints.Handler:
-    """Return the function that answers the platform's calls from `hub`."""
+    """Return the handler of the platform's calls to `hub`."""
     services = ServiceNames(hub)
 
-    async def answer(call: endpoints.Request) -> endpoints.Response:
-        if (call.method, call.path) == ("POST", REPLACE):
-            return await _replace(hub, call)
-        if (call.method, call.path) == ("GET", FETCH):
+    async def handle(request: endpoints.Request) -> endpoints.Response:
+        if (request.method, request.path) == ("POST", REPLACE):
+            return await _replace(hub, request)
+        if (request.method, request.path) == ("GET", FETCH):
             return await _fetch(hub)
-        if call.method == "POST" and call.path.startswith(HEARTBEAT):
-            return _announce(hub, services, call)
-        if call.method == "POST" and call.path.startswith(DEREGISTER):
-            return _leave(hub, call)
+        if request.method == "POST" and request.path.startswith(HEARTBEAT):
+            return _announce(hub, services, request)
+        if request.method == "POST" and request.path.startswith(DEREGISTER):
+            return _leave(hub, request)
         raise errors.NotFoundError(
-            "no such call", given=f"{call.method} {call.path[:64]}"
+            "unknown call", given=f"{request.method} {request.path[:64]}"
         )
 
-    return answer
+    return handle
 
 
 def _announce(
-    hub: hubs.Hub, services: ServiceNames, call: endpoints.Request
+    hub: hubs.Hub, services: ServiceNames, request: endpoints.Request
 ) -> endpoints.Response:
     try:
-        record = read_heartbeat(call.path, call.body)
+        record = read_heartbeat(request.path, request.body)
     except errors.BadRequestError as error:
         hub.refuse(error)
         raise
     if record.id in hub.table.entries or services.has(record.service):
         hub.announce(record)
     else:
-        # Acknowledged, since no router sends to it; a plan that names the
-        # service later finds it at its next announcement.
-        hub.refuse(errors.NotFoundError("service", given=record.service))
+        # Acknowledged, since no router sends to it; once a plan names the
+        # service, the target's next heartbeat is accepted.
+        hub.refuse(
+            errors.NotFoundError("unknown service", given=record.service)
+        )
     return endpoints.Response(body=EMPTY_OBJECT)
 
 
-def _leave(hub: hubs.Hub, call: endpoints.Request) -> endpoints.Response:
+def _leave(hub: hubs.Hub, request: endpoints.Request) -> endpoints.Response:
     try:
-        born = read_start_time(call.body)
+        born = read_start_time(request.body)
     except errors.BadRequestError as error:
         hub.refuse(error)
         raise
-    hub.leave(call.path.removeprefix(DEREGISTER), born)
+    hub.leave(request.path.removeprefix(DEREGISTER), born)
     return endpoints.Response(body=EMPTY_OBJECT)
 
 
 async def _replace(
-    hub: hubs.Hub, call: endpoints.Request
+    hub: hubs.Hub, request: endpoints.Request
 ) -> endpoints.Response:
-    plan = documents.decode(call.body)
-    held = await hub.put(plan.version, call.body)
+    plan = documents.decode(request.body)
+    held = await hub.put(plan.version, request.body)
     return endpoints.Response(body=json.dumps({"version": held}).encode())
 
 
 async def _fetch(hub: hubs.Hub) -> endpoints.Response:
-    found = await hub.read()
-    if found.version < 0:
+    plan = await hub.read()
+    if plan.version < 0:
         raise errors.NotFoundError("no configuration yet")
-    return endpoints.Response(body=plans.decompress(found.body))
+    return endpoints.Response(body=plans.decompress(plan.body))
 
 
 def read_heartbeat(path: str, body: bytes) -> messages.TargetRecord:
@@ -118,12 +122,12 @@
     Raises
     ------
     errors.BadRequestError
-        If it is not usable.
+        If the heartbeat is invalid.
     """
     try:
-        found = json.loads(body)
-        plain = _record(path.removeprefix(HEARTBEAT), found)
-        return validation.validator(messages.TargetRecord)(plain)
+        data = json.loads(body)
+        record = _record(path.removeprefix(HEARTBEAT), data)
+        return validation.validator(messages.TargetRecord)(record)
     except (
         errors.FrameError,
         ValueError,
@@ -132,58 +136,58 @@
         AttributeError,
     ) as error:
         raise errors.BadRequestError(
-            "heartbeat", given=repr(error), expected="a heartbeat"
+            "invalid heartbeat", given=repr(error), expected="a heartbeat"
         ) from error
 
 
 def read_start_time(body: bytes) -> int:
-    """Return when the target was born that says that it is gone.
+    """Return the start time of a target that deregisters, or 0.
 
     Raises
     ------
     errors.BadRequestError
-        If it cannot be read.
+        If the body is invalid.
     """
     try:
-        return _born(json.loads(body)) if body else 0
+        return _start_time(json.loads(body)) if body else 0
     except (ValueError, TypeError, AttributeError) as error:
         raise errors.BadRequestError(
-            "leave", given=repr(error), expected="an object"
+            "invalid deregistration", given=repr(error), expected="an object"
         ) from error
 
 
-def _born(found: dict) -> int:
-    # Unix milliseconds of the target's start; not told on all deployments.
-    born = found.get("born", 0)
+def _start_time(data: dict) -> int:
+    # Start of the target in Unix milliseconds; optional.
+    born = data.get("born", 0)
     if isinstance(born, bool) or not isinstance(born, int) or born < 0:
         raise TypeError(f"born {born!r}")
     return born
 
 
-def _address(found: dict) -> str:
-    address = found["address"]
+def _address(data: dict) -> str:
+    address = data["address"]
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"address {address!r}")
     return address
 
 
-def _record(target_id: str, found: dict) -> dict[str, t.Any]:
-    born = _born(found)
+def _record(target_id: str, data: dict) -> dict[str, t.Any]:
+    born = _start_time(data)
     if not target_id:
         raise ValueError("no id")
     return {
-        # The platform's id may be the same after a start.
+        # The platform's id may stay the same after a restart.
         "id": messages.incarnation_id(target_id, born),
         "name": target_id,
         "born": born,
-        # The platform's back end is our service.
-        "service": found["backend"],
-        "address": _address(found),
-        "data_centre": found.get("zone", ""),
-        "release": found.get("version", ""),
-        "slots": found.get("batch_slots", 1),
-        "state": STATES[found["state"]],
-        "sequence": found["sequence"],
-        "cold_seconds": found.get("cold_left_ms", 0) / MILLISECONDS,
+        # The platform calls a service a back end.
+        "service": data["backend"],
+        "address": _address(data),
+        "data_centre": data.get("zone", ""),
+        "release": data.get("version", ""),
+        "slots": data.get("batch_slots", 1),
+        "state": STATES[data["state"]],
+        "sequence": data["sequence"],
+        "cold_seconds": data.get("cold_left_ms", 0) / MILLISECONDS,
     }
--- a/amaranthring/platform/daemon.py
+++ b/amaranthring/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a daemon on the platform until it is told to stop."""
+"""Runs a daemon on the platform until it is stopped."""
 
 import asyncio
 import gc
@@ -16,15 +16,15 @@
 
 log = logbook.Logger(__name__)
 
-# How often the settings file is looked at when no signal comes: a process
-# whose keepers have all been exchanged finds the new ones within seconds.
+# Interval at which the settings file is read if no signal comes, so that a
+# process whose keepers were all replaced finds the new ones within seconds.
 POLL_SECONDS = 2.0
 
 ROLES = ("router", "keeper")
 
 
 async def watch_settings(node: nodes.Node, process, hangup) -> None:
-    """Hand on what changes in the settings file, until cancelled.
+    """Apply changes of the settings file until cancelled.
 
     Parameters
     ----------
@@ -38,15 +38,15 @@
             pass
         hangup.clear()
         try:
-            found = nodes.read()
+            settings = nodes.read()
         except errors.SettingsError as error:
-            # It is being written, or broken: the last good one stays.
+            # Incomplete or invalid: keep the last valid settings.
             log.warning("settings.unusable fault={}", error)
             continue
-        if found.seeds != node.seeds:
-            logs.event(log, "settings.reloaded", seeds=list(found.seeds))
-            process.use_seeds(found.keeper_addresses())
-            node = found
+        if settings.seeds != node.seeds:
+            logs.event(log, "settings.reloaded", seeds=list(settings.seeds))
+            process.use_seeds(settings.keeper_addresses())
+            node = settings
 
 
 async def run(role: str) -> None:
@@ -54,11 +54,11 @@
     stop = signals.stop_event()
     hangup = signals.reload_event()
     node = nodes.read()
-    # Only the modules of this role are loaded.
-    maker = importlib.import_module(f"amaranthring.platform.{role}")
-    process = maker.make(node)
+    # Imports only the modules of this role.
+    module = importlib.import_module(f"amaranthring.platform.{role}")
+    process = module.make(node)
     starting = process.start()
-    following = asyncio.ensure_future(watch_settings(node, process, hangup))
+    watching = asyncio.ensure_future(watch_settings(node, process, hangup))
     logs.event(log, f"{role}.started", vm=node.name, seeds=list(node.seeds))
     stopping = asyncio.ensure_future(stop.wait())
     if starting is not None:
@@ -66,13 +66,13 @@
             {starting, stopping}, return_when=asyncio.FIRST_COMPLETED
         )
         if starting.done():
-            # A listener that cannot be had ends the process.
+            # A listener that cannot be opened ends the process.
             starting.result()
     garbage_collection.freeze_startup_objects()
     gc.enable()
     await stopping
     logs.event(log, f"{role}.stopping", vm=node.name)
-    following.cancel()
+    watching.cancel()
     await process.stop()
     logs.event(log, f"{role}.stopped", vm=node.name)
 
--- a/amaranthring/platform/documents.py
+++ b/amaranthring/platform/documents.py
@@ -1,4 +1,4 @@
-"""Configurations of the operator, decoded into routing plans."""
+"""Decodes the operator's configurations into routing plans."""
 
 import json
 import typing as t
@@ -9,7 +9,7 @@
 MILLISECONDS = 1e3
 MEGABIT_BYTES = 1e6 / 8
 
-# What the platform's types of route allow.
+# Request kinds by the platform's route types.
 KINDS = {
     "safe": routing.Kind.SAFE,
     "unsafe": routing.Kind.UNSAFE,
@@ -18,117 +18,119 @@
 
 
 def decode(document: bytes) -> routing.Plan:
-    """Return the checked plan in `document`.
+    """Return the validated plan in `document`.
 
     Raises
     ------
     errors.InvalidPlanError
-        If it cannot be read in full or cannot be put in force.
+        If it cannot be decoded or is not a valid plan.
     """
     try:
-        found = json.loads(document)
-        plan = _plan(found)
+        data = json.loads(document)
+        plan = _plan(data)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise errors.InvalidPlanError(
-            "the document cannot be read", given=repr(error), expected="a plan"
+            "the document cannot be decoded",
+            given=repr(error),
+            expected="a plan",
         ) from error
     routing.check(plan)
     return plan
 
 
-def _plan(found: dict) -> routing.Plan:
-    version = found["version"]
+def _plan(data: dict) -> routing.Plan:
+    version = data["version"]
     if isinstance(version, bool) or not isinstance(version, int):
         raise TypeError(f"version {version!r}")
     return routing.Plan(
         version=version,
-        routes=tuple(map(_route, found["routes"])),
-        # The platform's back ends are our services: sets of targets.
-        services=tuple(map(_service, found["backends"])),
-        # Its tenants are our client accounts.
-        accounts=tuple(map(_account, found.get("tenants") or ())),
-        bounds=_bounds(found.get("limits") or {}),
+        routes=tuple(map(_route, data["routes"])),
+        # The platform calls services back ends.
+        services=tuple(map(_service, data["backends"])),
+        # The platform calls client accounts tenants.
+        accounts=tuple(map(_account, data.get("tenants") or ())),
+        bounds=_bounds(data.get("limits") or {}),
     )
 
 
-def _route(found: dict) -> routing.Route:
-    if "split" in found:
+def _route(data: dict) -> routing.Route:
+    if "split" in data:
         shares = tuple(
-            routing.Share(_text(one["backend"]), _number(one["weight"]))
-            for one in found["split"]
+            routing.Share(_text(share["backend"]), _number(share["weight"]))
+            for share in data["split"]
         )
     else:
-        shares = (routing.Share(_text(found["backend"]), 1),)
+        shares = (routing.Share(_text(data["backend"]), 1),)
     return routing.Route(
-        name=_text(found["name"]),
-        host=_text(found["hostname"]),
-        prefix=_text(found["path_prefix"]),
-        kind=KINDS[found["route_type"]],
-        timeout=_number(found["timeout_ms"]) / MILLISECONDS,
-        objective=_number(found.get("latency_target_ms", 0)) / MILLISECONDS,
-        priority=int(found.get("priority", 0)),
+        name=_text(data["name"]),
+        host=_text(data["hostname"]),
+        prefix=_text(data["path_prefix"]),
+        kind=KINDS[data["route_type"]],
+        timeout=_number(data["timeout_ms"]) / MILLISECONDS,
+        objective=_number(data.get("latency_target_ms", 0)) / MILLISECONDS,
+        priority=int(data.get("priority", 0)),
         shares=shares,
-        attempts_most=int(found.get("max_attempts", 1)),
-        public=bool(found.get("public", False)),
-        # Set for requests that name their prompt, not for sessions as such.
-        with_prompt=bool(found.get("sticky", False)),
-        resumable=bool(found.get("resumable", False)),
-        pause_most=_number(found.get("itl_target_ms", 0)) / MILLISECONDS,
+        attempts_most=int(data.get("max_attempts", 1)),
+        public=bool(data.get("public", False)),
+        # Applies to requests that name their prompt, not to sessions.
+        with_prompt=bool(data.get("sticky", False)),
+        resumable=bool(data.get("resumable", False)),
+        pause_most=_number(data.get("itl_target_ms", 0)) / MILLISECONDS,
     )
 
 
-def _service(found: dict) -> routing.Service:
-    engine = found.get("engine")
+def _service(data: dict) -> routing.Service:
+    engine = data.get("engine")
     return routing.Service(
-        name=_text(found["name"]),
-        health_path=str(found.get("health_path", "/")),
-        connections_most=int(found.get("max_conns", 0)),
+        name=_text(data["name"]),
+        health_path=str(data.get("health_path", "/")),
+        connections_most=int(data.get("max_conns", 0)),
         engine=_engine(engine) if engine else None,
     )
 
 
-def _engine(found: dict) -> routing.Engine:
+def _engine(data: dict) -> routing.Engine:
     return routing.Engine(
-        slots=int(found.get("batch_slots", 1)),
-        kv_tokens=int(found.get("kv_capacity", 0)),
-        token_bytes=_number(found.get("kv_bytes", 0)),
-        # In megabits a second.
-        link_rate=_number(found.get("link_mbps", 0)) * MEGABIT_BYTES,
+        slots=int(data.get("batch_slots", 1)),
+        kv_tokens=int(data.get("kv_capacity", 0)),
+        token_bytes=_number(data.get("kv_bytes", 0)),
+        # Megabits per second.
+        link_rate=_number(data.get("link_mbps", 0)) * MEGABIT_BYTES,
     )
 
 
-def _account(found: dict) -> routing.Account:
-    priority = found.get("priority")
+def _account(data: dict) -> routing.Account:
+    priority = data.get("priority")
     return routing.Account(
-        name=_text(found["name"]),
-        keys=tuple(map(_text, found.get("api_keys") or ())),
+        name=_text(data["name"]),
+        keys=tuple(map(_text, data.get("api_keys") or ())),
         priority=None if priority is None else int(priority),
     )
 
 
-def _bounds(found: dict) -> routing.Bounds:
-    usual = routing.Bounds()
+def _bounds(data: dict) -> routing.Bounds:
+    defaults = routing.Bounds()
     return routing.Bounds(
-        header_bytes=int(found.get("max_header_bytes", usual.header_bytes)),
-        body_bytes=int(found.get("max_body_bytes", usual.body_bytes)),
+        header_bytes=int(data.get("max_header_bytes", defaults.header_bytes)),
+        body_bytes=int(data.get("max_body_bytes", defaults.body_bytes)),
         header_seconds=_seconds(
-            found, "header_timeout_ms", usual.header_seconds
+            data, "header_timeout_ms", defaults.header_seconds
         ),
-        idle_seconds=_seconds(found, "idle_timeout_ms", usual.idle_seconds),
+        idle_seconds=_seconds(data, "idle_timeout_ms", defaults.idle_seconds),
     )
 
 
-def _seconds(found: dict, name: str, usual: float) -> float:
-    return _number(found[name]) / MILLISECONDS if name in found else usual
+def _seconds(data: dict, name: str, default: float) -> float:
+    return _number(data[name]) / MILLISECONDS if name in data else default
 
 
 def _text(value: t.Any) -> str:
     if not isinstance(value, str) or not value:
-        raise TypeError(f"{value!r} is no text")
+        raise TypeError(f"{value!r} is not a non-empty string")
     return value
 
 
 def _number(value: t.Any) -> t.Any:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise TypeError(f"{value!r} is no number")
+        raise TypeError(f"{value!r} is not a number")
     return value
--- a/amaranthring/platform/headers.py
+++ b/amaranthring/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers on the platform."""
+"""Headers of requests and responses on the platform."""
 
 import tornado.httputil
 
@@ -9,29 +9,28 @@
 
 REQUEST_ID = "Amaranthring-Request-Id"
 DEADLINE = "Amaranthring-Deadline-Ms"
-# Names the id of the target that is meant, so that another one that has its
-# address now refuses.
+# Id of the intended target: another target that now has its address rejects
+# the request.
 EXPECTED_TARGET = "Amaranthring-Expect-Replica"
-# The name of the client account.
+# Name of the client account.
 ACCOUNT = "Amaranthring-Tenant"
 SIGNATURE = "Amaranthring-Replica-Signature"
-# Present if the target did not run the request, and never will.
+# Present if the target did not run the request and never will.
 NOT_RUN = "Amaranthring-Not-Executed"
 # "running,waiting,slots" of the target.
 LOAD = "Amaranthring-Replica-Load"
-# "tokens in,most tokens out".
+# "input tokens,maximum output tokens".
 TOKENS = "Amaranthring-Token-Usage"
 # "ID:TOKENS,...": the parts of the prompt in order.
 PROMPT_PARTS = "Amaranthring-Prefix-Hash"
 LAST_EVENT = "Last-Event-Id"
-# "host:port" of a target from which the one asked copies what that keeps of
-# the prompt.
+# "host:port" of the target from which to copy the cached prompt prefix.
 COPY_FROM = "Kv-Fetch"
-# 0 to 9, the most urgent first: the order in which a target admits requests.
+# 0 (most urgent) to 9: the order in which a target admits requests.
 PRIORITY = "Amaranthring-Request-Priority"
-# The version of the weights that is meant, so that others refuse.
+# Required version of the weights; targets with another one reject.
 EXPECTED_WEIGHTS = "Amaranthring-Expect-Version"
-# Memory of a run that targets keep, reserve or hand to each other.
+# KV memory of a run that targets pin, reserve or transfer.
 PIN = "Amaranthring-Kv-Pin-Ms"
 RESERVATION = "Amaranthring-Kv-Retain"
 BACKUP = "Amaranthring-Kv-Backup"
@@ -41,8 +40,8 @@
 
 MISDIRECTED = 421
 
-# Those that concern one connection only (RFC 9110, section 7.6.1), and
-# those that the forwarding writes itself.
+# Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that forwarding
+# sets itself.
 HOP_BY_HOP = {
     "connection",
     "keep-alive",
@@ -56,9 +55,8 @@
     "expect",
     "content-length",
 }
-# A caller that sent one of these would speak to the target in the fleet's
-# name: take memory of others, go before them, or have a request refused by
-# every target.
+# Not copied from callers' requests: with these a caller could take the memory
+# of others, raise its priority, or have every target reject its request.
 RESERVED = {
     name.lower()
     for name in (
@@ -79,8 +77,8 @@
 
 
 def dialect() -> records.Dialect:
-    """Return the platform's way to write requests and answers."""
-    return records.Dialect(read_request, request_headers, read_answer)
+    """Return the platform's encoding of requests and responses."""
+    return records.Dialect(read_request, request_headers, read_response)
 
 
 def read_request(
@@ -88,17 +86,17 @@
     headers: tornado.httputil.HTTPHeaders,
     arrived: float,
 ) -> records.Incoming:
-    """Return the request whose head is given; its body comes later.
+    """Return the request with the given head; its body comes later.
 
     Raises
     ------
     errors.BadRequestError
-        If a header that is needed is missing or malformed.
+        If a required header is missing or malformed.
     """
     hosts = headers.get_list("Host")
     if len(hosts) != 1:
         raise errors.BadRequestError(
-            "Host", given=f"{len(hosts)} values", expected="one"
+            "invalid Host header", given=f"{len(hosts)} values", expected="one"
         )
     request_id = headers.get(REQUEST_ID, "")
     return records.Incoming(
@@ -109,7 +107,7 @@
         host=hosts[0],
         headers=_without(headers, HOP_BY_HOP | RESERVED),
         arrived=arrived,
-        timeout=_patience(headers.get(DEADLINE)),
+        timeout=_timeout(headers.get(DEADLINE)),
         key=_key(headers.get(AUTHORIZATION, "")),
         resume_after=headers.get(LAST_EVENT, ""),
         parts=_parts(headers.get(PROMPT_PARTS, "")),
@@ -118,8 +116,8 @@
 
 
 def _without(headers, names: set[str]) -> tornado.httputil.HTTPHeaders:
-    named = headers.get("Connection", "").lower().split(",")
-    dropped = names | {name.strip() for name in named}
+    options = headers.get("Connection", "").lower().split(",")
+    dropped = names | {name.strip() for name in options}
     kept = tornado.httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in dropped:
@@ -127,7 +125,7 @@
     return kept
 
 
-def _patience(value: str | None) -> float:
+def _timeout(value: str | None) -> float:
     if value is None:
         return float("inf")
     if not value.isdigit():
@@ -161,27 +159,27 @@
 
 
 def request_headers(
-    incoming: records.Incoming, sending: records.AttemptInfo
+    incoming: records.Incoming, attempt: records.AttemptInfo
 ) -> dict[str, str]:
-    """Return the headers with which a request goes to its target."""
+    """Return the headers of a request to its target."""
     headers = dict(incoming.headers.items())
-    if sending.seconds_left != float("inf"):
-        left = max(1, int(sending.seconds_left * MILLISECONDS))
-        headers[DEADLINE] = str(left)
-    headers[EXPECTED_TARGET] = sending.target.name
-    if sending.account:
-        headers[ACCOUNT] = sending.account
-    if sending.resume_after:
-        headers[LAST_EVENT] = sending.resume_after
-    if sending.copy_from:
-        headers[COPY_FROM] = sending.copy_from
+    if attempt.seconds_left != float("inf"):
+        milliseconds = max(1, int(attempt.seconds_left * MILLISECONDS))
+        headers[DEADLINE] = str(milliseconds)
+    headers[EXPECTED_TARGET] = attempt.target.name
+    if attempt.account:
+        headers[ACCOUNT] = attempt.account
+    if attempt.resume_after:
+        headers[LAST_EVENT] = attempt.resume_after
+    if attempt.copy_from:
+        headers[COPY_FROM] = attempt.copy_from
     return headers
 
 
-def read_answer(
+def read_response(
     status: int, headers: tornado.httputil.HTTPHeaders
 ) -> records.ResponseHead:
-    """Return the head of a target's answer."""
+    """Return the head of a target's response."""
     return records.ResponseHead(
         status=status,
         headers=_without(headers, HOP_BY_HOP),
--- a/amaranthring/platform/keeper.py
+++ b/amaranthring/platform/keeper.py
@@ -1,4 +1,4 @@
-"""A keeper on the platform."""
+"""Creates the keeper of a VM on the platform."""
 
 import importlib
 import typing as t
@@ -12,7 +12,7 @@
 
 def make(node: nodes.Node) -> plan_keeper.KeeperProcess:
     """Return the keeper of this VM."""
-    place = keepers.Config(
+    config = keepers.Config(
         address=f"{node.ip}:{node.fleet_port}",
         data_centre=node.data_centre,
         seeds=node.keeper_addresses(),
@@ -23,7 +23,7 @@
         process_started_at=clocks.STARTED_AT,
     )
     return plan_keeper.KeeperProcess(
-        place,
+        config,
         node.control,
         f"{node.ip}:{nodes.METRICS_PORT}",
         links.Keys(nodes.FLEET_KEY),
@@ -32,7 +32,7 @@
 
 
 def load_handler_factory() -> t.Callable:
-    """Load the module that answers control calls, and return its maker."""
+    """Import the control module; return its factory of handlers."""
     return importlib.import_module(
         "amaranthring.platform.control"
     ).make_handler
--- a/amaranthring/platform/node.py
+++ b/amaranthring/platform/node.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Settings file that the platform writes for each process."""
 
 import dataclasses
 import json
@@ -11,50 +11,50 @@
 MILLISECONDS = 1e3
 MEGABIT_BYTES = 1e6 / 8
 
-# The platform hands out no secret and keeps others off these ports; the key
-# only tells this fleet's streams from anything else that listens there.
+# The platform provides no secret but restricts access to these ports; the key
+# only distinguishes this fleet's links from other listeners.
 FLEET_KEY = {"platform": b"amaranthring"}
 METRICS_PORT = 9105
 
 
 @dataclasses.dataclass(frozen=True)
 class Node:
-    """What a process is told of itself and of the deployment.
+    """Settings of a process and of its deployment.
 
     Attributes
     ----------
     name : str
-        Of this VM.
+        Name of this VM.
     data_centre : str
         The platform calls it the zone.
     ip : str
         Address of this VM.
     fleet_port : int
-        For streams between our processes, the same on every VM.
+        Port for links between the fleet's processes, the same on every VM.
     callers : str
         ``host:port`` for callers; empty if this role has none.
     health : str
-        ``host:port`` of the balancer's check; empty as above.
+        ``host:port`` for the balancer's health check; empty as above.
     control : str
         ``host:port`` for targets and operators; empty as above.
     seeds : tuple of str
-        IP addresses of keepers, as they were when the file was written.
+        IP addresses of keepers at the time when the file was written.
     first_start : bool
         Whether the whole fleet starts for the first time.
     data_folder : str
         Empty if this VM has no disk.
-    beat : float
-        Seconds between two announcements of a target.
+    heartbeat_seconds : float
+        Interval between two heartbeats of a target.
     grace : float
         Seconds from SIGTERM to SIGKILL.
     key_lease : float
-        Seconds after which a withdrawn key must have stopped to work; 0 if
-        that is not asked for.
+        Seconds after which a revoked key must be rejected; 0 if the
+        deployment sets no such limit.
     retry_ratio, retry_allowance, retry_window : float
-        The budget of repeats: for each request, beside those, and the
-        seconds over which both are counted.
+        Retry budget: retries per request, retries in addition to these, and
+        the seconds over which both are counted.
     link_rate : float
-        Bytes a second that the link of this VM carries; 0 if not told.
+        Bytes per second that the link of this VM carries; 0 if unknown.
     """
 
     name: str
@@ -76,7 +76,7 @@
     link_rate: float = 0.0
 
     def keeper_addresses(self) -> list[str]:
-        """Return the addresses of the seeds' streams."""
+        """Return the addresses of the seeds' fleet ports."""
         return [f"{ip}:{self.fleet_port}" for ip in self.seeds]
 
 
@@ -86,7 +86,7 @@
     Raises
     ------
     errors.SettingsError
-        If it is missing, cut short, or lacks what a process needs.
+        If it is missing, truncated or lacks a required setting.
     """
     path = path or os.environ.get(PATH_VARIABLE, "")
     if not path:
@@ -94,44 +94,44 @@
             "no settings file", given=f"no {PATH_VARIABLE}", expected="a path"
         )
     try:
-        found = json.loads(pathlib.Path(path).read_bytes())
-        return decode(found)
+        data = json.loads(pathlib.Path(path).read_bytes())
+        return decode(data)
     except OSError as error:
         raise errors.SettingsError(
             f"{path} cannot be read", given=error.strerror, expected="a file"
         ) from error
     except (KeyError, ValueError, TypeError, AttributeError) as error:
         raise errors.SettingsError(
-            f"{path} is not usable", given=repr(error), expected="settings"
+            f"{path} is invalid", given=repr(error), expected="valid settings"
         ) from error
 
 
-def decode(found: dict) -> Node:
-    """Return the node that the decoded file describes."""
-    listen = found["listen"]
-    bounds = found["bounds"]
-    revoke = bounds.get("revoke_ms", 0) / MILLISECONDS
+def decode(data: dict) -> Node:
+    """Return the settings in the decoded file."""
+    listen = data["listen"]
+    bounds = data["bounds"]
+    revoke_seconds = bounds.get("revoke_ms", 0) / MILLISECONDS
     return Node(
-        name=found["node_name"],
-        data_centre=found["zone"],
-        ip=found["ip"],
-        fleet_port=int(found["internal_ports"][0]),
+        name=data["node_name"],
+        data_centre=data["zone"],
+        ip=data["ip"],
+        fleet_port=int(data["internal_ports"][0]),
         callers=listen.get("frontend", ""),
         health=listen.get("readiness", ""),
         control=listen.get("control", ""),
-        seeds=tuple(seed.rpartition(":")[0] for seed in found["seeds"]),
-        first_start=bool(found.get("bootstrap")),
-        data_folder=found.get("data_dir") or "",
-        heartbeat_seconds=found.get("heartbeat_ms", 1000) / MILLISECONDS,
+        seeds=tuple(seed.rpartition(":")[0] for seed in data["seeds"]),
+        first_start=bool(data.get("bootstrap")),
+        data_folder=data.get("data_dir") or "",
+        heartbeat_seconds=data.get("heartbeat_ms", 1000) / MILLISECONDS,
         grace=float(bounds.get("grace_s", 8)),
-        key_lease=revoke if bounds.get("revoke_strict") else 0.0,
+        key_lease=revoke_seconds if bounds.get("revoke_strict") else 0.0,
         retry_ratio=float(bounds.get("retry_ratio", 0.2)),
         retry_allowance=float(bounds.get("retry_allowance", 10)),
         retry_window=float(bounds.get("retry_window_s", 10)),
-        link_rate=_link_rate(found.get("limits") or {}),
+        link_rate=_link_rate(data.get("limits") or {}),
     )
 
 
 def _link_rate(limits: dict) -> float:
-    # In megabits a second.
+    # Megabits per second.
     return float(limits.get("link_mbps") or 0) * MEGABIT_BYTES
--- a/amaranthring/platform/router.py
+++ b/amaranthring/platform/router.py
@@ -1,4 +1,4 @@
-"""A router on the platform."""
+"""Creates the router of a VM on the platform."""
 
 from amaranthring import plan_router
 from amaranthring.core import links
@@ -9,7 +9,7 @@
 
 def make(node: nodes.Node) -> plan_router.PlanRouter:
     """Return the router of this VM."""
-    place = plan_router.RouterConfig(
+    config = plan_router.RouterConfig(
         name=node.name,
         data_centre=node.data_centre,
         callers=node.callers,
@@ -23,5 +23,8 @@
         retry_window=node.retry_window,
     )
     return plan_router.PlanRouter(
-        place, links.Keys(nodes.FLEET_KEY), headers.dialect(), documents.decode
+        config,
+        links.Keys(nodes.FLEET_KEY),
+        headers.dialect(),
+        documents.decode,
     )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -315,7 +315,7 @@
         made = tornado.httputil.HTTPHeaders()
         for name, value in given.items():
             made[name.replace("_", "-")] = value
-        return headers.read_answer(status, made)
+        return headers.read_response(status, made)
 
     def test_what_a_head_states(self):
         good = self.read(
