--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -1,4 +1,4 @@
-"""Chats through a router's way: whole answers, broken streams, leaving."""
+"""Chats through a router: complete, streamed, broken and resumed."""
 
 import asyncio
 import json
@@ -12,16 +12,16 @@
 
 
 class ChatCase(unittest.IsolatedAsyncioTestCase):
-    """One router before engine ``e1``; tests add more of both."""
+    """One engine ``e1``; tests add routers and further engines."""
 
     async def asyncSetUp(self):
         self.local = in_process_callers.Harness()
         self.addAsyncCleanup(self.local.close)
         self.engine = self.local.add_engine()
 
-    def assert_whole(self, answer, body, first=0):
-        """Check that `answer` is the answer to `body` from event `first`."""
-        events = in_process_callers.parse_events(answer.body)
+    def assert_complete(self, response, body, first=0):
+        """Check that `response` is complete from event `first` on."""
+        events = in_process_callers.parse_events(response.body)
         whole = engine.expected_text(body)
         skipped = "".join(whole.split(" ")[n] + " " for n in range(first))
         self.assertEqual(skipped + in_process_callers.join_text(events), whole)
@@ -29,40 +29,40 @@
         numbers = [event.number for event in events]
         self.assertEqual(numbers, list(range(first, body["max_tokens"] + 1)))
 
-    def assert_failed(self, answer, code, outcome):
-        """Check that a stream ended with one typed error and no end mark."""
-        events = in_process_callers.parse_events(answer.body)
+    def assert_failed(self, response, code, outcome):
+        """Check that a stream ended with one typed error and no end marker."""
+        events = in_process_callers.parse_events(response.body)
         self.assertEqual(events[-1].kind, "error")
         error = json.loads(events[-1].data)["error"]
         self.assertEqual((error["code"], error["outcome"]), (code, outcome))
         self.assertNotIn(engine.END_MARKER, [event.data for event in events])
 
     def assert_idle(self, router):
-        """Check that every grant was given back and nothing is counted in."""
+        """Check that every grant was released and nothing is in flight."""
         self.assertEqual(set(router.fakes.running.values()) - {0}, set())
         self.assertEqual(router.fakes.needs.drain.in_flight, 0)
 
 
 class TestStreamedChat(ChatCase):
-    """A streamed chat and what can become of its stream."""
+    """Streamed chats and failures of their streams."""
 
-    async def test_stream_is_whole_and_says_ran(self):
+    async def test_stream_is_complete_with_outcome_ran(self):
         router = self.local.add_router()
         body = in_process_callers.chat_body()
-        answer = await router.chat(body)
-        self.assert_whole(answer, body)
-        self.assertEqual(answer.headers["Amaranthring-Outcome"], "ran")
-        self.assertTrue(answer.headers["Amaranthring-Request-Id"])
-        figures = router.fakes.needs.metrics.histograms
-        self.assertIn(("first-token", "acme", "interactive"), figures)
+        response = await router.chat(body)
+        self.assert_complete(response, body)
+        self.assertEqual(response.headers["Amaranthring-Outcome"], "ran")
+        self.assertTrue(response.headers["Amaranthring-Request-Id"])
+        histograms = router.fakes.needs.metrics.histograms
+        self.assertIn(("first-token", "acme", "interactive"), histograms)
         self.assert_idle(router)
 
-    async def test_bad_event_is_never_passed_on(self):
-        """A caller would read a hole, words twice, or another's words.
+    async def test_wrong_event_is_never_forwarded(self):
+        """The caller would see a gap, repeated text or another stream's text.
 
         The engine leaves out, repeats or swaps events, sends one of another
-        stream, or sends no event at all. The router must notice at the
-        first wrong event and fetch the rest anew from the same engine.
+        stream, or sends no event at all. The router must detect the first
+        wrong event and fetch the rest from the same engine.
         """
         router = self.local.add_router()
         faults = ("gap", "twice", "reorder", "foreign", "garbage")
@@ -71,55 +71,55 @@
                 body = in_process_callers.chat_body(
                     stand_in={"fault": fault, "at": 3}
                 )
-                self.assert_whole(await router.chat(body), body)
+                self.assert_complete(await router.chat(body), body)
         self.assertEqual(router.fakes.needs.metrics.counters["way.resumed"], 6)
         self.assert_idle(router)
 
-    async def test_broken_off_within_one_read_of_many_events(self):
-        """Events before a hole in the same read must not be lost."""
+    async def test_gap_within_one_read_of_many_events(self):
+        """Events before a gap in the same read must not be lost."""
         router = self.local.add_router()
         fault = {"fault": "gap", "at": 30}
         body = in_process_callers.chat_body(
             tokens=60, stand_in_batch=50, stand_in=fault
         )
-        self.assert_whole(await router.chat(body), body)
+        self.assert_complete(await router.chat(body), body)
 
-    async def test_dead_engine_before_the_first_token(self):
-        """The caller has seen nothing, so the chat runs again elsewhere."""
+    async def test_engine_crash_before_the_first_token(self):
+        """The caller has received nothing, so the chat is run elsewhere."""
         self.local.add_engine("e2")
         router = self.local.add_router()
         body = in_process_callers.chat_body()
         self.engine.planned_fault = {"fault": "crash", "at": 0, "times": 1}
-        self.assert_whole(await router.chat(body), body)
+        self.assert_complete(await router.chat(body), body)
         self.assertEqual([t for _, t in router.fakes.crash_reports], ["e1"])
         self.assert_idle(router)
 
-    async def test_dead_engine_in_the_middle_is_continued_elsewhere(self):
-        """The caller holds half an answer when the engine's VM goes.
+    async def test_engine_crash_in_a_stream_is_continued_elsewhere(self):
+        """An engine crashes after the caller received half of the response.
 
-        A second run from the start would say other words, so the other
-        engine gets the text that was sent and goes on behind it.
+        A second run from the start would give other text, so the other engine
+        continues the text that was sent.
         """
         other = self.local.add_engine("e2")
         router = self.local.add_router()
         body = in_process_callers.chat_body()
         self.engine.planned_fault = {"fault": "crash", "at": 3, "times": 1}
-        self.assert_whole(await router.chat(body), body)
+        self.assert_complete(await router.chat(body), body)
         self.assertEqual(other.runs[0]["start"], 3)
 
-    async def test_engine_that_cannot_continue_is_not_believed(self):
-        """Half an answer must not be joined to half of another one.
+    async def test_engine_that_does_not_continue_is_rejected(self):
+        """Halves of two different responses must not be joined.
 
         The other engine ignores the text that it should continue and starts
-        anew; its numbers alone would look like a repeated stream.
+        anew; its event numbers alone would look like a repeated stream.
         """
         self.local.add_engine("e2", continues=False)
         router = self.local.add_router()
         self.engine.planned_fault = {"fault": "crash", "at": 3, "times": 1}
-        answer = await router.chat(in_process_callers.chat_body())
-        self.assert_failed(answer, "upstream", "unknown")
+        response = await router.chat(in_process_callers.chat_body())
+        self.assert_failed(response, "upstream", "unknown")
         seen = in_process_callers.join_text(
-            in_process_callers.parse_events(answer.body)
+            in_process_callers.parse_events(response.body)
         )
         self.assertTrue(
             engine.expected_text(in_process_callers.chat_body()).startswith(
@@ -128,7 +128,7 @@
         )
 
     async def test_no_retry_without_budget(self):
-        """Engines that live and fail are spared a storm of repeats."""
+        """Failing engines must not get a storm of retries."""
         self.local.add_engine("e2")
         router = self.local.add_router()
         router.fakes.retries_left = 0
@@ -138,28 +138,27 @@
                 "at": 0,
                 "times": 1,
             }
-            answer = await router.chat(in_process_callers.chat_body())
-            self.assertEqual(answer.code, 502)
-            outcome = answer.headers["Amaranthring-Outcome"]
+            response = await router.chat(in_process_callers.chat_body())
+            self.assertEqual(response.code, 502)
+            outcome = response.headers["Amaranthring-Outcome"]
             self.assertEqual(outcome, "unknown")
         self.assertEqual(self.local.engines["e2"].runs, [])
 
-    async def test_death_of_an_engine_costs_no_budget(self):
-        """An engine dies with many chats of a small account under way.
+    async def test_engine_crash_is_not_charged_to_the_budget(self):
+        """An engine crashes with many chats of a small account in flight.
 
-        The first two took all of the account's budget; the others were
-        refused, though another engine had room and nobody had failed them
-        but the one that is gone.
+        Charged to the budget, the first retries would exhaust it, and the
+        other chats would be rejected although another engine has capacity.
         """
         self.local.add_engine("e2")
         router = self.local.add_router()
         router.fakes.retries_left = 0
         self.engine.planned_fault = {"fault": "crash", "at": 0, "times": 1}
-        answer = await router.chat(in_process_callers.chat_body())
-        self.assertEqual(answer.code, 200)
-        self.assert_whole(answer, in_process_callers.chat_body())
+        response = await router.chat(in_process_callers.chat_body())
+        self.assertEqual(response.code, 200)
+        self.assert_complete(response, in_process_callers.chat_body())
 
-    async def test_silent_engine_is_left_after_the_token_timeout(self):
+    async def test_silent_engine_is_replaced_after_the_token_timeout(self):
         self.local.add_engine("e2")
         router = self.local.add_router()
         router.fakes.preset.first_token_seconds = 1.0
@@ -172,14 +171,14 @@
                     "times": 1,
                 }
                 body = in_process_callers.chat_body(f"{fault} at {at}")
-                self.assert_whole(await router.chat(body), body)
+                self.assert_complete(await router.chat(body), body)
         self.assert_idle(router)
 
-    async def test_engine_that_membership_gave_up(self):
-        """An engine's VM freezes: nothing breaks, nothing comes.
+    async def test_engine_that_membership_declares_lost(self):
+        """An engine's VM freezes: no connection breaks and no data arrives.
 
-        Membership knows after the lease; the caller must not wait for the
-        token timeout, which is far longer.
+        Membership declares it lost after its lease; the caller must not
+        wait for the token timeout, which is far longer.
         """
         self.local.add_engine("e2")
         router = self.local.add_router()
@@ -189,10 +188,10 @@
         waiting = asyncio.ensure_future(router.chat(body))
         await in_process_callers.wait_until(lambda: self.engine.slots.running)
         router.fakes.lose("e1")
-        self.assert_whole(await waiting, body)
+        self.assert_complete(await waiting, body)
 
-    async def test_request_that_crashes_two_engines_is_refused(self):
-        """One poisoned chat takes an engine down at each send."""
+    async def test_request_that_crashes_two_engines_is_rejected(self):
+        """A chat crashes every engine that receives it."""
         for name in ("e2", "e3"):
             self.local.add_engine(name)
         router = self.local.add_router()
@@ -206,78 +205,78 @@
         self.assertEqual(again.headers["Amaranthring-Outcome"], "not-run")
         self.assertEqual(self.local.engines["e3"].runs, [])
 
-    async def test_no_engine_says_not_run(self):
+    async def test_unreachable_engine_gives_not_run(self):
         router = self.local.add_router()
         await self.local.stop("e1")
-        answer = await router.chat(in_process_callers.chat_body())
-        self.assertEqual(answer.code, 502)
-        self.assertEqual(answer.headers["Amaranthring-Outcome"], "not-run")
-        self.assertIn("Retry-After", answer.headers)
+        response = await router.chat(in_process_callers.chat_body())
+        self.assertEqual(response.code, 502)
+        self.assertEqual(response.headers["Amaranthring-Outcome"], "not-run")
+        self.assertIn("Retry-After", response.headers)
         self.assertEqual(self.engine.runs, [])
 
 
-class TestWholeChat(ChatCase):
-    """A chat answered as one JSON document."""
+class TestCompleteChat(ChatCase):
+    """Chats with a single JSON document as response."""
 
-    async def test_whole_answer_in_json(self):
+    async def test_complete_response_in_json(self):
         router = self.local.add_router()
         body = in_process_callers.chat_body(stream=False)
-        answer = await router.chat(body)
-        choice = json.loads(answer.body)["choices"][0]
+        response = await router.chat(body)
+        choice = json.loads(response.body)["choices"][0]
         expected = engine.expected_text(body)
         self.assertEqual(choice["message"]["content"], expected)
 
-    async def test_bad_answer_is_replaced_by_a_whole_one(self):
-        """Cut off, another request's, or an error of the engine."""
+    async def test_bad_response_is_retried_elsewhere(self):
+        """Broken off, another request's, or an error of the engine."""
         self.local.add_engine("e2")
         router = self.local.add_router()
         for fault in ("drop", "truncate", "foreign-answer", "status"):
             with self.subTest(fault):
                 self.engine.planned_fault = {"fault": fault, "times": 1}
                 body = in_process_callers.chat_body(fault, stream=False)
-                answer = await router.chat(body)
-                choice = json.loads(answer.body)["choices"][0]
+                response = await router.chat(body)
+                choice = json.loads(response.body)["choices"][0]
                 expected = engine.expected_text(body)
                 self.assertEqual(choice["message"]["content"], expected)
         self.assert_idle(router)
 
-    async def test_second_engine_out_of_reach_is_no_not_run(self):
-        """The first engine ran it and broke off; the second saw nothing."""
+    async def test_outcome_stays_unknown_if_the_retry_is_not_sent(self):
+        """The first engine ran it and broke off; the second got nothing."""
         self.local.add_engine("e2")
         router = self.local.add_router()
         await self.local.stop("e2")
         body = in_process_callers.chat_body(
             stream=False, stand_in={"fault": "drop"}
         )
-        answer = await router.chat(body)
-        self.assertEqual(answer.headers["Amaranthring-Outcome"], "unknown")
+        response = await router.chat(body)
+        self.assertEqual(response.headers["Amaranthring-Outcome"], "unknown")
         self.assertEqual(len(self.engine.runs), 1)
 
-    async def test_refused_by_all_engines_says_not_run(self):
+    async def test_rejection_by_all_engines_gives_not_run(self):
         router = self.local.add_router()
         body = in_process_callers.chat_body(
             stream=False, stand_in={"fault": "refuse"}
         )
-        answer = await router.chat(body)
-        self.assertEqual(answer.headers["Amaranthring-Outcome"], "not-run")
+        response = await router.chat(body)
+        self.assertEqual(response.headers["Amaranthring-Outcome"], "not-run")
         self.assertEqual(self.engine.runs, [])
 
-    async def test_late_answer_is_given_up_at_the_deadline(self):
+    async def test_late_response_times_out_at_the_deadline(self):
         router = self.local.add_router()
         body = in_process_callers.chat_body(
             stream=False, stand_in={"fault": "hang"}
         )
-        answer = await router.chat(body, Amaranthring_Deadline="0.5")
-        self.assertEqual(answer.code, 504)
-        self.assertEqual(answer.headers["Amaranthring-Outcome"], "unknown")
-        self.assertIn("Retry-After", answer.headers)
+        response = await router.chat(body, Amaranthring_Deadline="0.5")
+        self.assertEqual(response.code, 504)
+        self.assertEqual(response.headers["Amaranthring-Outcome"], "unknown")
+        self.assertIn("Retry-After", response.headers)
 
 
 class TestResume(ChatCase):
-    """A caller that comes back with ``Last-Event-ID``."""
+    """Callers that reconnect with ``Last-Event-ID``."""
 
-    async def half(self, router, tokens=8):
-        """Read a few events, leave, and return the body and the last id."""
+    async def read_half(self, router, tokens=8):
+        """Read a few events, disconnect, and return the body and last id."""
         body = in_process_callers.chat_body(
             tokens=tokens, stand_in={"fault": "hang", "at": 3}
         )
@@ -291,16 +290,16 @@
         )
         return body, ids[-1][4:].decode()
 
-    async def test_comes_back_through_another_router(self):
-        body, last = await self.half(self.local.add_router())
+    async def test_resume_through_another_router(self):
+        body, last = await self.read_half(self.local.add_router())
         other = self.local.add_router()
-        answer = await other.chat({}, Last_Event_ID=last)
-        self.assert_whole(answer, body, first=3)
+        response = await other.chat({}, Last_Event_ID=last)
+        self.assert_complete(response, body, first=3)
         self.assertEqual(len(self.engine.runs), 1)
 
-    async def test_token_of_another_account_or_forged_is_refused(self):
+    async def test_forged_or_foreign_tokens_are_rejected(self):
         router = self.local.add_router()
-        _, last = await self.half(router)
+        _, last = await self.read_half(router)
         head, mac, number = last.split(".")
         bad = [f"{head}.{mac[::-1]}.{number}", f"A{head}.{mac}.{number}"]
         bad += ["x", "a.b.c", f"{head}.{mac}.-1", f"{head}.{mac}", "ü.é.1"]
@@ -308,27 +307,27 @@
         sent += [(last, fake_dependencies.OTHER_TOKEN)]
         for token, account in sent:
             with self.subTest(token):
-                answer = await router.post(
+                response = await router.post(
                     "/v1/chat/completions", {}, account, Last_Event_ID=token
                 )
-                code = json.loads(answer.body)["error"]["code"]
-                self.assertEqual((answer.code, code), (409, "resume"))
+                code = json.loads(response.body)["error"]["code"]
+                self.assertEqual((response.code, code), (409, "resume"))
         self.assertEqual(len(self.engine.runs), 1)
 
-    async def test_engine_that_restarted_has_lost_the_stream(self):
+    async def test_restarted_engine_has_lost_the_stream(self):
         router = self.local.add_router()
-        _, last = await self.half(router)
+        _, last = await self.read_half(router)
         self.engine.streams.clear()
-        answer = await router.chat({}, Last_Event_ID=last)
-        self.assertEqual(answer.code, 409)
-        self.assertEqual(answer.headers["Amaranthring-Outcome"], "unknown")
+        response = await router.chat({}, Last_Event_ID=last)
+        self.assertEqual(response.code, 409)
+        self.assertEqual(response.headers["Amaranthring-Outcome"], "unknown")
 
 
 class TestCaller(ChatCase):
-    """Callers that leave, read slowly, or come while the router stops."""
+    """Callers that disconnect, read slowly, or come while a router stops."""
 
-    async def test_caller_that_leaves_frees_the_engine(self):
-        """A shopkeeper's phone loses the line in the middle of an answer."""
+    async def test_disconnect_frees_the_engine(self):
+        """A caller disconnects in the middle of a response."""
         router = self.local.add_router()
         for stream in (True, False):
             with self.subTest(stream=stream):
@@ -350,11 +349,11 @@
                 )
                 self.assert_idle(router)
 
-    async def test_slow_reader_holds_the_engine_not_the_memory(self):
-        """A caller stops reading in a long answer.
+    async def test_slow_reader_applies_backpressure(self):
+        """A caller stops reading in a long response.
 
-        Without backpressure the router would buffer all of it. The bound is
-        far below the answer, of which the kernel's buffers hold a part.
+        Without backpressure the router would buffer all of it. The limit is
+        far below the response, of which the kernel buffers a part.
         """
         router = self.local.add_router()
         tokens = 120_000
@@ -375,8 +374,8 @@
             rest = await stream.read_until(b"data: [DONE]\n\n")
         self.assertIn(f".{tokens - 1}\n".encode(), rest)
 
-    async def test_reader_that_stopped_for_good_is_cut_off(self):
-        """Its engine's slot must not stay taken, nor the chat run again."""
+    async def test_stalled_reader_is_disconnected(self):
+        """Its engine's slot must be freed, and the chat must not run again."""
         self.local.section.idle_seconds = 0.5
         self.local.add_engine("e2")
         router = self.local.add_router()
@@ -392,7 +391,9 @@
         )
         self.assert_idle(router)
 
-    async def test_stopping_router_ends_what_runs_and_takes_no_more(self):
+    async def test_stopping_router_finishes_running_requests_only(
+        self,
+    ):
         router = self.local.add_router()
         body = in_process_callers.chat_body(tokens=40)
         self.engine.token_seconds = 0.01
@@ -405,16 +406,16 @@
         self.assertEqual(refused.headers["Amaranthring-Outcome"], "not-run")
         self.assertIn("Retry-After", refused.headers)
         self.assertTrue(await drain.wait_idle(10))
-        self.assert_whole(await running, body)
+        self.assert_complete(await running, body)
 
-    async def test_limits_and_admission_are_told_with_retry_after(self):
+    async def test_rate_limit_and_full_queue_are_reported(self):
         router = self.local.add_router()
         limited = errors.RateLimitedError("above the rate", retry_after=2.5)
         router.fakes.limit_error = limited
-        answer = await router.chat(in_process_callers.chat_body())
-        self.assertEqual(answer.code, 429)
-        self.assertEqual(answer.headers["Retry-After"], "3")
+        response = await router.chat(in_process_callers.chat_body())
+        self.assertEqual(response.code, 429)
+        self.assertEqual(response.headers["Retry-After"], "3")
         router.fakes.limit_error = None
         router.fakes.admit_error = errors.QueueFullError("full")
-        answer = await router.chat(in_process_callers.chat_body())
-        self.assertEqual((answer.code, self.engine.runs), (503, []))
+        response = await router.chat(in_process_callers.chat_body())
+        self.assertEqual((response.code, self.engine.runs), (503, []))
--- a/tests/test_handlers.py
+++ b/tests/test_handlers.py
@@ -1,4 +1,4 @@
-"""Bad input from callers: each gets one typed answer, and nothing is lost."""
+"""Invalid input from callers: one typed error each, and nothing runs."""
 
 import asyncio
 import json
@@ -7,16 +7,16 @@
 from amaranthring.testing import fake_dependencies
 from amaranthring.testing import in_process_callers
 
-BODY_MOST = 20_000
+MAX_BODY_BYTES = 20_000
 AUTHORIZED = f"Authorization: Bearer {fake_dependencies.TOKEN}\r\n"
 
 
-class TestBadInput(unittest.IsolatedAsyncioTestCase):
-    """One router with small bounds before an engine and a replica."""
+class TestInvalidInput(unittest.IsolatedAsyncioTestCase):
+    """One router with small limits before an engine and a replica."""
 
     async def asyncSetUp(self):
         self.local = in_process_callers.Harness(
-            body_bytes_most=BODY_MOST,
+            body_bytes_most=MAX_BODY_BYTES,
             header_bytes_most=4096,
             header_seconds=0.3,
             body_seconds=1.0,
@@ -26,26 +26,26 @@
         self.replica = self.local.add_booking()
         self.router = self.local.add_router()
 
-    def assert_refused(self, answer, status, code):
-        """Check the typed form, and that nothing ran or is still counted."""
-        error = json.loads(answer.body)["error"]
-        self.assertEqual((answer.code, error["code"]), (status, code))
-        self.assertEqual(answer.headers["Amaranthring-Outcome"], "not-run")
+    def assert_rejected(self, response, status, code):
+        """Check the typed error, and that nothing ran or is in flight."""
+        error = json.loads(response.body)["error"]
+        self.assertEqual((response.code, error["code"]), (status, code))
+        self.assertEqual(response.headers["Amaranthring-Outcome"], "not-run")
         self.assertEqual(error["outcome"], "not-run")
-        name = answer.headers["Amaranthring-Request-Id"]
+        name = response.headers["Amaranthring-Request-Id"]
         self.assertEqual(error["request_id"], name)
         self.assertTrue(error["message"] and error["expected"])
         self.assertEqual((self.engine.runs, self.replica.received), ([], 0))
         self.assertEqual(self.router.fakes.needs.drain.in_flight, 0)
 
-    async def raw_answer(self, data, rest=b""):
-        """Send raw bytes and return all that comes until the close."""
+    async def raw_response(self, data, rest=b""):
+        """Send raw bytes and return everything received until the close."""
         async with self.router.raw(data) as stream:
             if rest:
                 await stream.write(rest)
             return await asyncio.wait_for(stream.read_until_close(), 20)
 
-    async def test_body_that_is_no_chat(self):
+    async def test_invalid_chat_bodies_are_rejected(self):
         message = {"role": "user", "content": "x"}
         bad = [
             b"",
@@ -62,27 +62,27 @@
         ]
         for body in bad:
             with self.subTest(body):
-                answer = await self.router.chat(body)
-                self.assert_refused(answer, 400, "bad-request")
+                response = await self.router.chat(body)
+                self.assert_rejected(response, 400, "bad-request")
 
     async def test_unknown_model_service_path_and_method(self):
-        answer = await self.router.chat(
+        response = await self.router.chat(
             in_process_callers.chat_body(model="nix")
         )
-        self.assert_refused(answer, 404, "not-found")
-        answer = await self.router.post("/services/nix/x", {})
-        self.assert_refused(answer, 404, "not-found")
-        answer = await self.router.post("/v1/nix", {})
-        self.assert_refused(answer, 404, "not-found")
-        answer = await self.router.post("/v1/models", {})
-        self.assert_refused(answer, 405, "method")
+        self.assert_rejected(response, 404, "not-found")
+        response = await self.router.post("/services/nix/x", {})
+        self.assert_rejected(response, 404, "not-found")
+        response = await self.router.post("/v1/nix", {})
+        self.assert_rejected(response, 404, "not-found")
+        response = await self.router.post("/v1/models", {})
+        self.assert_rejected(response, 405, "method")
 
     async def test_unknown_account(self):
         for token in ("wrong", ""):
-            answer = await self.router.post(
+            response = await self.router.post(
                 "/v1/chat/completions", in_process_callers.chat_body(), token
             )
-            self.assert_refused(answer, 401, "unauthenticated")
+            self.assert_rejected(response, 401, "unauthenticated")
 
     async def test_malformed_headers(self):
         bad = [
@@ -93,55 +93,55 @@
         ]
         for headers in bad:
             with self.subTest(headers):
-                answer = await self.router.chat(
+                response = await self.router.chat(
                     in_process_callers.chat_body(), **headers
                 )
-                self.assert_refused(answer, 400, "bad-request")
+                self.assert_rejected(response, 400, "bad-request")
         for key in ("two words", "x" * 256):
-            answer = await self.router.post(
+            response = await self.router.post(
                 "/services/booking/x",
                 {},
                 Idempotency_Key=key,
                 Amaranthring_First_Send="1",
             )
-            self.assert_refused(answer, 400, "bad-request")
+            self.assert_rejected(response, 400, "bad-request")
 
-    async def test_body_above_the_bound(self):
-        """The answer must survive what is left of the body.
+    async def test_too_large_body_gets_a_response(self):
+        """The response must arrive although the body is not read whole.
 
-        A router that answers and closes on unread bytes resets the
-        connection, and its caller sees no answer at all.
+        A router that responds and closes on unread bytes resets the
+        connection, and its caller gets no response at all.
         """
         data = in_process_callers.raw_chat_request(
-            in_process_callers.chat_body("x" * 400 * BODY_MOST)
+            in_process_callers.chat_body("x" * 400 * MAX_BODY_BYTES)
         )
         async with self.router.raw(data) as stream:
-            answer = await stream.read_until(b'"request_id"')
-        self.assertIn(b" 413 ", answer.split(b"\r\n")[0])
-        self.assertIn(b"too-large", answer)
+            response = await stream.read_until(b'"request_id"')
+        self.assertIn(b" 413 ", response.split(b"\r\n")[0])
+        self.assertIn(b"too-large", response)
         self.assertEqual(self.engine.runs, [])
 
-    async def test_chunked_body_above_the_bound(self):
+    async def test_too_large_chunked_body_is_rejected(self):
         head = (
             "POST /v1/chat/completions HTTP/1.1\r\nHost: r\r\n"
             f"{AUTHORIZED}Transfer-Encoding: chunked\r\n\r\n"
         ).encode()
         chunk = b"4000\r\n" + b"x" * 0x4000 + b"\r\n"
-        answer = await self.raw_answer(head + chunk * 4 + b"0\r\n\r\n")
-        self.assertIn(b" 413 ", answer.split(b"\r\n")[0])
-        self.assertIn(b"too-large", answer)
+        response = await self.raw_response(head + chunk * 4 + b"0\r\n\r\n")
+        self.assertIn(b" 413 ", response.split(b"\r\n")[0])
+        self.assertIn(b"too-large", response)
 
-    async def test_headers_above_the_bound(self):
-        answer = await self.router.chat(
+    async def test_too_large_headers_are_rejected(self):
+        response = await self.router.chat(
             in_process_callers.chat_body(), X_Long="x" * 5000
         )
-        self.assert_refused(answer, 431, "headers-too-large")
+        self.assert_rejected(response, 431, "headers-too-large")
 
-    async def test_slow_headers_are_refused_while_idle_is_not(self):
+    async def test_slow_headers_are_rejected_but_idle_is_allowed(self):
         async with self.router.raw(b"") as idle:
-            answer = await self.raw_answer(b"POST /v1/chat/comple")
-            self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
-            self.assertIn(b"headers-late", answer)
+            response = await self.raw_response(b"POST /v1/chat/comple")
+            self.assertIn(b" 408 ", response.split(b"\r\n")[0])
+            self.assertIn(b"headers-late", response)
             await idle.write(
                 in_process_callers.raw_chat_request(
                     in_process_callers.chat_body()
@@ -149,16 +149,16 @@
             )
             await idle.read_until(b"data: [DONE]")
 
-    async def test_slow_body_is_refused(self):
+    async def test_slow_body_is_rejected(self):
         data = in_process_callers.raw_chat_request(
             in_process_callers.chat_body()
         )
-        answer = await self.raw_answer(data[:-10])
-        self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
-        self.assertIn(b"body-late", answer)
+        response = await self.raw_response(data[:-10])
+        self.assertIn(b" 408 ", response.split(b"\r\n")[0])
+        self.assertIn(b"body-late", response)
         self.assertEqual(self.engine.runs, [])
 
-    async def test_caller_that_leaves_within_its_body(self):
+    async def test_caller_that_disconnects_within_its_body(self):
         data = in_process_callers.raw_chat_request(
             in_process_callers.chat_body()
         )
@@ -170,7 +170,7 @@
             lambda: not self.router.fakes.needs.drain.in_flight
         )
 
-    async def test_connection_is_kept_alive_after_a_refusal(self):
+    async def test_connection_is_kept_alive_after_an_error(self):
         bad = in_process_callers.raw_chat_request(
             in_process_callers.chat_body(model="nix")
         )
@@ -183,23 +183,23 @@
             )
             await stream.read_until(b"data: [DONE]")
 
-    async def test_http_1_0_caller_gets_no_chunks(self):
+    async def test_http_1_0_response_is_not_chunked(self):
         data = in_process_callers.raw_chat_request(
             in_process_callers.chat_body()
         ).replace(b"HTTP/1.1", b"HTTP/1.0")
-        answer = await self.raw_answer(data)
-        head, _, body = answer.partition(b"\r\n\r\n")
+        response = await self.raw_response(data)
+        head, _, body = response.partition(b"\r\n\r\n")
         self.assertNotIn(b"chunked", head)
         self.assertEqual(
             in_process_callers.parse_events(body)[-1].data, "[DONE]"
         )
 
     async def test_query_and_method_reach_the_service(self):
-        answer = await self.router.client.fetch(
+        response = await self.router.client.fetch(
             f"http://127.0.0.1:{self.router.port}/services/booking/a/b?c=d",
             method="DELETE",
             headers={"Authorization": f"Bearer {fake_dependencies.TOKEN}"},
         )
-        self.assertEqual(answer.code, 200)
+        self.assertEqual(response.code, 200)
         (run,) = self.replica.runs
         self.assertEqual((run["method"], run["path"]), ("DELETE", "/a/b"))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: settings, documents, headers and calls of the platform."""
+"""Platform adapter: settings, documents, headers and calls."""
 
 import json
 import os
@@ -96,14 +96,14 @@
 }
 
 
-def changed(**fields):
+def changed_document(**fields):
     return json.dumps(DOCUMENT | fields).encode()
 
 
 class TestSettings(unittest.TestCase):
-    """The file that the platform writes for each process."""
+    """The settings file that the platform writes for each process."""
 
-    def test_fields_are_decoded_and_unknown_ones_passed_over(self):
+    def test_fields_are_decoded_and_unknown_ones_ignored(self):
         found = node.decode(SETTINGS)
         self.assertEqual("10.0.0.3:8080", found.control)
         self.assertEqual("", found.callers)
@@ -114,12 +114,12 @@
         self.assertEqual(1.2, found.heartbeat_seconds)
         self.assertTrue(found.first_start)
 
-    def test_no_lease_where_withdrawals_are_not_strict(self):
+    def test_no_key_lease_without_strict_revocation(self):
         bounds = SETTINGS["bounds"] | {"revoke_strict": False}
         found = node.decode(SETTINGS | {"bounds": bounds})
         self.assertEqual(0.0, found.key_lease)
 
-    def test_broken_files(self):
+    def test_invalid_files_are_rejected(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "node.json")
             with self.assertRaises(errors.SettingsError):
@@ -158,20 +158,22 @@
         self.assertEqual(1, second.attempts_most)
         engine = plan.services[0].engine
         self.assertEqual(64, engine.slots)
-        # 740 Gbit/s are 92.5 GB a second.
+        # 740 Gbit/s are 92.5 GB/s.
         self.assertAlmostEqual(92.5e9 / 18432, engine.copy_rate)
         self.assertIsNone(plan.services[1].engine)
         self.assertEqual(("k1", "k2"), plan.accounts[0].keys)
         self.assertEqual(15.0, plan.bounds.idle_seconds)
 
-    def test_unknown_fields_are_passed_over(self):
-        self.assertEqual(7, documents.decode(changed(later={"x": 1})).version)
+    def test_unknown_fields_are_ignored(self):
+        self.assertEqual(
+            7, documents.decode(changed_document(later={"x": 1})).version
+        )
 
-    def test_invalid_documents(self):
+    def test_invalid_documents_are_rejected(self):
         route = DOCUMENT["routes"][1]
 
-        def one(**fields):
-            return changed(routes=[route | fields])
+        def changed_route(**fields):
+            return changed_document(routes=[route | fields])
 
         tenants = [
             {"name": "a", "api_keys": ["k"]},
@@ -182,17 +184,17 @@
             b"[]",
             b"\xff\xfe",
             json.dumps(DOCUMENT).encode()[:-20],
-            changed(version="7"),
-            changed(version=True),
-            changed(routes=None),
-            changed(routes=[route, route | {"name": "r3"}]),
-            changed(tenants=tenants),
-            one(backend="nobody"),
-            one(timeout_ms=0),
-            one(timeout_ms="600"),
-            one(route_type="odd"),
-            one(split=[{"backend": "b1", "weight": 0}]),
-            one(split=[]),
+            changed_document(version="7"),
+            changed_document(version=True),
+            changed_document(routes=None),
+            changed_document(routes=[route, route | {"name": "r3"}]),
+            changed_document(tenants=tenants),
+            changed_route(backend="nobody"),
+            changed_route(timeout_ms=0),
+            changed_route(timeout_ms="600"),
+            changed_route(route_type="odd"),
+            changed_route(split=[{"backend": "b1", "weight": 0}]),
+            changed_route(split=[]),
         ]
         for document in bad:
             with self.assertRaises(errors.InvalidPlanError):
@@ -201,15 +203,15 @@
 
 
 def request(**given):
-    made = tornado.httputil.HTTPHeaders({"Host": "h"})
+    http_headers = tornado.httputil.HTTPHeaders({"Host": "h"})
     for name, value in given.items():
-        made[name.replace("_", "-")] = value
+        http_headers[name.replace("_", "-")] = value
     line = tornado.httputil.RequestStartLine("POST", "/a/x?q=1", "HTTP/1.1")
-    return headers.read_request(line, made, 10.0)
+    return headers.read_request(line, http_headers, 10.0)
 
 
 class TestRequests(unittest.TestCase):
-    """Heads of callers' requests, and what targets are sent."""
+    """Heads of callers' requests, and headers sent to targets."""
 
     def test_head_is_decoded(self):
         found = request(
@@ -227,7 +229,7 @@
         self.assertEqual("/a/x", found.path)
         self.assertEqual("/a/x?q=1", found.uri)
 
-    def test_malformed_heads_are_refused(self):
+    def test_malformed_heads_are_rejected(self):
         for bad in (
             {"Amaranthring_Deadline_Ms": "-5"},
             {"Amaranthring_Deadline_Ms": "soon"},
@@ -236,7 +238,7 @@
             with self.assertRaises(errors.BadRequestError):
                 request(**bad)
 
-    def test_target_is_sent_what_is_the_callers_and_nothing_forged(self):
+    def test_target_gets_the_callers_headers_but_no_forged_ones(self):
         found = request(
             Amaranthring_Request_Id="r1",
             Amaranthring_Tenant="forged",
@@ -268,11 +270,12 @@
         ):
             self.assertNotIn(name, sent)
 
-    def test_no_header_of_the_fleet_comes_from_a_caller(self):
-        """A caller names a reservation that no engine knows.
+    def test_reserved_headers_of_callers_are_removed(self):
+        """Headers that only the fleet may set are removed.
 
-        Every engine refuses such a request; passed on, it also lets a caller
-        take the memory of others or go before them.
+        Every engine rejects a request with an unknown reservation; other
+        headers would let a caller take the memory of others or raise its
+        priority.
         """
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
         for name in (
@@ -293,7 +296,7 @@
                 sent = headers.request_headers(found, sending)
                 self.assertNotIn("9", sent.values())
 
-    def test_target_is_told_where_to_copy_the_prompt_from(self):
+    def test_target_gets_the_source_of_the_prompt_copy(self):
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
         sending = records.AttemptInfo(target, "t1", 1.0, copy_from="v:2")
         sent = headers.request_headers(request(), sending)
@@ -308,16 +311,16 @@
         self.assertNotIn("Amaranthring-Tenant", sent)
 
 
-class TestAnswers(unittest.TestCase):
-    """Heads of targets' answers."""
+class TestResponses(unittest.TestCase):
+    """Heads of targets' responses."""
 
     def read(self, status=200, **given):
-        made = tornado.httputil.HTTPHeaders()
+        http_headers = tornado.httputil.HTTPHeaders()
         for name, value in given.items():
-            made[name.replace("_", "-")] = value
-        return headers.read_response(status, made)
+            http_headers[name.replace("_", "-")] = value
+        return headers.read_response(status, http_headers)
 
-    def test_what_a_head_states(self):
+    def test_response_head_is_decoded(self):
         good = self.read(
             Amaranthring_Request_Id="r1",
             Amaranthring_Replica_Signature="x",
@@ -332,14 +335,14 @@
         self.assertTrue(self.read(421).other_target)
         self.assertTrue(self.read(Content_Encoding="gzip").encoded)
 
-    def test_odd_load_is_no_load(self):
+    def test_malformed_load_is_ignored(self):
         for value in ("", "1,2", "a,b,c", "-1,0,1"):
             found = self.read(Amaranthring_Replica_Load=value)
             self.assertIsNone(found.load)
 
 
 class FakeHub:
-    """Takes what the calls lead to."""
+    """Records what the calls pass to the hub."""
 
     def __init__(self):
         self.announced = []
@@ -429,7 +432,7 @@
         }
         return json.dumps(body | fields).encode()
 
-    async def test_start_under_the_same_id_is_another(self):
+    async def test_restart_under_the_same_id_is_a_new_target(self):
         path = "/Replicas.Heartbeat/i-1"
         for born in (1_700_000_000_000, 1_700_000_009_000):
             await self.call("POST", path, self.heartbeat(born=born))
@@ -444,11 +447,11 @@
         )
         self.assertEqual([("i-1", 1_700_000_009_000)], self.hub.left)
 
-    async def test_words_of_another_writer_name_no_target(self):
-        """Something else writes announcements, some of them malformed.
+    async def test_malformed_calls_are_rejected(self):
+        """Malformed calls must not announce or remove a target.
 
-        Taken for a target, one gets requests that nobody answers; taken for
-        a known one, it takes a sound target out.
+        Accepted as a new target, one would get requests that nobody answers;
+        accepted as a known target, it would take a healthy one out.
         """
         path = "/Replicas.Heartbeat/i-1"
         for odd in (
@@ -469,13 +472,13 @@
             with self.subTest(odd), self.assertRaises(errors.BadRequestError):
                 await self.call("POST", path, self.heartbeat(**odd))
         for odd in (b"\xff\x00", b"[" * 9, b'"text"', b"17"):
-            for way in (path, "/Replicas.Deregister/i-1"):
+            for call_path in (path, "/Replicas.Deregister/i-1"):
                 with self.assertRaises(errors.BadRequestError):
-                    await self.call("POST", way, odd)
+                    await self.call("POST", call_path, odd)
         self.assertEqual(([], []), (self.hub.announced, self.hub.left))
         self.assertEqual(21, len(self.hub.refused))
 
-    async def test_service_that_no_plan_names(self):
+    async def test_heartbeat_of_an_unknown_service(self):
         document = json.dumps(DOCUMENT).encode()
         await self.call("POST", "/Configuration.Replace", document)
         path = "/Replicas.Heartbeat/i-1"
@@ -487,14 +490,14 @@
         await self.call("POST", path, self.heartbeat())
         self.assertEqual(1, len(self.hub.announced))
 
-    async def test_other_calls_are_not_found(self):
+    async def test_unknown_calls_are_not_found(self):
         for method, path in (("GET", "/"), ("GET", "/Configuration.Replace")):
             with self.assertRaises(errors.NotFoundError):
                 await self.call(method, path)
 
 
 class TestBoundary(unittest.TestCase):
-    """No other module knows the platform's names."""
+    """No other package uses the platform's names."""
 
     def test_names_stay_in_the_adapter(self):
         names = re.compile(
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Plain services: at most once, and what callers are told about it."""
+"""Plain services: calls at most once, and the outcomes callers get."""
 
 import asyncio
 import json
@@ -13,8 +13,8 @@
 NOT_RUN, RAN, UNKNOWN = "not-run", "ran", "unknown"
 
 
-def code_of(answer):
-    return json.loads(answer.body)["error"]["code"]
+def error_code(response):
+    return json.loads(response.body)["error"]["code"]
 
 
 class ServiceCase(unittest.IsolatedAsyncioTestCase):
@@ -25,57 +25,59 @@
         self.addAsyncCleanup(self.local.close)
         self.replica = self.local.add_booking()
         self.ledger = self.local.ledger
-        self.start()
+        self.start_routers()
 
-    def start(self):
-        """Start routers that know the replicas of now."""
+    def start_routers(self):
+        """Start routers that know the current replicas."""
         self.one = self.local.add_router()
         self.two = self.local.add_router()
 
-    def assert_told(self, answer, status, outcome):
-        """Check the status, the outcome and the form of `answer`."""
-        told = answer.headers["Amaranthring-Outcome"]
-        self.assertEqual((answer.code, told), (status, outcome), answer.body)
-        self.assertTrue(answer.headers["Amaranthring-Request-Id"])
-        if answer.code in (503, 504):
-            self.assertIn("Retry-After", answer.headers)
+    def assert_response(self, response, status, outcome):
+        """Check the status, the outcome and the headers of `response`."""
+        reported = response.headers["Amaranthring-Outcome"]
+        self.assertEqual(
+            (response.code, reported), (status, outcome), response.body
+        )
+        self.assertTrue(response.headers["Amaranthring-Request-Id"])
+        if response.code in (503, 504):
+            self.assertIn("Retry-After", response.headers)
 
-    def runs(self):
+    def run_count(self):
         """Return how many calls ran at all replicas."""
         return sum(len(one.runs) for one in self.local.bookings.values())
 
 
 class TestKeyedCall(ServiceCase):
-    """What a resend under the same key is told."""
+    """Responses to a resend under the same key."""
 
-    async def test_resend_gets_the_stored_answer(self):
+    async def test_resend_gets_the_stored_response(self):
         first = await self.one.book("a", "k")
         again = await self.two.book("a", "k")
-        self.assert_told(first, 200, RAN)
-        self.assert_told(again, 200, RAN)
+        self.assert_response(first, 200, RAN)
+        self.assert_response(again, 200, RAN)
         self.assertEqual(first.body, again.body)
-        self.assertEqual(self.runs(), 1)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_resend_while_the_first_runs(self):
+    async def test_resend_while_the_first_call_runs(self):
         first = asyncio.ensure_future(
             self.one.book("a", "k", fault="slow", seconds=1.0)
         )
         await in_process_callers.wait_until(lambda: self.replica.running)
         again = await self.two.book("a", "k", fault="slow", seconds=1.0)
-        self.assert_told(again, 409, UNKNOWN)
-        self.assertEqual(code_of(again), "claim-in-progress")
+        self.assert_response(again, 409, UNKNOWN)
+        self.assertEqual(error_code(again), "claim-in-progress")
         self.assertIn("Retry-After", again.headers)
-        self.assert_told(await first, 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(await first, 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_key_with_another_body_is_refused(self):
+    async def test_key_with_another_body_is_rejected(self):
         await self.one.book("a", "k")
         other = await self.two.book("b", "k")
-        self.assert_told(other, 422, NOT_RUN)
-        self.assertEqual(code_of(other), "key-reused")
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(other, 422, NOT_RUN)
+        self.assertEqual(error_code(other), "key-reused")
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_keys_of_accounts_are_apart(self):
+    async def test_keys_are_separate_for_each_account(self):
         await self.one.book("a", "k")
         other = await self.two.post(
             "/services/booking/bookings",
@@ -83,19 +85,19 @@
             in_process_callers.fakes.OTHER_TOKEN,
             Idempotency_Key="k",
         )
-        self.assert_told(other, 200, RAN)
-        self.assertEqual(self.runs(), 2)
+        self.assert_response(other, 200, RAN)
+        self.assertEqual(self.run_count(), 2)
 
-    async def test_large_answer_is_not_kept_but_known_to_have_run(self):
+    async def test_large_response_is_not_stored_but_known_to_have_run(self):
         sent = {"fault": "large", "bytes": 100_000}
-        self.assert_told(await self.one.book("a", "k", **sent), 200, RAN)
+        self.assert_response(await self.one.book("a", "k", **sent), 200, RAN)
         again = await self.two.book("a", "k", **sent)
-        self.assert_told(again, 409, RAN)
-        self.assertEqual(code_of(again), "answer-not-kept")
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(again, 409, RAN)
+        self.assertEqual(error_code(again), "answer-not-kept")
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_replica_that_goes_in_the_middle(self):
-        """The connection breaks; the booking may or may not be written."""
+    async def test_replica_crash_during_the_call(self):
+        """The connection breaks; the booking may or may not be stored."""
         for number, fault in enumerate(
             ("crash-before", "crash-after", "truncate", "no-length")
         ):
@@ -103,47 +105,47 @@
                 key = f"k{number}"
                 first = await self.one.book("a", key, fault=fault)
                 again = await self.two.book("a", key, fault=fault)
-                self.assert_told(first, 502, UNKNOWN)
-                self.assert_told(again, 409, UNKNOWN)
-                self.assertEqual(code_of(again), "claim-unknown")
-        self.assertEqual(self.runs(), 3)
+                self.assert_response(first, 502, UNKNOWN)
+                self.assert_response(again, 409, UNKNOWN)
+                self.assertEqual(error_code(again), "claim-unknown")
+        self.assertEqual(self.run_count(), 3)
 
-    async def test_error_of_the_service_is_its_answer(self):
+    async def test_error_of_the_service_is_stored_as_its_response(self):
         for router in (self.one, self.two):
-            answer = await router.book("a", "k", fault="status", status=500)
-            self.assert_told(answer, 500, RAN)
-        self.assertEqual(self.runs(), 1)
+            response = await router.book("a", "k", fault="status", status=500)
+            self.assert_response(response, 500, RAN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_replica_out_of_reach_goes_elsewhere_under_a_new_claim(self):
+    async def test_retry_at_another_replica_uses_a_new_claim(self):
         """A claim names the one replica that may be asked again.
 
         The first replica refuses the connection, the second books and its
-        connection breaks. A resend that asked the first one, which
-        deduplicates keys but never saw this one, would book twice.
+        connection breaks. If the claim still named the first replica, a
+        resend could book there a second time.
         """
         self.local.add_booking("b2", honours_keys=True)
-        self.start()
+        self.start_routers()
         await self.local.stop("b1")
         first = await self.one.book("a", "k", fault="crash-after")
-        self.assert_told(first, 502, UNKNOWN)
+        self.assert_response(first, 502, UNKNOWN)
         (claim,) = [claim for _, claim in self.ledger.claims.values()]
         self.assertEqual(claim.target, "b2")
-        self.assertEqual(self.runs(), 1)
+        self.assertEqual(self.run_count(), 1)
 
     async def test_replica_that_deduplicates_is_asked_again(self):
         self.local.add_booking("b2", honours_keys=True)
-        self.start()
+        self.start_routers()
         del self.one.fakes.targets["b1"]
         first = await self.one.book("a", "k", fault="crash-after")
-        self.assert_told(first, 502, UNKNOWN)
+        self.assert_response(first, 502, UNKNOWN)
         again = await self.two.book("a", "k", fault="crash-after")
-        self.assert_told(again, 409, UNKNOWN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(again, 409, UNKNOWN)
+        self.assertEqual(self.run_count(), 1)
         self.assertEqual(self.local.bookings["b2"].received, 2)
         self.assertEqual(self.replica.received, 0)
 
-    async def test_caller_that_leaves_finds_its_answer_later(self):
-        """A learner's phone drops the line while the booking runs."""
+    async def test_response_is_stored_after_a_disconnect(self):
+        """A caller disconnects while the booking runs."""
         body = b'{"slot": "a", "stand_in": {"fault": "slow", "seconds": 0.5}}'
         head = (
             "POST /services/booking/bookings HTTP/1.1\r\nHost: r\r\n"
@@ -157,15 +159,15 @@
         again = await self.two.post(
             "/services/booking/bookings", body, Idempotency_Key="k"
         )
-        self.assert_told(again, 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(again, 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
 
 class TestRouterLost(ServiceCase):
     """A router frozen or killed around claim, dispatch and settle."""
 
-    def hold(self, name):
-        """Freeze router one in `name` of the ledger, before or after it."""
+    def freeze(self, name):
+        """Freeze router one before or after a call to the ledger."""
         gate, reached = asyncio.Event(), asyncio.Event()
         step, when = name.split()
         needs = self.one.fakes.needs
@@ -184,67 +186,67 @@
         setattr(needs, step, held)
         return gate, reached
 
-    async def frozen(self, name, **more):
-        """Begin a booking at router one and wait until it is frozen."""
-        gate, reached = self.hold(name)
+    async def start_frozen(self, name, **more):
+        """Start a booking at router one and wait until it is frozen."""
+        gate, reached = self.freeze(name)
         first = asyncio.ensure_future(self.one.book("a", "k", **more))
         await asyncio.wait_for(reached.wait(), 10)
         return gate, first
 
     async def test_frozen_before_the_claim(self):
-        """The resend books; the router that wakes must not book again."""
-        gate, first = await self.frozen("claim before")
-        self.assert_told(await self.two.book("a", "k"), 200, RAN)
+        """The resend books; the router that resumes must not book again."""
+        gate, first = await self.start_frozen("claim before")
+        self.assert_response(await self.two.book("a", "k"), 200, RAN)
         gate.set()
-        self.assert_told(await first, 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(await first, 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
     async def test_frozen_between_claim_and_dispatch(self):
-        """The resend is told ``unknown``: the holder may yet wake."""
-        gate, first = await self.frozen("claim after")
+        """The resend gets ``unknown``: the holder may still resume."""
+        gate, first = await self.start_frozen("claim after")
         again = await self.two.book("a", "k")
-        self.assertEqual(code_of(again), "claim-in-progress")
+        self.assertEqual(error_code(again), "claim-in-progress")
         self.ledger.mark_unknown("acme", "k")
         again = await self.two.book("a", "k")
-        self.assertEqual(code_of(again), "claim-unknown")
-        self.assertEqual(self.runs(), 0)
+        self.assertEqual(error_code(again), "claim-unknown")
+        self.assertEqual(self.run_count(), 0)
         gate.set()
-        self.assert_told(await first, 200, RAN)
-        self.assert_told(await self.two.book("a", "k"), 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(await first, 200, RAN)
+        self.assert_response(await self.two.book("a", "k"), 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_woken_after_the_deadline_sends_nothing(self):
-        """Long after its caller gave up, a frozen router wakes up.
+    async def test_resumed_after_the_deadline_sends_nothing(self):
+        """A frozen router resumes long after its caller gave up.
 
-        It holds the claim, so it may run the call; but nobody waits for it
-        any more. It frees the key instead.
+        It holds the claim, so it could run the call, but no caller waits for
+        it. It releases the key instead.
         """
         service = fleet.ServicePolicy(timeout_seconds=0.5)
         self.one.fakes.preset.services["booking"] = service
-        gate, first = await self.frozen("claim after")
+        gate, first = await self.start_frozen("claim after")
         await asyncio.sleep(0.6)
         gate.set()
-        self.assert_told(await first, 504, NOT_RUN)
-        self.assertEqual(self.runs(), 0)
-        self.assert_told(await self.two.book("a", "k"), 200, RAN)
+        self.assert_response(await first, 504, NOT_RUN)
+        self.assertEqual(self.run_count(), 0)
+        self.assert_response(await self.two.book("a", "k"), 200, RAN)
 
     async def test_frozen_or_killed_between_dispatch_and_settle(self):
-        gate, first = await self.frozen("settle before")
-        self.assertEqual(self.runs(), 1)
+        gate, first = await self.start_frozen("settle before")
+        self.assertEqual(self.run_count(), 1)
         self.ledger.mark_unknown("acme", "k")
         again = await self.two.book("a", "k")
-        self.assertEqual(code_of(again), "claim-unknown")
+        self.assertEqual(error_code(again), "claim-unknown")
         gate.set()
-        self.assert_told(await first, 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(await first, 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_holder_that_restarted_is_known_at_once(self):
-        """A router dies with a booking in hand and is back in a second.
+    async def test_restarted_holder_is_detected_at_once(self):
+        """A router crashes during a booking and restarts within a second.
 
-        The caller's resends were told "in progress" for half a minute, till
-        the claim's time was over, though nobody ran it any more.
+        Resends must not get ``claim-in-progress`` until the claim expires,
+        since no router runs the call any more.
         """
-        await self.frozen("claim after")
+        await self.start_frozen("claim after")
         asked = []
 
         async def gone(attempt):
@@ -253,14 +255,14 @@
 
         self.two.fakes.needs.may_run = gone
         again = await self.two.book("a", "k")
-        self.assert_told(again, 409, UNKNOWN)
-        self.assertEqual(code_of(again), "claim-unknown")
+        self.assert_response(again, 409, UNKNOWN)
+        self.assertEqual(error_code(again), "claim-unknown")
         self.assertTrue(asked[0].startswith("r1."))
-        self.assertEqual(self.runs(), 0)
+        self.assertEqual(self.run_count(), 0)
 
-    async def test_holder_that_settled_meanwhile_is_believed(self):
-        """The holder settles between the ledger's word and its own."""
-        gate, first = await self.frozen("settle before")
+    async def test_settlement_during_the_holder_check_counts(self):
+        """The holder settles between the ledger's reply and its own."""
+        gate, first = await self.start_frozen("settle before")
 
         async def settled(_):
             gate.set()
@@ -268,23 +270,23 @@
             return False
 
         self.two.fakes.needs.may_run = settled
-        self.assert_told(await self.two.book("a", "k"), 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(await self.two.book("a", "k"), 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_killed_after_settle_before_the_answer(self):
-        await self.frozen("settle after")
-        self.assert_told(await self.two.book("a", "k"), 200, RAN)
-        self.assertEqual(self.runs(), 1)
+    async def test_killed_after_settle_before_the_response(self):
+        await self.start_frozen("settle after")
+        self.assert_response(await self.two.book("a", "k"), 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_settlement_that_fails_is_no_reason_to_lie(self):
+    async def test_failed_settlement_still_reports_ran(self):
         """The keepers lose their quorum while the booking runs."""
         self.ledger.fail_settle = errors.NoQuorumError("no leader")
-        self.assert_told(await self.one.book("a", "k"), 200, RAN)
+        self.assert_response(await self.one.book("a", "k"), 200, RAN)
         again = await self.two.book("a", "k")
-        self.assert_told(again, 409, UNKNOWN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(again, 409, UNKNOWN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_lost_reply_of_a_granted_claim_is_asked_again(self):
+    async def test_lost_reply_of_a_granted_claim_is_retried(self):
         real = self.one.fakes.needs.claim
         replies = [errors.CommitUnknownError("reply lost")]
 
@@ -295,13 +297,13 @@
             return claim
 
         self.one.fakes.needs.claim = lossy
-        self.assert_told(await self.one.book("a", "k"), 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(await self.one.book("a", "k"), 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
-    async def test_claim_without_any_reply_is_freed_later(self):
-        """The keepers take the claim and are cut off before they say so.
+    async def test_claim_without_reply_is_released_later(self):
+        """The keepers grant the claim and are cut off before they reply.
 
-        Nothing was sent, so the booking must not stay barred for good.
+        Nothing was sent, so the key must not stay blocked.
         """
         real = self.one.fakes.needs.claim
 
@@ -310,17 +312,17 @@
             raise errors.CommitUnknownError("reply lost")
 
         self.one.fakes.needs.claim = silent
-        answer = await self.one.book("a", "k")
-        self.assert_told(answer, 503, UNKNOWN)
-        self.assertEqual(code_of(answer), "commit-unknown")
+        response = await self.one.book("a", "k")
+        self.assert_response(response, 503, UNKNOWN)
+        self.assertEqual(error_code(response), "commit-unknown")
         settlements = self.one.fakes.needs.settlements
         await in_process_callers.wait_until(lambda: not settlements.pending)
-        self.assert_told(await self.two.book("a", "k"), 200, RAN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(await self.two.book("a", "k"), 200, RAN)
+        self.assertEqual(self.run_count(), 1)
 
 
 class TestNoLedger(ServiceCase):
-    """Refusals before the ledger could speak of the key."""
+    """Errors raised before the ledger replied about the key."""
 
     async def test_without_quorum_nothing_runs(self):
         self.ledger.fail = errors.NoQuorumError("no leader")
@@ -330,104 +332,105 @@
             Idempotency_Key="k",
             Amaranthring_First_Send="1",
         )
-        self.assert_told(first, 503, NOT_RUN)
+        self.assert_response(first, 503, NOT_RUN)
         self.assertEqual(self.replica.received, 0)
 
     async def test_without_a_replica_the_ledger_is_asked(self):
-        """All replicas are cut off; only the ledger knows what ran."""
+        """No replica is reachable; only the ledger knows what ran."""
         await self.one.book("a", "k")
         self.two.fakes.targets.clear()
         self.two.fakes.preset.services["booking"] = fleet.ServicePolicy()
-        self.assert_told(await self.two.book("a", "k"), 200, RAN)
-        self.assert_told(await self.two.book("a", "new"), 503, NOT_RUN)
+        self.assert_response(await self.two.book("a", "k"), 200, RAN)
+        self.assert_response(await self.two.book("a", "new"), 503, NOT_RUN)
         self.ledger.fail = errors.NoQuorumError("no leader")
-        self.assert_told(await self.two.book("a", "other"), 503, UNKNOWN)
+        self.assert_response(await self.two.book("a", "other"), 503, UNKNOWN)
         self.ledger.fail = None
-        self.assert_told(await self.one.book("a", "new"), 200, RAN)
-        self.assertEqual(self.runs(), 2)
+        self.assert_response(await self.one.book("a", "new"), 200, RAN)
+        self.assertEqual(self.run_count(), 2)
 
-    async def test_resend_without_quorum_is_not_told_not_run(self):
-        """The learner is told "not booked" and books again elsewhere.
+    async def test_resend_without_quorum_gets_unknown(self):
+        """A caller that gets ``not-run`` would book again elsewhere.
 
-        The booking runs and its answer is lost on the way. Then the quorum
-        is lost, or the router is full, and the learner's application sends
-        the same key again. That call is refused and surely did not run; but
-        the learner asks about the booking, and it did.
+        The booking runs, but its response is lost. Then the quorum is lost,
+        or a limit is reached, and the caller sends the same key again. That
+        call does not run, but the first one did.
         """
         await self.one.book("a", "k")
         self.ledger.fail = errors.NoQuorumError("no leader")
         again = await self.two.book("a", "k")
-        self.assert_told(again, 503, UNKNOWN)
+        self.assert_response(again, 503, UNKNOWN)
         self.two.fakes.limit_error = errors.RateLimitedError("too many")
         again = await self.two.book("a", "k")
-        self.assert_told(again, 429, UNKNOWN)
-        self.assertEqual(self.runs(), 1)
+        self.assert_response(again, 429, UNKNOWN)
+        self.assertEqual(self.run_count(), 1)
 
 
 class TestCallWithoutKey(ServiceCase):
-    """Calls that no ledger protects."""
+    """Calls without an idempotency key."""
 
-    async def test_never_sent_twice_after_the_first_byte(self):
+    async def test_call_is_not_resent_after_the_first_byte(self):
         other = self.local.add_booking("b2")
-        self.start()
-        answer = await self.one.book("a", fault="crash-before")
-        self.assert_told(answer, 502, UNKNOWN)
+        self.start_routers()
+        response = await self.one.book("a", fault="crash-before")
+        self.assert_response(response, 502, UNKNOWN)
         self.assertEqual((self.replica.received, other.received), (1, 0))
 
-    async def test_unreachable_replica_saw_no_byte(self):
+    async def test_unreachable_replica_is_replaced(self):
         other = self.local.add_booking("b2")
-        self.start()
+        self.start_routers()
         await self.local.stop("b1")
-        self.assert_told(await self.one.book("a"), 200, RAN)
+        self.assert_response(await self.one.book("a"), 200, RAN)
         self.assertEqual(len(other.runs), 1)
         await self.local.stop("b2")
-        self.assert_told(await self.one.book("a"), 502, NOT_RUN)
+        self.assert_response(await self.one.book("a"), 502, NOT_RUN)
 
-    async def test_refusal_of_the_service_goes_elsewhere(self):
-        answer = await self.one.book("a", fault="refuse")
-        self.assert_told(answer, 502, NOT_RUN)
-        self.assertEqual(self.runs(), 0)
+    async def test_rejection_by_the_service_gives_not_run(self):
+        response = await self.one.book("a", fault="refuse")
+        self.assert_response(response, 502, NOT_RUN)
+        self.assertEqual(self.run_count(), 0)
 
-    async def test_idempotent_call_is_repeated(self):
+    async def test_idempotent_call_is_retried(self):
         other = self.local.add_booking("b2")
-        self.start()
+        self.start_routers()
         policy = fleet.ServicePolicy(idempotent_methods=["POST"])
         self.one.fakes.preset.services["booking"] = policy
-        answer = await self.one.book("a", fault="crash-before")
-        self.assert_told(answer, 502, UNKNOWN)
+        response = await self.one.book("a", fault="crash-before")
+        self.assert_response(response, 502, UNKNOWN)
         self.assertEqual((self.replica.received, other.received), (1, 1))
 
-    async def test_slow_service_is_given_up_at_its_timeout(self):
+    async def test_slow_service_times_out(self):
         policy = fleet.ServicePolicy(timeout_seconds=0.5)
         self.one.fakes.preset.services["booking"] = policy
-        answer = await self.one.book("a", fault="hang-after")
-        self.assert_told(answer, 504, UNKNOWN)
+        response = await self.one.book("a", fault="hang-after")
+        self.assert_response(response, 504, UNKNOWN)
 
 
-class TestToldAndRan(ServiceCase):
+class TestOutcomes(ServiceCase):
     """Many bookings with faults, each resent until its caller gives up."""
 
-    async def test_what_callers_were_told_is_what_ran(self):
-        """No booking is lost or doubled whatever breaks on the way."""
+    async def test_outcomes_match_what_ran(self):
+        """No booking is lost or doubled, whatever fails."""
         self.local.add_booking("b2", honours_keys=True)
-        self.start()
-        drawn = random.Random(SEED)
-        told = {}
+        self.start_routers()
+        rng = random.Random(SEED)
+        reported = {}
         faults = ["", "", "crash-before", "crash-after", "truncate", "refuse"]
 
         async def caller(number):
-            key, fault = f"k{number}", drawn.choice(faults)
-            answer = None
+            key, fault = f"k{number}", rng.choice(faults)
+            response = None
             for _ in range(3):
-                router = drawn.choice((self.one, self.two))
-                answer = await router.book(f"slot {number}", key, fault=fault)
-                if answer.headers["Amaranthring-Outcome"] == RAN:
+                router = rng.choice((self.one, self.two))
+                response = await router.book(
+                    f"slot {number}", key, fault=fault
+                )
+                if response.headers["Amaranthring-Outcome"] == RAN:
                     break
-            told[key] = answer.headers["Amaranthring-Outcome"]
+            reported[key] = response.headers["Amaranthring-Outcome"]
 
         for start in range(0, 60, 12):
             await asyncio.gather(*map(caller, range(start, start + 12)))
-            down = bool(drawn.randrange(2))
+            down = bool(rng.randrange(2))
             self.ledger.fail_settle = (
                 errors.LinkError("lost") if down else None
             )
@@ -437,9 +440,9 @@
             for run in one.runs
         ]
         self.assertEqual(len(ran), len(set(ran)), "a booking is doubled")
-        for key, outcome in told.items():
+        for key, outcome in reported.items():
             if outcome == NOT_RUN:
                 self.assertNotIn(key, ran)
             if outcome == RAN:
                 self.assertIn(key, ran)
-        self.assertEqual({*told.values()}, {NOT_RUN, RAN, UNKNOWN})
+        self.assertEqual({*reported.values()}, {NOT_RUN, RAN, UNKNOWN})
