--- a/amaranthring/monitoring/__init__.py
+++ b/amaranthring/monitoring/__init__.py
@@ -1,1 +1,1 @@
-"""Monitoring: the balancer's health check, figures and statsd."""
+"""Monitoring: health check, metrics endpoint and statsd export."""
--- a/amaranthring/monitoring/exporters.py
+++ b/amaranthring/monitoring/exporters.py
@@ -1,8 +1,8 @@
-"""Figures of one process: as JSON to read, and to statsd.
+"""Export of a process's metrics: as JSON over HTTP and to statsd.
 
-Counters go to statsd as differences since the last sending, gauges as they
-are, histograms as their percentiles; names are bounded by
-:class:`amaranthring.core.metrics.Metrics`.
+Counters are sent to statsd as increments since the last send, gauges as they
+are, histograms as percentiles. :class:`amaranthring.core.metrics.Metrics`
+bounds the number of names.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from amaranthring.core import metrics
 
 PERCENTILES = (50, 95, 99)
-MICROSECONDS = 1e6
-MILLISECONDS = 1e3
+MICROSECONDS_PER_SECOND = 1e6
+MILLISECONDS_PER_SECOND = 1e3
 UNSAFE_CHARACTERS = re.compile(r"[^a-zA-Z0-9_\-]")
 MAX_DATAGRAM_BYTES = 1400
 
 
 def summarize(figures: metrics.Metrics) -> dict:
-    """Return counters, gauges and histogram summaries, durations in s."""
+    """Return counters, gauges and histogram summaries, times in seconds."""
     histograms = []
     for (name, account, cls), histogram in figures.histograms.items():
         row = {
@@ -29,11 +29,11 @@
             "account": account,
             "class": cls,
             "count": histogram.get_total_count(),
-            "max": histogram.get_max_value() / MICROSECONDS,
+            "max": histogram.get_max_value() / MICROSECONDS_PER_SECOND,
         }
         for percentile in PERCENTILES:
             value = histogram.get_value_at_percentile(percentile)
-            row[f"p{percentile}"] = value / MICROSECONDS
+            row[f"p{percentile}"] = value / MICROSECONDS_PER_SECOND
         histograms.append(row)
     return {
         "counters": dict(sorted(figures.counters.items())),
@@ -43,22 +43,21 @@
 
 
 class MetricsHandler(tornado.web.RequestHandler):
-    """``GET /metrics``: the figures of this process as JSON."""
+    """``GET /metrics``: the metrics of this process as JSON."""
 
     def initialize(self, figures: metrics.Metrics):
-        """Take the figures that are served."""
+        """Store the metrics to serve."""
         self.metrics = figures
 
     def get(self):
-        """Answer with all figures."""
+        """Respond with all metrics."""
         self.write(summarize(self.metrics))
 
 
 class StatsdSender:
-    """Sends the figures of one process to statsd at a fixed pace.
+    """Sends the metrics of one process to statsd at a fixed interval.
 
-    Datagrams that are lost leave a gap in the graph and nothing else: the
-    next sending holds the next differences.
+    The increments in a lost datagram are not sent again.
     """
 
     def __init__(self, figures: metrics.Metrics, settings):
@@ -79,12 +78,12 @@
             self.send()
 
     def send(self) -> None:
-        """Send what changed since the last sending."""
+        """Send counter increments, and all gauges and percentiles."""
         with self.client.pipeline() as pipe:
             for name, value in self.metrics.counters.items():
-                grown = value - self.last_sent.get(name, 0)
-                if grown:
-                    pipe.incr(name, grown)
+                increment = value - self.last_sent.get(name, 0)
+                if increment:
+                    pipe.incr(name, increment)
                 self.last_sent[name] = value
             for name, value in self.metrics.gauges.items():
                 pipe.gauge(name, value)
@@ -92,8 +91,10 @@
                 self._send_histogram(pipe, row)
 
     def _send_histogram(self, pipe, row) -> None:
-        parts = [row["name"], row["account"], row["class"]]
-        clean = [UNSAFE_CHARACTERS.sub("_", part) for part in parts if part]
+        labels = [row["name"], row["account"], row["class"]]
+        clean = [
+            UNSAFE_CHARACTERS.sub("_", label) for label in labels if label
+        ]
         for percentile in PERCENTILES:
-            value = row[f"p{percentile}"] * MILLISECONDS
+            value = row[f"p{percentile}"] * MILLISECONDS_PER_SECOND
             pipe.gauge(".".join([*clean, f"p{percentile}"]), value)
--- a/amaranthring/monitoring/health.py
+++ b/amaranthring/monitoring/health.py
@@ -1,7 +1,7 @@
-"""The balancer's health check.
+"""Health check for load balancers.
 
-The check fails before anything else happens at a shutdown, so that the
-balancer sends new connections elsewhere while this router still serves.
+At shutdown the check fails first, so that the load balancer sends new
+connections elsewhere while this router still serves requests.
 """
 
 import collections.abc
@@ -10,14 +10,14 @@
 
 
 class HealthHandler(tornado.web.RequestHandler):
-    """``GET /health``: 200 while this router takes new requests."""
+    """``GET /health``: 200 while this router is ready, else 503."""
 
     def initialize(self, ready: collections.abc.Callable[[], str]):
-        """Take the function that says why the router is not ready."""
+        """Store the function that returns why the router is not ready."""
         self.not_ready_reason = ready
 
     def get(self):
-        """Answer ready or say why not."""
+        """Respond with the readiness and the reason against it."""
         reason = self.not_ready_reason()
         self.set_status(503 if reason else 200)
         self.set_header("Cache-Control", "no-store")
--- a/amaranthring/operators/__init__.py
+++ b/amaranthring/operators/__init__.py
@@ -1,1 +1,1 @@
-"""Operators: the HTTP interface behind the command line."""
+"""The operators' HTTP API, which the command line uses."""
--- a/amaranthring/operators/base.py
+++ b/amaranthring/operators/base.py
@@ -1,7 +1,7 @@
-"""What every handler of the operators' HTTP shares.
+"""Base of the handlers of the operators' HTTP API.
 
-Authentication, validation, the passing on to the keepers' leader, and one
-JSON form of every answer and error.
+Provides authentication, validation, calls to the keepers' leader, and a
+common JSON format of responses and errors.
 """
 
 import dataclasses
@@ -27,28 +27,28 @@
 
 @dataclasses.dataclass
 class Dependencies:
-    """What the handlers need, gathered by the composition root.
+    """Dependencies of the handlers, passed in by the router.
 
     Attributes
     ----------
     tokens : dict
-        Operator's name to the SHA-256 of the bearer token.
+        Operator names to the SHA-256 of their bearer tokens.
     propose, query : callable
         ``KeeperClient.propose`` and ``KeeperClient.query``.
     revisions : revisions.Revisions
-        The revision in force on this router.
+        The configuration revisions of this router.
     routers : dict
-        Name of every configured router to its data centre.
+        Names of all configured routers to their data centres.
     targets : callable
-        Returns plain rows of the targets known here.
+        Returns the targets that this router knows, one dict each.
     explain : callable
-        Coroutine of a request id that returns plain data.
+        Coroutine that takes a request id and returns its decisions.
     keepers : callable
-        Coroutine that returns the status of the group of keepers.
+        Coroutine that returns the status of the keepers.
     change_keepers : callable
-        Coroutine of whether to add, and of a ``schemas.KeeperModel``.
+        Coroutine that takes whether to add, and a ``schemas.KeeperModel``.
     drain : drain.Drain
-        Requests in progress, so that a router that stops ends them first.
+        Counts requests in progress, so that a shutdown can wait for them.
     """
 
     tokens: dict[str, str]
@@ -64,25 +64,27 @@
 
 
 class Handler(tornado.web.RequestHandler):
-    """Base: authenticates, validates, and answers in one JSON form."""
+    """Base handler: authenticates operators and formats responses."""
 
     def initialize(self, operators: Dependencies) -> None:
-        """Take over what the composition root gathered."""
+        """Store the dependencies and count the request as started."""
         self.dependencies = operators
         self.dependencies.drain.request_started()
 
     def on_finish(self) -> None:
-        """Count the request out once its answer is sent."""
-        leave = self.dependencies.drain.request_finished
-        connections.call_when_sent(self.request.connection, leave)
+        """Count the request as finished once its response is sent."""
+        finished = self.dependencies.drain.request_finished
+        connections.call_when_sent(self.request.connection, finished)
 
     def prepare(self) -> None:
-        """Refuse whoever holds no operator's token."""
+        """Authenticate the operator by the bearer token."""
         header = self.request.headers.get("Authorization", "")
         scheme, _, token = header.partition(" ")
         self.operator = ""
         if scheme.lower() == "bearer" and token:
-            self.operator = self._named(hashing.token_hash(token.strip()))
+            self.operator = self._operator_with_token(
+                hashing.token_hash(token.strip())
+            )
         if not self.operator:
             raise errors.UnauthenticatedError(
                 "operators only",
@@ -90,50 +92,50 @@
                 expected="Authorization: Bearer TOKEN",
             )
 
-    def _named(self, digest: str) -> str:
-        found = ""
+    def _operator_with_token(self, digest: str) -> str:
+        operator = ""
         for name, known in self.dependencies.tokens.items():
             if hmac.compare_digest(known, digest):
-                found = name
-        return found
+                operator = name
+        return operator
 
     def respond(self, body: t.Any, revision: int | None = None) -> None:
-        """Answer 200 with `body`, and the revision as ``ETag``."""
+        """Respond 200 with `body`, and with the revision as ``ETag``."""
         if revision is not None:
             self.set_header("ETag", f'"{revision}"')
         self.finish(body if isinstance(body, dict) else {"items": body})
 
     def write_error(self, status_code: int, **kwargs) -> None:
-        """Answer a failure as one typed JSON form."""
+        """Respond with the error as a JSON record."""
         error = kwargs.get("exc_info", (None, None))[1]
         if not isinstance(error, errors.AmaranthringError):
-            error = _typed(status_code)
+            error = _error_for_status(status_code)
         self.set_status(error.status)
         self.set_header("Amaranthring-Outcome", str(error.outcome))
         if isinstance(error, errors.RevisionConflictError):
             self.set_header("ETag", f'"{error.expected}"')
-        after = error.retry_after
-        if after is None and error.status in (429, 503, 504):
-            after = RETRY_AFTER_SECONDS
-        if after is not None:
-            self.set_header("Retry-After", str(max(1, round(after))))
+        retry_after = error.retry_after
+        if retry_after is None and error.status in (429, 503, 504):
+            retry_after = RETRY_AFTER_SECONDS
+        if retry_after is not None:
+            self.set_header("Retry-After", str(max(1, round(retry_after))))
         self.finish({"error": error.to_record()})
 
     def log_exception(self, typ, value, tb) -> None:
-        """Log only what is a fault of our own."""
+        """Log unexpected exceptions only, not errors sent to operators."""
         if not isinstance(value, errors.AmaranthringError):
             super().log_exception(typ, value, tb)
 
     def compute_etag(self) -> None:
-        """Make no ETag of the body; it is the revision."""
+        """Compute no ETag from the body; the ETag is the revision."""
         return
 
     def json_body(self) -> dict[str, t.Any]:
-        """Return the JSON object sent."""
+        """Return the JSON object in the request body."""
         return schemas.parse_json_body(self.request.body)
 
     def command_fields(self) -> dict[str, t.Any]:
-        """Return what every command of an operator carries."""
+        """Return the common fields of operator commands."""
         headers = self.request.headers
         return {
             "command_id": schemas.parse_command_id(
@@ -144,63 +146,63 @@
         }
 
     async def propose(self, command: commands.OperatorCommand) -> None:
-        """Propose `command` and answer with what was accepted."""
+        """Propose `command` and respond with the accepted revision."""
         try:
-            done = await self.dependencies.propose(command, COMMAND_SECONDS)
+            answer = await self.dependencies.propose(command, COMMAND_SECONDS)
         except (errors.LinkError, errors.CommitUnknownError) as error:
             if error.outcome == errors.Outcome.NOT_RUN:
                 raise
-            # The answer was lost, not the command: it may be in force.
+            # Only the answer was lost: the command may have been accepted.
             raise errors.CommitUnknownError(
-                f"the answer was lost; send it again under the command id "
+                f"the answer was lost; resend with the same command id "
                 f"{command.command_id}",
                 retry_after=RETRY_AFTER_SECONDS,
             ) from error
-        body = {"revision": done.revision, "in_force": done.in_force}
-        self.respond(body, done.revision)
+        body = {"revision": answer.revision, "in_force": answer.in_force}
+        self.respond(body, answer.revision)
 
     async def fetch_view(self, what: str, name: str = "") -> t.Any:
-        """Return a view of the state from the leader."""
-        ask = commands.StateQuery(what, name)
-        return (await self.dependencies.query(ask, QUERY_SECONDS)).view
+        """Query the keepers' leader for a view of its state."""
+        query = commands.StateQuery(what, name)
+        return (await self.dependencies.query(query, QUERY_SECONDS)).view
 
     async def fetch_config(self) -> fleet.FleetConfig:
-        """Return the configuration in force, from the leader.
+        """Return the configuration in force, from the keepers' leader.
 
-        Without keepers it is the one that this router runs, and the header
-        ``Amaranthring-Source`` says so.
+        If no leader answers, returns the configuration of this router. The
+        header ``Amaranthring-Source`` names the source.
         """
         try:
-            found = await self.fetch_view("config")
+            view = await self.fetch_view("config")
         except (errors.NoQuorumError, errors.LinkError):
             self.set_header("Amaranthring-Source", "router")
             return self.dependencies.revisions.current
         self.set_header("Amaranthring-Source", "keepers")
-        return config_parts.build_config(found["revision"], found["items"])
+        return config_parts.build_config(view["revision"], view["items"])
 
 
-def _typed(status: int) -> errors.AmaranthringError:
+def _error_for_status(status: int) -> errors.AmaranthringError:
     if status == 404:
         return errors.NotFoundError("no such path")
     if status == 405:
-        return errors.BadRequestError("method not allowed here")
+        return errors.BadRequestError("method not allowed")
     if status == 400:
         return errors.BadRequestError("malformed request")
-    return errors.InternalError("failed")
+    return errors.InternalError("internal error")
 
 
-def get_or_404(found: dict[str, t.Any], kind: str, name: str) -> t.Any:
-    """Return `found[name]`.
+def get_or_404(rows: dict[str, t.Any], kind: str, name: str) -> t.Any:
+    """Return `rows[name]`.
 
     Raises
     ------
     errors.NotFoundError
-        If there is none.
+        If `name` is unknown; names `kind` and lists known names.
     """
-    if name not in found:
+    if name not in rows:
         raise errors.NotFoundError(
             f"no such {kind}",
             given=name,
-            expected=f"one of {sorted(found)[:MAX_NAMES_SHOWN]}",
+            expected=f"one of {sorted(rows)[:MAX_NAMES_SHOWN]}",
         )
-    return found[name]
+    return rows[name]
--- a/amaranthring/operators/handlers.py
+++ b/amaranthring/operators/handlers.py
@@ -1,9 +1,9 @@
-"""HTTP for operators, served by every router.
+"""HTTP API for operators, served by every router.
 
-Any router answers: it passes commands and queries to the keepers' leader
-itself, so that a redirect never shows. A command whose answer was lost is
-answered as ``unknown``; sent again under its id, here or elsewhere, it gets
-the first answer.
+Each router forwards commands and queries to the keepers' leader, so that
+operators never see a redirect. If the answer to a command is lost, the
+outcome is ``unknown``; a resend with the same command id, through any
+router, gets the first answer.
 """
 
 import typing as t
@@ -17,44 +17,44 @@
 
 
 class Status(base.Handler):
-    """``/operators/status``: who runs which revision."""
+    """``/operators/status``: the revision that each router runs."""
 
     async def get(self) -> None:
-        """Answer with the revision in force and every router's."""
+        """Show the revision in force and that of every router."""
         revisions = self.dependencies.revisions
         try:
-            found = await self.fetch_view("status")
-            found["source"] = "keepers"
+            status = await self.fetch_view("status")
+            status["source"] = "keepers"
         except (errors.NoQuorumError, errors.LinkError):
-            found = {
+            status = {
                 "source": "router",
                 "revision": revisions.parts.revision,
                 "in_force": revisions.current.in_force,
                 "routers": {},
             }
-        found["answered_by"] = revisions.name
-        found["not_confirmed"] = self._not_confirmed(found)
-        self.respond(found, found["revision"])
+        status["answered_by"] = revisions.name
+        status["not_confirmed"] = self._not_confirmed(status)
+        self.respond(status, status["revision"])
 
-    def _not_confirmed(self, found: dict[str, t.Any]) -> list[str]:
-        known = found["routers"]
+    def _not_confirmed(self, status: dict[str, t.Any]) -> list[str]:
+        known = status["routers"]
         configured = self.dependencies.routers
         for name, data_centre in configured.items():
-            unheard = {
+            not_reported = {
                 "data_centre": data_centre,
                 "revision": None,
                 "age_seconds": None,
             }
-            known.setdefault(name, unheard)
+            known.setdefault(name, not_reported)
         return sorted(
             name
             for name, row in known.items()
-            if row["revision"] != found["revision"]
+            if row["revision"] != status["revision"]
         )
 
 
-def _figures(preset: fleet.Preset) -> dict[str, t.Any]:
-    """Return the plain figures of `preset`, without what it nests."""
+def _preset_values(preset: fleet.Preset) -> dict[str, t.Any]:
+    """Return the values of `preset` as plain data, without its policies."""
     return config_parts.preset_parts(preset)[f"preset/{preset.name}"]
 
 
@@ -68,7 +68,7 @@
             "revision": config.revision,
             "in_force": config.in_force,
             "presets": {
-                name: _figures(preset)
+                name: _preset_values(preset)
                 for name, preset in sorted(config.presets.items())
             },
         }
@@ -81,19 +81,19 @@
     async def get(self, name: str) -> None:
         """Show the preset."""
         config = await self.fetch_config()
-        found = base.get_or_404(config.presets, "preset", name)
+        preset = base.get_or_404(config.presets, "preset", name)
         body = {
             "revision": config.revision,
             "in_force": config.in_force == name,
-            "preset": config_parts.to_plain(found),
+            "preset": config_parts.to_plain(preset),
         }
         body["preset"].pop("name")
         self.respond(body, config.revision)
 
     async def put(self, name: str) -> None:
         """Create or replace the preset."""
-        made = schemas.parse_preset(name, self.json_body())
-        await self.propose(commands.PutPreset(made, **self.command_fields()))
+        preset = schemas.parse_preset(name, self.json_body())
+        await self.propose(commands.PutPreset(preset, **self.command_fields()))
 
     async def delete(self, name: str) -> None:
         """Remove the preset."""
@@ -106,10 +106,10 @@
     """``/operators/restore``."""
 
     async def post(self) -> None:
-        """Take what presets held at an earlier revision again."""
-        made = schemas.validate(schemas.RestoreModel, self.json_body())
+        """Restore the content that presets had at an earlier revision."""
+        body = schemas.validate(schemas.RestoreModel, self.json_body())
         command = commands.RestorePresets(
-            made.revision, made.preset, **self.command_fields()
+            body.revision, body.preset, **self.command_fields()
         )
         await self.propose(command)
 
@@ -119,8 +119,8 @@
 
     async def post(self) -> None:
         """Put another preset in force."""
-        made = schemas.validate(schemas.SwitchModel, self.json_body())
-        command = commands.SwitchPreset(made.preset, **self.command_fields())
+        body = schemas.validate(schemas.SwitchModel, self.json_body())
+        command = commands.SwitchPreset(body.preset, **self.command_fields())
         await self.propose(command)
 
 
@@ -145,14 +145,14 @@
     """``/operators/accounts/NAME``."""
 
     async def get(self, name: str) -> None:
-        """Show the account, without anything that lets one in."""
+        """Show the account; token hashes are truncated."""
         config = await self.fetch_config()
-        found = base.get_or_404(config.accounts, "account", name)
+        account = base.get_or_404(config.accounts, "account", name)
         body = {
             "revision": config.revision,
             "name": name,
-            "default_class": found.default_class,
-            "tokens": [digest[:8] for digest in found.token_hashes],
+            "default_class": account.default_class,
+            "tokens": [digest[:8] for digest in account.token_hashes],
             "policy": config_parts.to_plain(
                 config.preset.account_policy(name)
             ),
@@ -161,8 +161,10 @@
 
     async def put(self, name: str) -> None:
         """Create or replace the account."""
-        made = schemas.parse_account(name, self.json_body())
-        await self.propose(commands.PutAccount(made, **self.command_fields()))
+        account = schemas.parse_account(name, self.json_body())
+        await self.propose(
+            commands.PutAccount(account, **self.command_fields())
+        )
 
     async def delete(self, name: str) -> None:
         """Remove the account."""
@@ -172,7 +174,7 @@
 
 
 class Targets(base.Handler):
-    """``/operators/targets``: as this router sees them."""
+    """``/operators/targets``: the targets known to this router."""
 
     async def get(self) -> None:
         """List the targets."""
@@ -199,10 +201,10 @@
     """``/operators/targets/NAME/drain``."""
 
     async def post(self, name: str) -> None:
-        """Give the target no new work."""
-        made = schemas.validate(schemas.DrainModel, self.json_body())
+        """Drain the target: it gets no new requests."""
+        body = schemas.validate(schemas.DrainModel, self.json_body())
         command = commands.DrainTarget(
-            schemas.validate_name(name), made.reason, **self.command_fields()
+            schemas.validate_name(name), body.reason, **self.command_fields()
         )
         await self.propose(command)
 
@@ -211,22 +213,22 @@
     """``/operators/targets/NAME/undrain``."""
 
     async def post(self, name: str) -> None:
-        """Give the target work again."""
+        """Undrain the target: it gets new requests again."""
         await self.propose(
             commands.UndrainTarget(name, **self.command_fields())
         )
 
 
 class StateView(base.Handler):
-    """A view of the keepers' state as it is; `what` names it."""
+    """A view of the keepers' state, unchanged; `what` names the view."""
 
     def initialize(self, operators: base.Dependencies, what: str = "") -> None:
-        """Take over the name of the view."""
+        """Store the dependencies and the name of the view."""
         super().initialize(operators)
         self.view_name = what
 
     async def get(self) -> None:
-        """Show the view, narrowed by the argument ``name``."""
+        """Show the view, filtered by the query argument ``name``."""
         name = self.get_query_argument("name", "")
         self.respond(
             {self.view_name: await self.fetch_view(self.view_name, name)}
@@ -237,7 +239,7 @@
     """``/operators/quarantine/FINGERPRINT``."""
 
     async def delete(self, fingerprint: str) -> None:
-        """Take the request off the list."""
+        """Lift the quarantine of the request."""
         command = commands.LiftQuarantine(fingerprint, **self.command_fields())
         await self.propose(command)
 
@@ -255,9 +257,11 @@
     """``/operators/keepers``."""
 
     async def get(self) -> None:
-        """Show the status of the group of keepers."""
+        """Show the status of the keepers."""
         if self.dependencies.keepers is None:
-            raise errors.NotFoundError("no keepers here")
+            raise errors.NotFoundError(
+                "keeper status is not available"
+            )
         self.respond(config_parts.to_plain(await self.dependencies.keepers()))
 
 
@@ -265,29 +269,31 @@
     """``/operators/keepers/add`` and ``/operators/keepers/remove``."""
 
     async def post(self, action: str) -> None:
-        """Add a keeper as a learner to be voted in, or remove one."""
+        """Add a keeper, as a learner at first, or remove one."""
         if self.dependencies.change_keepers is None:
-            raise errors.NotFoundError("no keepers here")
-        made = schemas.validate(schemas.KeeperModel, self.json_body())
-        adds = action == "add"
-        if adds and not (made.address and made.data_centre):
+            raise errors.NotFoundError(
+                "changing keepers is not available"
+            )
+        body = schemas.validate(schemas.KeeperModel, self.json_body())
+        adding = action == "add"
+        if adding and not (body.address and body.data_centre):
             raise errors.BadRequestError(
-                "a keeper to add",
-                given=made.name,
-                expected="also data_centre and address",
+                "keeper to add is incomplete",
+                given=body.name,
+                expected="name, data_centre and address",
             )
-        await self.dependencies.change_keepers(adds, made)
+        await self.dependencies.change_keepers(adding, body)
         revision = self.dependencies.revisions.parts.revision
-        self.respond({"revision": revision, "keeper": made.name})
+        self.respond({"revision": revision, "keeper": body.name})
 
 
 class Explain(base.Handler):
     """``/operators/explain/REQUEST_ID``."""
 
     async def get(self, request_id: str) -> None:
-        """Show what was decided on the request's way."""
+        """Show the decisions made about the request."""
         if self.dependencies.explain is None:
-            raise errors.NotFoundError("explain is off")
+            raise errors.NotFoundError("explain is disabled")
         self.respond(await self.dependencies.explain(request_id))
 
 
@@ -295,13 +301,13 @@
     """Any other path below ``/operators``."""
 
     def prepare(self) -> None:
-        """Refuse, to those with a token and to those without."""
+        """Authenticate, then respond 404."""
         super().prepare()
         raise errors.NotFoundError("no such path", given=self.request.path)
 
 
 def routes(operators: base.Dependencies) -> list[t.Any]:
-    """Return the routes for the internal listener."""
+    """Return the routes of the operators' API."""
     shared = {"operators": operators}
     name = r"([^/]+)"
     root = r"/operators"
--- a/amaranthring/operators/schemas.py
+++ b/amaranthring/operators/schemas.py
@@ -1,7 +1,7 @@
-"""Border of operators: what they send is decoded and validated once, here.
+"""Decodes and validates the bodies and headers that operators send.
 
-Every fault of a body is reported at once, with its place, what was given
-and what was expected.
+All faults of a body are reported together, each with the field, the value
+given and what was expected.
 """
 
 import json
@@ -22,7 +22,7 @@
 Name = t.Annotated[
     str, pydantic.Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._:\-]{0,63}$")
 ]
-# As in "organisation/model@version+adapter".
+# For example "organisation/model@version+adapter".
 ModelName = t.Annotated[
     str, pydantic.Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._:/@+\-]{0,127}$")
 ]
@@ -34,7 +34,7 @@
 
 
 class Model(pydantic.BaseModel):
-    """Base of the models: unknown keys are faults."""
+    """Base of the models; rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(extra="forbid", allow_inf_nan=False)
 
@@ -91,7 +91,7 @@
 
 
 class BootstrapModel(Model):
-    """The first configuration."""
+    """The initial configuration."""
 
     in_force: Name = "ordinary"
     presets: dict[Name, PresetModel]
@@ -99,35 +99,35 @@
 
     @pydantic.model_validator(mode="after")
     def names_in_force(self):
-        """Refuse a preset in force that is not given."""
+        """Check that the preset in force is among the presets."""
         if self.in_force not in self.presets:
             raise ValueError(
-                f"in_force names one of the presets {sorted(self.presets)}"
+                f"in_force must name one of the presets {sorted(self.presets)}"
             )
         return self
 
 
 class SwitchModel(Model):
-    """Body of a switch."""
+    """Body of a switch to another preset."""
 
     preset: Name
 
 
 class RestoreModel(Model):
-    """Body of a restore."""
+    """Body of a restore of an earlier revision."""
 
     revision: int = pydantic.Field(ge=1)
     preset: Name | t.Literal[""] = ""
 
 
 class DrainModel(Model):
-    """Body of a drain."""
+    """Body of a request to drain a target."""
 
     reason: str = pydantic.Field("", max_length=200)
 
 
 class KeeperModel(Model):
-    """Body of a change of the keepers."""
+    """Body of a request to add or remove a keeper."""
 
     name: Name
     data_centre: Name | t.Literal[""] = ""
@@ -149,12 +149,12 @@
 
 
 def format_fault(fault: t.Any) -> str:
-    """Return one line for a fault found by pydantic."""
-    place = ".".join(str(part) for part in fault["loc"]) or "body"
+    """Return an error of pydantic as one line."""
+    field = ".".join(str(part) for part in fault["loc"]) or "body"
     if fault["type"] == "missing":
-        return f"{place}: missing"
+        return f"{field}: missing"
     given = str(fault["input"])[:80]
-    return f"{place}: given {given!r}, expected: {fault['msg']}"
+    return f"{field}: given {given!r}, expected: {fault['msg']}"
 
 
 def parse_json_body(body: bytes) -> t.Any:
@@ -166,16 +166,16 @@
         If it is not a JSON object.
     """
     try:
-        made = json.loads(body or b"{}")
+        decoded = json.loads(body or b"{}")
     except (ValueError, RecursionError) as error:
         raise errors.BadRequestError(
             "body is not JSON", given=str(error), expected="a JSON object"
         ) from error
-    if not isinstance(made, dict):
+    if not isinstance(decoded, dict):
         raise errors.BadRequestError(
-            "body", given=type(made).__name__, expected="a JSON object"
+            "body", given=type(decoded).__name__, expected="a JSON object"
         )
-    return made
+    return decoded
 
 
 def validate(kind: type[Model], raw: t.Any) -> t.Any:
@@ -184,7 +184,7 @@
     Raises
     ------
     errors.BadRequestError
-        With every fault, one a line.
+        With all faults, one per line.
     """
     return _validated(lambda: kind.model_validate(raw))
 
@@ -202,15 +202,15 @@
 
 def parse_preset(preset_name: str, raw: t.Any) -> fleet.Preset:
     """Return the preset that `raw` describes."""
-    made = validate(PresetModel, raw)
-    return _preset(validate_name(preset_name), made)
+    model = validate(PresetModel, raw)
+    return _preset(validate_name(preset_name), model)
 
 
 def parse_account(account_name: str, raw: t.Any) -> fleet.Account:
     """Return the client account that `raw` describes.
 
-    ``tokens`` may be given in place of ``token_hashes``; they are hashed
-    here, so that no token reaches the log.
+    ``tokens`` may be given instead of ``token_hashes``. They are hashed
+    here, so that no token is written to the keepers' log.
     """
     if "tokens" in raw and "token_hashes" not in raw:
         raw = dict(raw)
@@ -219,38 +219,40 @@
             isinstance(token, str) and len(token) >= 16 for token in tokens
         ):
             raise errors.BadRequestError(
-                "tokens", given="other", expected="16 characters or more each"
+                "tokens",
+                given="other",
+                expected="a list of strings of 16 characters or more",
             )
         raw["token_hashes"] = [hashing.token_hash(token) for token in tokens]
-    made = validate(AccountModel, raw)
-    return fleet.Account(validate_name(account_name), **made.model_dump())
+    model = validate(AccountModel, raw)
+    return fleet.Account(validate_name(account_name), **model.model_dump())
 
 
 def parse_bootstrap(raw: t.Any) -> commands.Bootstrap:
-    """Return the first configuration that `raw` describes."""
-    made = validate(BootstrapModel, raw)
+    """Return the initial configuration that `raw` describes."""
+    model = validate(BootstrapModel, raw)
     return commands.Bootstrap(
-        made.in_force,
-        [_preset(n, preset) for n, preset in made.presets.items()],
+        model.in_force,
+        [_preset(n, preset) for n, preset in model.presets.items()],
         [
             fleet.Account(n, **account.model_dump())
-            for n, account in made.accounts.items()
+            for n, account in model.accounts.items()
         ],
     )
 
 
-def _preset(preset_name: str, made: PresetModel) -> fleet.Preset:
-    own = made.model_dump(
+def _preset(preset_name: str, model: PresetModel) -> fleet.Preset:
+    own_values = model.model_dump(
         exclude={"classes", "accounts", "services"},
     )
-    found = fleet.Preset(preset_name, **own)
-    for n, policy in made.classes.items():
-        found.classes[n] = fleet.ClassPolicy(**policy.model_dump())
-    for n, policy in made.accounts.items():
-        found.accounts[n] = fleet.AccountPolicy(**policy.model_dump())
-    for n, policy in made.services.items():
-        found.services[n] = fleet.ServicePolicy(**policy.model_dump())
-    return found
+    preset = fleet.Preset(preset_name, **own_values)
+    for n, policy in model.classes.items():
+        preset.classes[n] = fleet.ClassPolicy(**policy.model_dump())
+    for n, policy in model.accounts.items():
+        preset.accounts[n] = fleet.AccountPolicy(**policy.model_dump())
+    for n, policy in model.services.items():
+        preset.services[n] = fleet.ServicePolicy(**policy.model_dump())
+    return preset
 
 
 def parse_if_match(header: str | None) -> int:
@@ -261,13 +263,13 @@
     errors.PreconditionMissingError
         If the header is missing.
     errors.BadRequestError
-        If it is not one revision.
+        If it is not a revision number.
     """
     if header is None:
         raise errors.PreconditionMissingError(
             "If-Match is missing",
             given="no If-Match",
-            expected="the revision that you saw",
+            expected="the revision that the change is based on",
         )
     text = header.strip().strip('"')
     if not text.isascii() or not text.isdigit() or len(text) > 15:
