--- a/amaranthring/cli/commands.py
+++ b/amaranthring/cli/commands.py
@@ -20,7 +20,7 @@
         model = settings_module.ROLES.get(role)
         if model is None:
             raise errors.UsageError(
-                "no such role",
+                "unknown role",
                 given=role,
                 expected=", ".join(settings_module.ROLES),
             )
--- a/amaranthring/settings/__init__.py
+++ b/amaranthring/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of one process: INI files, validated whole at the border."""
+"""Settings of one process, read from INI files and validated."""
 
 from amaranthring.settings.file_checks import check_files
 from amaranthring.settings.ini import read
--- a/amaranthring/settings/file_checks.py
+++ b/amaranthring/settings/file_checks.py
@@ -1,4 +1,4 @@
-"""Checking what a settings file points to, before a process starts."""
+"""Checks of the files and folders that settings name, before a start."""
 
 import os
 import ssl
@@ -8,24 +8,26 @@
 from amaranthring.settings import secrets
 
 
-def check_files(made: models.Settings, role: str) -> None:
-    """Check the secrets, folders and certificates that `made` names.
+def check_files(settings: models.Settings, role: str) -> None:
+    """Check the secrets, folders and certificates that `settings` names.
 
     Raises
     ------
     errors.SettingsError
-        With every fault, one a line.
+        With all faults, one per line.
     """
     checks = [
-        lambda: secrets.read_keys(made.fleet.keys_file),
-        lambda: _optional_keys(made.fleet.targets_key_file),
-        lambda: _optional_keys(made.fleet.resume_key_file),
-        lambda: _listed(made, role),
-        lambda: _data_folder(made, role),
+        lambda: secrets.read_keys(settings.fleet.keys_file),
+        lambda: _check_optional_keys(settings.fleet.targets_key_file),
+        lambda: _check_optional_keys(settings.fleet.resume_key_file),
+        lambda: _check_is_listed(settings, role),
+        lambda: _check_data_folder(settings, role),
     ]
-    if made.fleet.operators_file:
-        checks.append(lambda: secrets.read_secrets(made.fleet.operators_file))
-    listen = made.listen
+    if settings.fleet.operators_file:
+        checks.append(
+            lambda: secrets.read_secrets(settings.fleet.operators_file)
+        )
+    listen = settings.listen
     for certificate, key in (
         (listen.certificate_file, listen.certificate_key_file),
         (
@@ -50,13 +52,13 @@
     Raises
     ------
     errors.SettingsError
-        If only one of both files is named or they do not fit.
+        If only one of the two files is named, or they cannot be loaded.
     """
     if not certificate and not key:
         return None
     if not certificate or not key:
         raise errors.SettingsError(
-            "[listen] a certificate and its key go together",
+            "[listen] certificate and key must be set together",
             given=certificate or key,
             expected="both files or neither",
         )
@@ -73,24 +75,24 @@
     return context
 
 
-def _optional_keys(path: str) -> None:
+def _check_optional_keys(path: str) -> None:
     if path:
         secrets.read_keys(path)
 
 
-def _listed(made: models.Settings, role: str) -> None:
-    peers = made.routers() if role == "router" else made.keepers()
+def _check_is_listed(settings: models.Settings, role: str) -> None:
+    peers = settings.routers() if role == "router" else settings.keepers()
     names = [peer.name for peer in peers]
-    if made.process.name not in names:
+    if settings.process.name not in names:
         raise errors.SettingsError(
             f"[process] name is not among the {role}s of [fleet]",
-            given=made.process.name,
+            given=settings.process.name,
             expected=", ".join(names) or "at least one line",
         )
 
 
-def _data_folder(made: models.Settings, role: str) -> None:
-    folder = made.process.data_folder
+def _check_data_folder(settings: models.Settings, role: str) -> None:
+    folder = settings.process.data_folder
     if not folder:
         if role == "keeper":
             raise errors.SettingsError(
@@ -103,13 +105,13 @@
         os.makedirs(folder, exist_ok=True)
     except OSError as error:
         raise errors.SettingsError(
-            f"[process] data_folder {folder} cannot be made",
+            f"[process] data_folder {folder} cannot be created",
             given=error.strerror,
-            expected="a folder this process may write",
+            expected="a folder that this process can write to",
         ) from error
     if not os.access(folder, os.W_OK):
         raise errors.SettingsError(
             f"[process] data_folder {folder} is not writable",
             given="no write permission",
-            expected="a folder this process may write",
+            expected="a folder that this process can write to",
         )
--- a/amaranthring/settings/ini.py
+++ b/amaranthring/settings/ini.py
@@ -1,4 +1,4 @@
-"""Reading INI files, with every fault reported at once."""
+"""Reads INI files, reporting all faults together."""
 
 import configparser
 import difflib
@@ -18,18 +18,20 @@
     Raises
     ------
     errors.SettingsError
-        With every fault of the file, one a line: file, section, key, what
-        was given and expected, and the nearest known key.
+        With all faults of the file, one per line: file, section, key, the
+        value given and what was expected, or the nearest known key.
     """
-    raw = _sections(path)
+    raw = _read_sections(path)
     try:
         return model.model_validate(raw)
     except pydantic.ValidationError as error:
-        faults = [_fault(path, model, fault) for fault in error.errors()]
+        faults = [
+            _format_fault(path, model, fault) for fault in error.errors()
+        ]
         raise errors.SettingsError("\n".join(faults)) from error
 
 
-def _sections(path: str) -> dict[str, dict[str, str]]:
+def _read_sections(path: str) -> dict[str, dict[str, str]]:
     parser = configparser.ConfigParser(interpolation=None)
     try:
         with open(path, encoding="utf-8") as file:
@@ -41,24 +43,26 @@
             expected="a readable INI file",
         ) from error
     except (configparser.Error, UnicodeDecodeError) as error:
-        first = str(error).splitlines()[0]
+        first_line = str(error).splitlines()[0]
         raise errors.SettingsError(
             f"{path}: not an INI file",
-            given=first,
+            given=first_line,
             expected="[section] lines and key = value lines",
         ) from error
     return {name: dict(parser[name]) for name in parser.sections()}
 
 
-def _fault(path: str, model: type[pydantic.BaseModel], fault: t.Any) -> str:
-    where = [str(part) for part in fault["loc"]]
+def _format_fault(
+    path: str, model: type[pydantic.BaseModel], fault: t.Any
+) -> str:
+    location = [str(part) for part in fault["loc"]]
     text = path + ":"
-    if where:
-        text += f" [{where[0]}]"
-    if len(where) > 1:
-        text += f" {where[1]}"
+    if location:
+        text += f" [{location[0]}]"
+    if len(location) > 1:
+        text += f" {location[1]}"
     if fault["type"] == "extra_forbidden":
-        return text + " is not known" + _nearest(model, where)
+        return text + " is not known" + _known_keys_hint(model, location)
     if fault["type"] == "missing":
         return text + " is missing"
     given = fault["input"]
@@ -67,11 +71,15 @@
     return f"{text}: given {given!r}, expected: {fault['msg']}"
 
 
-def _nearest(model: type[pydantic.BaseModel], where: list[str]) -> str:
+def _known_keys_hint(
+    model: type[pydantic.BaseModel], location: list[str]
+) -> str:
     known = model.model_fields
-    if len(where) > 1:
-        known = known[where[0]].annotation.model_fields
-    near = difflib.get_close_matches(where[-1], list(known), n=1, cutoff=0.4)
-    if near:
-        return f"; nearest known: {near[0]}"
+    if len(location) > 1:
+        known = known[location[0]].annotation.model_fields
+    matches = difflib.get_close_matches(
+        location[-1], list(known), n=1, cutoff=0.4
+    )
+    if matches:
+        return f"; nearest known: {matches[0]}"
     return f"; known: {', '.join(known)}"
--- a/amaranthring/settings/models.py
+++ b/amaranthring/settings/models.py
@@ -1,6 +1,6 @@
-"""Models of the settings: the one place of names, bounds and defaults.
+"""Models of the settings: names, bounds and defaults.
 
-The example files and ``docs/CONFIGURATION.md`` are made from these models.
+The example files and ``docs/CONFIGURATION.md`` are generated from them.
 """
 
 import typing as t
@@ -9,7 +9,7 @@
 
 Seconds = t.Annotated[float, pydantic.Field(gt=0, le=86400)]
 Bytes = t.Annotated[int, pydantic.Field(ge=1, le=1 << 30)]
-# Names stand in headers, file names and log lines.
+# Names are used in headers, file names and log lines.
 NAME_PATTERN = r"^[0-9A-Za-z][0-9A-Za-z_.\-]{0,63}$"
 Name = t.Annotated[str, pydantic.Field(pattern=NAME_PATTERN)]
 ADDRESS_PATTERN = r"^([0-9a-zA-Z_.\-]+|\[[0-9a-fA-F:]+\]):\d{1,5}$"
@@ -17,12 +17,12 @@
 
 
 def documented_field(default: t.Any, text: str, **bounds: t.Any) -> t.Any:
-    """Return a field with a default and the sentence that documents it."""
+    """Return a field with its default and its line of documentation."""
     return pydantic.Field(default, description=text, **bounds)
 
 
 class Section(pydantic.BaseModel):
-    """Base of all sections: unknown keys are faults."""
+    """Base of all sections; rejects unknown keys."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -216,11 +216,11 @@
     keeper: KeeperSection = KeeperSection()
 
     def routers(self) -> list[PeerAddress]:
-        """Return every configured router, this one included."""
+        """Return all configured routers, including this process."""
         return parse_peers(self.fleet.routers)
 
     def keepers(self) -> list[PeerAddress]:
-        """Return every configured keeper."""
+        """Return all configured keepers."""
         return parse_peers(self.fleet.keepers)
 
 
@@ -258,22 +258,22 @@
 
 
 def parse_peers(text: str) -> list[PeerAddress]:
-    """Return the processes named in `text`, one a line.
+    """Return the processes that `text` lists, one per line.
 
     Raises
     ------
     ValueError
-        If a line has another form or a name stands twice.
+        If a line is malformed or a name is listed twice.
     """
-    found: dict[str, PeerAddress] = {}
+    listed: dict[str, PeerAddress] = {}
     for line in text.strip().splitlines():
         parts = line.split()
         if len(parts) != 3:
             raise ValueError(f"{line!r} is not 'name data_centre host:port'")
         name, data_centre, address = parts
-        if name in found:
+        if name in listed:
             raise ValueError(f"{name!r} stands twice")
-        found[name] = PeerAddress(
+        listed[name] = PeerAddress(
             name=name, data_centre=data_centre, address=address
         )
-    return list(found.values())
+    return list(listed.values())
--- a/amaranthring/settings/secrets.py
+++ b/amaranthring/settings/secrets.py
@@ -1,4 +1,4 @@
-"""Secrets: from files only, and only files that others cannot read."""
+"""Reads secrets from files that only their owner can access."""
 
 import os
 import pathlib
@@ -10,16 +10,16 @@
 
 
 def read_secrets(path: str) -> dict[str, str]:
-    """Return ``name value`` lines of the secret file at `path`, in order.
+    """Return the ``name value`` lines of the secret file at `path`.
 
     Raises
     ------
     errors.SettingsError
-        If the file is missing, empty, malformed, or open to others. The
-        error never holds a value of the file.
+        If the file is missing, empty, malformed, or accessible to others.
+        The error never contains a value from the file.
     """
     text = _private_text(path)
-    found = {}
+    secrets = {}
     for number, line in enumerate(text.splitlines(), start=1):
         if not line.strip() or line.startswith("#"):
             continue
@@ -30,44 +30,47 @@
                 given=f"{len(parts)} words",
                 expected="name value",
             )
-        found[parts[0]] = parts[1]
-    if not found:
+        secrets[parts[0]] = parts[1]
+    if not secrets:
         raise errors.SettingsError(
-            f"{path}: holds no secret", given="nothing", expected="name value"
+            f"{path}: contains no secrets",
+            given="nothing",
+            expected="name value",
         )
-    return found
+    return secrets
 
 
 def read_keys(path: str) -> dict[str, bytes]:
-    """Return keys by id from the file at `path`, in its order.
+    """Return keys by id, in the order of the file at `path`.
 
     Raises
     ------
     errors.SettingsError
-        As :func:`secret_lines`, or if a key is not 32 hex digits or more.
+        As in :func:`read_secrets`, or if a key is not hexadecimal or has
+        fewer than 32 digits.
     """
-    found = {}
+    keys = {}
     for key_id, text in read_secrets(path).items():
         try:
-            found[key_id] = bytes.fromhex(text)
+            keys[key_id] = bytes.fromhex(text)
         except ValueError:
-            found[key_id] = b""
-        if len(found[key_id]) < MIN_KEY_BYTES:
+            keys[key_id] = b""
+        if len(keys[key_id]) < MIN_KEY_BYTES:
             raise errors.SettingsError(
                 f"{path}: key {key_id} is too short or not hex",
                 given=f"{len(text)} characters",
                 expected="32 hex digits or more",
             )
-    return found
+    return keys
 
 
 def check_file_mode(path: str) -> None:
-    """Check that only the owner of the file at `path` can read it.
+    """Check that only the owner can access the file at `path`.
 
     Raises
     ------
     errors.SettingsError
-        If the file is missing or open to others.
+        If the file is missing or accessible to others.
     """
     try:
         mode = os.stat(path).st_mode
@@ -75,7 +78,7 @@
         raise errors.SettingsError(
             f"{path}: secret file cannot be read",
             given=error.strerror,
-            expected="a file that only its owner reads",
+            expected="a readable file",
         ) from error
     if mode & (stat.S_IRWXG | stat.S_IRWXO):
         raise errors.SettingsError(
