--- a/amaranthring/__init__.py
+++ b/amaranthring/__init__.py
@@ -1,8 +1,8 @@
-"""amaranthring: a router fleet for very many returning chats.
+"""amaranthring: a fleet of routers for returning chats.
 
-The public API of the library; the daemons are thin and live in
-:mod:`amaranthring.cli`. Its parts are loaded when they are first used, so a
-daemon pays only for what it needs.
+The public API of the library. Its modules are imported on first use, so that
+a process loads only what it needs. The command line that runs the daemons is
+in :mod:`amaranthring.cli`.
 """
 
 import importlib
@@ -12,7 +12,7 @@
 
 __version__ = "0.1.0"
 
-_HOMES = {
+_EXPORTS = {
     "errors": ("amaranthring.errors", ""),
     "fleet": ("amaranthring.core.fleet", ""),
     "read_settings": ("amaranthring.settings", "read"),
@@ -21,9 +21,9 @@
 
 
 def __getattr__(name: str) -> t.Any:
-    """Return a public name, loading its module."""
-    if name not in _HOMES:
+    """Return a public name, importing its module."""
+    if name not in _EXPORTS:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    module, attribute = _HOMES[name]
-    home = importlib.import_module(module)
-    return getattr(home, attribute) if attribute else home
+    module, attribute = _EXPORTS[name]
+    loaded = importlib.import_module(module)
+    return getattr(loaded, attribute) if attribute else loaded
--- a/amaranthring/cli/commands.py
+++ b/amaranthring/cli/commands.py
@@ -1,4 +1,4 @@
-"""Commands as fire sees them: each a method, its help the doc comment."""
+"""Commands for fire: each is a method, its doc comment is the help."""
 
 import importlib
 import pkgutil
@@ -24,28 +24,29 @@
                 given=role,
                 expected=", ".join(settings_module.ROLES),
             )
-        made = settings_module.read(file, model)
-        if isinstance(made, settings_module.Settings):
-            settings_module.check_files(made, role)
+        settings = settings_module.read(file, model)
+        if isinstance(settings, settings_module.Settings):
+            settings_module.check_files(settings, role)
         return f"{file}: good settings of a {role}"
 
     @fleet_commands.parse_as_text(role=str)
     def example(self, role: str = "router") -> str:
-        """Print every key of ROLE with its meaning and default."""
+        """Print an example file for ROLE: all keys, documented."""
         return settings_module.example(role)
 
     def reference(self) -> str:
-        """Print the reference page in Markdown."""
+        """Print the settings reference as Markdown."""
         return settings_module.reference()
 
 
 class Commands(fleet_commands.FleetCommands):
-    """Run and operate a router fleet for very many returning chats.
+    """Run and operate a fleet of routers.
 
-    router and keeper run the daemons; settings checks their files; bench
-    measures. All else asks a running fleet, as --operator FILE or the
-    environment's AMARANTHRING_OPERATOR says. Exit codes: 0 done, 1 refused
-    or unreachable, 2 usage or settings.
+    router and keeper run the daemons, settings checks their files, bench
+    runs benchmarks. Other commands call a running fleet with the
+    operator settings in --operator FILE or in the file that the environment
+    variable AMARANTHRING_OPERATOR names. Exit codes: 0 success, 1 refused or
+    unreachable, 2 usage or settings error.
     """
 
     def __init__(self, operator: str = ""):
@@ -54,13 +55,13 @@
 
     @fleet_commands.parse_as_text(settings=str)
     def router(self, settings: str) -> None:
-        """Run a router with the settings file SETTINGS until it is stopped."""
+        """Run a router with the settings file SETTINGS until stopped."""
         app = importlib.import_module("amaranthring.app")
         app.run("router", settings_module.read(settings))
 
     @fleet_commands.parse_as_text(name=str)
     def bench(self, name: str = "", json: bool = False, **parameters) -> None:
-        """Run benchmark NAME; exit 1 if a figure is out of its bounds."""
+        """Run benchmark NAME; exit 1 if a result is out of bounds."""
         known = sorted(
             module.name
             for module in pkgutil.iter_modules(bench_package.__path__)
--- a/amaranthring/cli/output.py
+++ b/amaranthring/cli/output.py
@@ -1,4 +1,4 @@
-"""What the command line prints: tables for people, JSON for programs."""
+"""Output formats of the command line: tables and JSON."""
 
 import collections.abc
 import json
@@ -6,21 +6,23 @@
 
 
 def render(
-    value: t.Any, as_json: bool, table: t.Callable[[t.Any], str]
+    value: t.Any, as_json: bool, to_text: t.Callable[[t.Any], str]
 ) -> str:
-    """Return `value` as JSON, or as what `table` makes of it."""
+    """Return `value` as JSON, or formatted by `to_text`."""
     if as_json:
         return json.dumps(value, indent=2, sort_keys=True)
-    return table(value)
+    return to_text(value)
 
 
 def format_table(
     rows: collections.abc.Sequence[collections.abc.Mapping[str, t.Any]],
     columns: collections.abc.Sequence[str],
 ) -> str:
-    """Return `rows` as aligned columns under a heading."""
+    """Return `rows` as aligned columns under a header line."""
     cells = [[name.replace("_", " ") for name in columns]]
-    cells += [[_cell(row.get(name)) for name in columns] for row in rows]
+    cells += [
+        [_format_cell(row.get(name)) for name in columns] for row in rows
+    ]
     widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
     lines = []
     for line in cells:
@@ -39,16 +41,16 @@
     """Return a mapping as indented ``name: value`` lines."""
     lines = []
     margin = "  " * indent
-    for key, inner in value.items():
-        if isinstance(inner, collections.abc.Mapping) and inner:
+    for key, item in value.items():
+        if isinstance(item, collections.abc.Mapping) and item:
             lines.append(f"{margin}{key}:")
-            lines.append(format_mapping(inner, indent + 1))
+            lines.append(format_mapping(item, indent + 1))
         else:
-            lines.append(f"{margin}{key}: {_cell(inner)}")
+            lines.append(f"{margin}{key}: {_format_cell(item)}")
     return "\n".join(lines)
 
 
-def _cell(value: t.Any) -> str:
+def _format_cell(value: t.Any) -> str:
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -56,5 +58,5 @@
     if isinstance(value, float):
         return f"{value:.4g}"
     if isinstance(value, list | tuple):
-        return ", ".join(_cell(item) for item in value) or "-"
+        return ", ".join(_format_cell(item) for item in value) or "-"
     return str(value)
--- a/amaranthring/cli/program.py
+++ b/amaranthring/cli/program.py
@@ -1,6 +1,6 @@
-"""Entry point: commands, exit codes, and one line for every error.
+"""Entry point: runs a command and maps errors to exit codes.
 
-Exit codes: 0 done, 1 refused or unreachable, 2 usage or settings.
+Exit codes: 0 success, 1 refused or unreachable, 2 usage or settings error.
 """
 
 import sys
@@ -19,14 +19,14 @@
 def main(arguments: list[str] | None = None) -> None:
     """Run the command line and exit with its code."""
     words = list(sys.argv[1:] if arguments is None else arguments)
-    # fire would page its help; an operator's terminal or log wants it plain.
+    # Prints help directly; fire would start a pager.
     fire.core.Display = _display
     try:
-        operator = _taken(words, "--operator")
-        made = commands.Commands(operator)
-        fire.Fire(made, command=words, name="amaranthring")
+        operator = _pop_option(words, "--operator")
+        root = commands.Commands(operator)
+        fire.Fire(root, command=words, name="amaranthring")
     except errors.AmaranthringError as error:
-        _complain(error)
+        _print_error(error)
         usage = isinstance(error, USAGE_ERRORS)
         sys.exit(EXIT_USAGE if usage else EXIT_FAILURE)
     except KeyboardInterrupt:
@@ -36,8 +36,8 @@
         sys.exit(EXIT_FAILURE)
 
 
-def _taken(words: list[str], flag: str) -> str:
-    """Take `flag` and its value out of `words` and return the value."""
+def _pop_option(words: list[str], flag: str) -> str:
+    """Remove `flag` and its value from `words` and return the value."""
     for position, word in enumerate(words):
         if word.startswith(flag + "="):
             del words[position]
@@ -53,7 +53,7 @@
     return ""
 
 
-def _complain(error: errors.AmaranthringError) -> None:
+def _print_error(error: errors.AmaranthringError) -> None:
     for line in str(error).splitlines():
         print(f"amaranthring: {line}", file=sys.stderr)
     if error.retry_after is not None:
--- a/amaranthring/cli/router_client.py
+++ b/amaranthring/cli/router_client.py
@@ -1,4 +1,4 @@
-"""Asking the fleet: operators' HTTP, through whichever router answers."""
+"""Client of the operators' HTTP API; tries the routers in order."""
 
 import json
 import ssl
@@ -14,7 +14,7 @@
 
 
 class RouterClient:
-    """Requests to the routers' internal listeners, tried in order.
+    """Sends requests to the routers' internal listeners, tried in order.
 
     Parameters
     ----------
@@ -23,8 +23,8 @@
 
     Notes
     -----
-    A change carries a command id, so asking the next router after a lost
-    answer cannot make it happen twice.
+    A command carries an id, so a retry through the next router after a lost
+    answer cannot run it twice.
     """
 
     def __init__(self, operator: settings.OperatorSettings):
@@ -37,8 +37,8 @@
         self.client = tornado.httpclient.HTTPClient()
 
     def get(self, path: str) -> t.Any:
-        """Return the decoded answer to a read."""
-        return self._ask("GET", path, None, {})
+        """Return the decoded response to a GET request."""
+        return self._request("GET", path, None, {})
 
     def send_command(
         self,
@@ -48,28 +48,30 @@
         command_id: str,
         revision: int | None = None,
     ) -> t.Any:
-        """Return the decoded answer to a change."""
+        """Send a command and return the decoded response."""
         headers = {COMMAND_ID_HEADER: command_id}
         if revision is not None:
             headers["If-Match"] = f'"{revision}"'
-        return self._ask(method, path, body, headers)
+        return self._request(method, path, body, headers)
 
-    def _ask(self, method, path, body, headers) -> t.Any:
+    def _request(self, method, path, body, headers) -> t.Any:
         unreachable = []
         for router in self.routers:
             try:
-                answer = self._ask_one(router, method, path, body, headers)
+                response = self._request_from(
+                    router, method, path, body, headers
+                )
             except (OSError, tornado.httpclient.HTTPError) as error:
                 unreachable.append(f"{router}: {error}")
                 continue
-            return _decoded(answer)
+            return _decode(response)
         raise errors.LinkError(
             "no router answered",
-            given=f"{len(unreachable)} asked, last {unreachable[-1]}",
+            given=f"{len(unreachable)} tried, last {unreachable[-1]}",
             expected="a running router in [operator] routers",
         )
 
-    def _ask_one(self, router, method, path, body, headers):
+    def _request_from(self, router, method, path, body, headers):
         context = None
         if router.startswith("https"):
             context = ssl.create_default_context(cafile=self.ca_file or None)
@@ -83,25 +85,25 @@
             request_timeout=self.timeout,
             ssl_options=context,
         )
-        answer = self.client.fetch(request, raise_error=False)
+        response = self.client.fetch(request, raise_error=False)
         # tornado reports a refused or timed out connection as code 599.
-        if answer.code == 599 and answer.error is not None:
-            raise answer.error
-        return answer
+        if response.code == 599 and response.error is not None:
+            raise response.error
+        return response
 
 
-def _decoded(answer) -> t.Any:
+def _decode(response) -> t.Any:
     try:
-        body = json.loads(answer.body or b"null")
+        body = json.loads(response.body or b"null")
     except ValueError as error:
         raise errors.LinkError(
-            "answer is not JSON",
-            given=answer.body[:60],
-            expected="the answer of a router's internal listener",
+            "response is not JSON",
+            given=response.body[:60],
+            expected="a response of a router's internal listener",
         ) from error
-    if answer.code < 400:
+    if response.code < 400:
         return body
     record = body.get("error", {}) if isinstance(body, dict) else {}
-    record.setdefault("detail", f"HTTP status {answer.code}")
+    record.setdefault("detail", f"HTTP status {response.code}")
     record.setdefault("detail", record.get("message", ""))
     raise errors.from_record(record)
--- a/amaranthring/cli/views.py
+++ b/amaranthring/cli/views.py
@@ -1,4 +1,4 @@
-"""Tables for people, made from the answers of the operators' HTTP."""
+"""Tables for the terminal, from responses of the operators' API."""
 
 import collections
 import datetime
@@ -6,19 +6,22 @@
 
 from amaranthring.cli import output
 
-Answer = dict[str, t.Any]
+Response = dict[str, t.Any]
 
 
-def status(answer: Answer) -> str:
-    """Return the fleet at a glance, with what needs attention first."""
-    routers = answer["routers"]
-    late = answer["not_confirmed"]
+def status(response: Response) -> str:
+    """Return the revision in force and a row for each router."""
+    routers = response["routers"]
+    unconfirmed = response["not_confirmed"]
     lines = [
-        f"revision {answer['revision']}, preset {answer['in_force']} in force",
-        f"answered by {answer['answered_by']} from the {answer['source']}",
+        f"revision {response['revision']}, "
+        f"preset {response['in_force']} in force",
+        f"answered by {response['answered_by']} from the {response['source']}",
     ]
-    if late:
-        lines.append(f"NOT CONFIRMED by {len(late)}: {', '.join(late)}")
+    if unconfirmed:
+        lines.append(
+            f"NOT CONFIRMED by {len(unconfirmed)}: {', '.join(unconfirmed)}"
+        )
     else:
         lines.append(f"confirmed by all {len(routers)} routers")
     rows = [{"router": name, **row} for name, row in sorted(routers.items())]
@@ -26,14 +29,14 @@
     return "\n".join([*lines, output.format_table(rows, columns)])
 
 
-def keepers(answer: Answer) -> str:
-    """Return leader, safe losses, and a line a keeper."""
-    found = answer["keepers"]
+def keepers(response: Response) -> str:
+    """Return the leader, the safe losses and a row for each keeper."""
+    states = response["keepers"]
     leaders = [
-        state for state in found.values() if state.get("role") == "leader"
+        state for state in states.values() if state.get("role") == "leader"
     ]
     lines = ["NO LEADER: changes and keyed bookings are refused"]
-    members: dict[str, Answer] = {}
+    members: dict[str, Response] = {}
     if leaders:
         leader = max(leaders, key=lambda state: state["term"])
         members = {member["name"]: member for member in leader["members"]}
@@ -42,7 +45,9 @@
             f"leader {leader['keeper']}, term {leader['term']}, "
             f"{losses} more losses are safe"
         ]
-    rows = [_keeper(name, found.get(name, {}), members) for name in found]
+    rows = [
+        _keeper_row(name, states.get(name, {}), members) for name in states
+    ]
     columns = (
         "keeper",
         "role",
@@ -55,7 +60,9 @@
     return "\n".join([*lines, output.format_table(rows, columns)])
 
 
-def _keeper(name: str, state: Answer, members: dict[str, Answer]) -> Answer:
+def _keeper_row(
+    name: str, state: Response, members: dict[str, Response]
+) -> Response:
     member = members.get(name, {})
     return {
         "keeper": name,
@@ -68,26 +75,28 @@
     }
 
 
-def presets(answer: Answer) -> str:
-    """Return the presets, the one in force marked."""
+def presets(response: Response) -> str:
+    """Return the presets, marking the one in force."""
     rows = []
-    for name, preset in sorted(answer["presets"].items()):
-        mark = "in force" if name == answer["in_force"] else ""
-        rows.append({**preset, "preset": name, "state": mark})
+    for name, preset in sorted(response["presets"].items()):
+        state = "in force" if name == response["in_force"] else ""
+        rows.append({**preset, "preset": name, "state": state})
     columns = ("preset", "state", "load_bound", "retry_budget")
-    heading = f"revision {answer['revision']}"
+    heading = f"revision {response['revision']}"
     return heading + "\n" + output.format_table(rows, columns)
 
 
-def history(answer: Answer) -> str:
-    """Return accepted changes, newest last."""
-    rows = [{**row, "at": format_time(row["at"])} for row in answer["history"]]
+def history(response: Response) -> str:
+    """Return the accepted changes, newest last."""
+    rows = [
+        {**row, "at": format_time(row["at"])} for row in response["history"]
+    ]
     return output.format_table(rows, ("revision", "at", "operator", "change"))
 
 
-def targets(answer: Answer) -> str:
-    """Return targets with state and load, and a count by state."""
-    rows = answer["targets"]
+def targets(response: Response) -> str:
+    """Return targets with state and load, and the count of each state."""
+    rows = response["targets"]
     for row in rows:
         if row.get("drained") is not None:
             row["state"] = "drained"
@@ -106,30 +115,30 @@
     return (heading or "none") + "\n" + output.format_table(rows, columns)
 
 
-def quarantine(answer: Answer) -> str:
+def quarantine(response: Response) -> str:
     """Return quarantined requests with their expiry."""
     rows = [
         {"fingerprint": name, "expires": format_time(expiry)}
-        for name, expiry in sorted(answer["quarantine"].items())
+        for name, expiry in sorted(response["quarantine"].items())
     ]
     return output.format_table(rows, ("fingerprint", "expires"))
 
 
-def explanation(answer: Answer) -> str:
-    """Return the decisions about one request in order."""
+def explanation(response: Response) -> str:
+    """Return the decisions about one request, in order."""
     rows = []
-    for decision in answer["decisions"]:
+    for decision in response["decisions"]:
         fields = decision["fields"].items()
-        said = " ".join(f"{key}={value}" for key, value in fields)
-        rows.append({**decision, "on": said})
-    begun = format_time(answer["begun"])
-    heading = f"request {answer['request_id']}, begun {begun}"
+        details = " ".join(f"{key}={value}" for key, value in fields)
+        rows.append({**decision, "on": details})
+    begun = format_time(response["begun"])
+    heading = f"request {response['request_id']}, begun {begun}"
     return (
         heading + "\n" + output.format_table(rows, ("seconds", "event", "on"))
     )
 
 
 def format_time(seconds: float) -> str:
-    """Return wall time `seconds` in UTC, to the second."""
+    """Format Unix time `seconds` as UTC, to the second."""
     when = datetime.datetime.fromtimestamp(seconds, datetime.UTC)
     return when.strftime("%Y-%m-%dT%H:%M:%SZ")
