--- a/tools/attribution.py
+++ b/tools/attribution.py
@@ -1,17 +1,17 @@
-"""Say from routers' logs which requests were lost, and why prompts were read.
-
-Usage: ``python tools/attribution.py LOG [SECONDS]``. A line of the log is a
-JSON object, with the time in seconds and the VM's name before it if the logs
-of several VMs were put together. Prints, for each span of SECONDS (2), how
-requests ended, and how many tokens of shared parts an engine read or copied
-although another one had read them lately, by where the others were:
-
-- ``copied``: from one of them;
-- ``being-read``: the others had been sent the part less than 0.4 s before;
-- ``near``, ``elsewhere``: an engine that answered within two seconds had the
-  part, in the router's data centre or in another one;
-- ``quiet``: no engine that had it has answered lately: it drains, has left,
-  or is behind a cut.
+"""Count request outcomes and reprocessed prompt tokens in routers' logs.
+
+Usage: ``python tools/attribution.py LOG [SECONDS]``. Each line of the log is a
+JSON object; in a merged log of several VMs, the time in seconds and the name
+of the VM precede it. Prints, for each interval of SECONDS (default 2), the
+outcomes of requests and the tokens of shared prompt parts that an engine had
+to process or copy although they had been requested in the last 10 s, by cause:
+
+- ``copied``: the engine was told to copy the prompt from another engine;
+- ``being-read``: the other engines had received it less than 0.4 s before;
+- ``near``, ``elsewhere``: an engine that had answered in the last 2 s held
+  the part, in the router's data centre or only in others;
+- ``quiet``: no engine that held the part had answered in the last 2 s, for
+  example because it was draining, stopped or unreachable.
 """
 
 import collections
@@ -22,7 +22,7 @@
 import typing as t
 
 LOG_LINE = re.compile(r"^\s*(?:(-?[\d.]+) (\S+) )?(\{.*\})\s*$")
-# A part that nobody asked for in so long would have yielded to others.
+# A part that was not requested for longer counts as evicted everywhere.
 RECENT_USE_SECONDS = 10.0
 PREFILL_SECONDS = 0.4
 RECENT_ANSWER_SECONDS = 2.0
@@ -30,20 +30,20 @@
 
 @dataclasses.dataclass
 class Request:
-    """A request as its router logged it.
+    """A request from the log of its router.
 
     Attributes
     ----------
     at : float
-        When it arrived, in seconds.
+        Time of arrival in seconds.
     seconds : float
-        Until its end.
+        Duration.
     attempts : list of tuple of str
-        Target and outcome of each.
+        Target and outcome of each attempt.
     copied_to : set of str
-        Targets that were to copy the prompt.
+        Targets that were told to copy the prompt from another engine.
     parts : list of tuple of str and int
-        Shared parts of its prompt, with their tokens.
+        Shared parts of the prompt with their token counts.
     """
 
     arrived_at: float
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass
 class Engine:
-    """What an engine has read, and when it last answered."""
+    """When an engine last received each part, and when it last answered."""
 
     data_centre: str = ""
     last_read_at: dict[str, float] = dataclasses.field(default_factory=dict)
@@ -66,33 +66,35 @@
 
 
 class Log:
-    """Requests in order, and the engines that the log names."""
+    """Requests by arrival, and the engines that the log names."""
 
     def __init__(self, lines: t.Iterable[str]):
         self.requests: list[Request] = []
         self.engines: dict[str, Engine] = collections.defaultdict(Engine)
         for line in lines:
-            self._take(line)
-        self.requests.sort(key=lambda one: one.arrived_at)
+            self._add_line(line)
+        self.requests.sort(key=lambda request: request.arrived_at)
 
-    def _take(self, line: str) -> None:
-        found = LOG_LINE.match(line)
-        if found is None:
+    def _add_line(self, line: str) -> None:
+        match = LOG_LINE.match(line)
+        if match is None:
             return
         try:
-            event = json.loads(found[3])
+            event = json.loads(match[3])
         except ValueError:
-            # Cut off where the log was.
+            # A line may be truncated where its log ends.
             return
         if event.get("event") == "target.changed":
             engine = self.engines[event["target"]]
             engine.data_centre = event.get("data_centre", "")
         if event.get("event") == "request":
-            ended = float(found[1] or event["time"])
-            self.requests.append(_request(ended, found[2] or "", event))
+            ended_at = float(match[1] or event["time"])
+            self.requests.append(
+                _parse_request(ended_at, match[2] or "", event)
+            )
 
 
-def _request(ended: float, router: str, event: dict) -> Request:
+def _parse_request(ended_at: float, router: str, event: dict) -> Request:
     attempts = filter(None, event.get("trail", "").split(","))
     copies = filter(None, event.get("copies", "").split(","))
     parts = filter(None, event.get("prompt", "").split(","))
@@ -101,113 +103,131 @@
     if outcome == "answered":
         outcome = str(event["status"])
     return Request(
-        ended - seconds,
+        ended_at - seconds,
         seconds,
         router,
         event.get("route", "none"),
         outcome,
-        [tuple(one.split(":", 1)) for one in attempts],
-        {one.split(">")[1] for one in copies},
-        # The last part is the request's own.
-        [_part(one) for one in parts][:-1],
+        [tuple(attempt.split(":", 1)) for attempt in attempts],
+        {copy.split(">")[1] for copy in copies},
+        # The last part is not shared.
+        [_parse_part(part) for part in parts][:-1],
     )
 
 
-def _part(text: str) -> tuple[str, int]:
+def _parse_part(text: str) -> tuple[str, int]:
     name, _, tokens = text.rpartition(":")
     return name, int(tokens)
 
 
-def count_outcomes(log: Log, span: float) -> dict[float, collections.Counter]:
-    """Return how many requests ended how, by the span of their arrival."""
-    found = collections.defaultdict(collections.Counter)
-    for one in log.requests:
-        found[_span(one.arrived_at, span)][f"{one.route} {one.outcome}"] += 1
-    return found
+def count_outcomes(
+    log: Log, interval: float
+) -> dict[float, collections.Counter]:
+    """Return counts of routes and outcomes, by interval of arrival."""
+    counts = collections.defaultdict(collections.Counter)
+    for request in log.requests:
+        counts[_interval_start(request.arrived_at, interval)][
+            f"{request.route} {request.outcome}"
+        ] += 1
+    return counts
 
 
 def count_reprocessed_tokens(
-    log: Log, span: float
+    log: Log, interval: float
 ) -> dict[float, collections.Counter]:
-    """Return the tokens read or copied again, by span and cause."""
-    found = collections.defaultdict(collections.Counter)
-    used: dict[str, float] = {}
-    for one in log.requests:
-        for target, outcome in one.attempts:
+    """Return reprocessed or copied tokens, by interval and cause."""
+    counts = collections.defaultdict(collections.Counter)
+    last_requested_at: dict[str, float] = {}
+    for request in log.requests:
+        for target, outcome in request.attempts:
             if outcome.endswith("unreached"):
                 continue
             engine = log.engines[target]
-            lacking = _lacking(one, engine, used)
-            if tokens := sum(size for _, size in lacking):
-                cause = _cause(log, one, target, lacking)
-                found[_span(one.arrived_at, span)][cause] += tokens
-            _note(one, engine, outcome, used)
-    return found
-
-
-def _lacking(one, engine, used) -> list[tuple[str, int]]:
-    held = [name in engine.last_read_at for name, _ in one.parts]
-    begin = held.index(False) if False in held else len(held)
+            missing = _missing_parts(request, engine, last_requested_at)
+            if tokens := sum(size for _, size in missing):
+                cause = _cause(log, request, target, missing)
+                counts[_interval_start(request.arrived_at, interval)][
+                    cause
+                ] += tokens
+            _record_attempt(request, engine, outcome, last_requested_at)
+    return counts
+
+
+def _missing_parts(
+    request, engine, last_requested_at
+) -> list[tuple[str, int]]:
+    held = [name in engine.last_read_at for name, _ in request.parts]
+    first_missing = held.index(False) if False in held else len(held)
     return [
         (name, size)
-        for name, size in one.parts[begin:]
-        if one.arrived_at - used.get(name, float("-inf")) < RECENT_USE_SECONDS
+        for name, size in request.parts[first_missing:]
+        if request.arrived_at - last_requested_at.get(name, float("-inf"))
+        < RECENT_USE_SECONDS
     ]
 
 
-def _cause(log: Log, one: Request, target: str, lacking) -> str:
-    if target in one.copied_to:
+def _cause(log: Log, request: Request, target: str, missing) -> str:
+    if target in request.copied_to:
         return "copied"
-    names = [name for name, _ in lacking]
+    names = [name for name, _ in missing]
     holders = [
         engine
         for name, engine in log.engines.items()
         if name != target
         and any(part in engine.last_read_at for part in names)
     ]
-    live = [
+    responsive = [
         h
         for h in holders
-        if one.arrived_at - h.answered_at < RECENT_ANSWER_SECONDS
+        if request.arrived_at - h.answered_at < RECENT_ANSWER_SECONDS
     ]
-    if not live:
+    if not responsive:
         return "quiet"
-    newest = max(h.last_read_at.get(n, 0.0) for h in live for n in names)
+    newest = max(h.last_read_at.get(n, 0.0) for h in responsive for n in names)
     oldest = min(
-        h.last_read_at[n] for h in live for n in names if n in h.last_read_at
+        h.last_read_at[n]
+        for h in responsive
+        for n in names
+        if n in h.last_read_at
     )
-    if newest - oldest < PREFILL_SECONDS > one.arrived_at - oldest:
+    if newest - oldest < PREFILL_SECONDS > request.arrived_at - oldest:
         return "being-read"
-    near = any(h.data_centre and h.data_centre in one.router for h in live)
+    near = any(
+        h.data_centre and h.data_centre in request.router for h in responsive
+    )
     return "near" if near else "elsewhere"
 
 
-def _note(one: Request, engine: Engine, outcome: str, used) -> None:
-    for name, _ in one.parts:
-        engine.last_read_at[name] = used[name] = one.arrived_at
+def _record_attempt(
+    request: Request, engine: Engine, outcome: str, last_requested_at
+) -> None:
+    for name, _ in request.parts:
+        engine.last_read_at[name] = last_requested_at[name] = (
+            request.arrived_at
+        )
     if outcome == "200":
-        engine.answered_at = one.arrived_at + one.seconds
+        engine.answered_at = request.arrived_at + request.seconds
 
 
-def _span(at: float, span: float) -> float:
-    return at // span * span
+def _interval_start(time: float, interval: float) -> float:
+    return time // interval * interval
 
 
-def main(path: str, span: float = 2.0) -> None:
-    """Print both tables."""
+def main(path: str, interval: float = 2.0) -> None:
+    """Print the totals and the counts of each interval."""
     with open(path, encoding="utf-8", errors="replace") as lines:
         log = Log(lines)
     for title, table in (
-        ("requests", count_outcomes(log, span)),
-        ("tokens read again", count_reprocessed_tokens(log, span)),
+        ("requests", count_outcomes(log, interval)),
+        ("tokens read again", count_reprocessed_tokens(log, interval)),
     ):
         total = sum(table.values(), collections.Counter())
-        print(title, *_cells(total))
-        for begin in sorted(table):
-            print(f"{begin:9.1f}", *_cells(table[begin]))
+        print(title, *_format_counts(total))
+        for start in sorted(table):
+            print(f"{start:9.1f}", *_format_counts(table[start]))
 
 
-def _cells(counter: collections.Counter) -> list[str]:
+def _format_counts(counter: collections.Counter) -> list[str]:
     return [f"{name}={count}" for name, count in counter.most_common()]
 
 
