--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -1,4 +1,4 @@
-"""Why prompts were read again, as told from routers' logs."""
+"""Causes of reprocessed prompt tokens, derived from routers' logs."""
 
 import json
 import sys
@@ -9,7 +9,7 @@
 import attribution
 
 
-def line(at, router, target, prompt, copies="", outcome="answered"):
+def request_line(at, router, target, prompt, copies="", outcome="answered"):
     event = {
         "event": "request", "outcome": outcome, "status": 200, "ms": 100.0,
         "route": "r", "trail": f"{target}:200", "copies": copies,
@@ -18,41 +18,49 @@
     return f"  {at + 0.1:.4f} {router} {json.dumps(event)}"
 
 
-def changed(target, data_centre):
+def target_changed(target, data_centre):
     event = {"event": "target.changed", "target": target}
     return json.dumps(event | {"data_centre": data_centre})
 
 
-class TestReadAgain(unittest.TestCase):
-    """One part at two engines."""
+class TestReprocessedTokens(unittest.TestCase):
+    """One shared prompt part at two engines."""
 
     def causes(self, *lines):
-        places = [changed("e0", "north"), changed("e1", "south")]
-        log = attribution.Log([*places, *lines, "no line of a log"])
+        engines = [
+            target_changed("e0", "north"),
+            target_changed("e1", "south"),
+        ]
+        log = attribution.Log([*engines, *lines, "no line of a log"])
         table = attribution.count_reprocessed_tokens(log, 100.0)
         return dict(sum(table.values(), attribution.collections.Counter()))
 
     def test_causes(self):
         prompt = "a:1000,own:5"
-        first = line(1.0, "edge-north-1", "e0", prompt)
+        first = request_line(1.0, "edge-north-1", "e0", prompt)
         for second, cause in (
-            (line(1.2, "edge-north-1", "e1", prompt), "being-read"),
-            (line(2.0, "edge-north-1", "e1", prompt), "near"),
-            (line(2.0, "edge-south-1", "e1", prompt), "elsewhere"),
-            (line(5.0, "edge-south-1", "e1", prompt), "quiet"),
-            (line(2.0, "edge-south-1", "e1", prompt, "e0>e1"), "copied"),
+            (request_line(1.2, "edge-north-1", "e1", prompt), "being-read"),
+            (request_line(2.0, "edge-north-1", "e1", prompt), "near"),
+            (request_line(2.0, "edge-south-1", "e1", prompt), "elsewhere"),
+            (request_line(5.0, "edge-south-1", "e1", prompt), "quiet"),
+            (
+                request_line(2.0, "edge-south-1", "e1", prompt, "e0>e1"),
+                "copied",
+            ),
         ):
             with self.subTest(cause=cause):
                 self.assertEqual({cause: 1000}, self.causes(first, second))
         self.assertEqual({}, self.causes(first))
-        late = line(15.0, "edge-south-1", "e1", prompt)
+        late = request_line(15.0, "edge-south-1", "e1", prompt)
         self.assertEqual({}, self.causes(first, late))
 
     def test_outcomes(self):
         log = attribution.Log(
             [
-                line(1.0, "edge-north-1", "e0", "a:1,own:5"),
-                line(1.1, "edge-north-1", "e0", "", outcome="no-target"),
+                request_line(1.0, "edge-north-1", "e0", "a:1,own:5"),
+                request_line(
+                    1.1, "edge-north-1", "e0", "", outcome="no-target"
+                ),
             ]
         )
         table = attribution.count_outcomes(log, 2.0)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""HTTP for operators: tokens, validation, conflicts, lost answers."""
+"""The operators' HTTP API: tokens, validation, conflicts, lost answers."""
 
 import json
 import pathlib
@@ -15,33 +15,35 @@
 
 
 class TestOperators(tornado.testing.AsyncHTTPTestCase):
-    """Two routers before one group of keepers."""
+    """Two routers that use one group of keepers."""
 
     def get_app(self):
         self.group = fake_state.FakeGroup()
         self.group.apply(fake_state.bootstrap())
         routes = []
         for name in ("r1", "r2"):
-            made, _ = fake_state.make_revisions(name, "dc1", self.group, {})
-            made.parts.apply(self.group.machine.config_since(0))
-            made.current = made.parts.config()
-            operators = base.Dependencies(
+            revisions, _ = fake_state.make_revisions(
+                name, "dc1", self.group, {}
+            )
+            revisions.parts.apply(self.group.machine.config_since(0))
+            revisions.current = revisions.parts.config()
+            dependencies = base.Dependencies(
                 {"ana": hashing.token_hash(TOKEN)},
                 self.propose,
                 self.query,
-                made,
+                revisions,
                 {"r1": "dc1", "r2": "dc1"},
                 lambda: [{"name": "e1", "state": "ready"}],
                 change_keepers=self.change_keepers,
             )
             routes += [
-                (f"/{name}{path}", handler, given)
-                for path, handler, given in handlers.routes(operators)
+                (f"/{name}{path}", handler, arguments)
+                for path, handler, arguments in handlers.routes(dependencies)
             ]
         return tornado.web.Application(routes, log_function=lambda _: None)
 
-    async def change_keepers(self, adds, keeper):
-        self.changed = (adds, keeper.name, keeper.address)
+    async def change_keepers(self, adding, keeper):
+        self.keeper_change = (adding, keeper.name, keeper.address)
 
     async def propose(self, command, timeout):
         return await self.group.propose(command, timeout)
@@ -50,15 +52,15 @@
         return await self.group.query(message, timeout)
 
     def send(self, method, path, body=None, **headers):
-        sent = {"Authorization": f"Bearer {TOKEN}"}
+        all_headers = {"Authorization": f"Bearer {TOKEN}"}
         names = {"id": "Amaranthring-Command-Id", "match": "If-Match"}
-        sent |= {names.get(k, k): v for k, v in headers.items()}
+        all_headers |= {names.get(k, k): v for k, v in headers.items()}
         data = None if body is None else json.dumps(body)
         response = self.fetch(
             path,
             method=method,
             body=data,
-            headers=sent,
+            headers=all_headers,
             allow_nonstandard_methods=True,
             follow_redirects=False,
         )
@@ -73,14 +75,14 @@
             match=match,
         )
 
-    def test_without_a_token_nothing_is_told(self):
+    def test_requests_without_a_valid_token_are_refused(self):
         for token in ("", "Bearer wrong", "Basic x", "Bearer "):
             for path in ("/r1/operators/status", "/r1/operators/none"):
                 response, body = self.send("GET", path, Authorization=token)
                 self.assertEqual(response.code, 401)
                 self.assertEqual(body["error"]["code"], "unauthenticated")
 
-    def test_status_lists_routers_that_have_not_confirmed(self):
+    def test_status_lists_unconfirmed_routers(self):
         _, body = self.send("GET", "/r1/operators/status")
         self.assertEqual(body["not_confirmed"], ["r1", "r2"])
         self.assertEqual(body["revision"], 1)
@@ -98,7 +100,7 @@
         self.assertEqual(response.headers["ETag"], '"2"')
         self.assertEqual(body["preset"]["accounts"]["big"]["weight"], 3.0)
 
-    def test_every_fault_of_a_preset_is_told_at_once(self):
+    def test_all_faults_of_a_preset_are_reported(self):
         preset = {"load_bound": 0.5, "retry": 1, "classes": {"a b": {}}}
         response, body = self.send(
             "PUT", "/r1/operators/presets/x", preset, id="command-1", match="1"
@@ -136,17 +138,18 @@
             self.assertEqual(response.code, code, headers)
             self.assertEqual(body["error"]["outcome"], "not-run")
 
-    def test_two_operators_with_the_same_revision(self):
-        # Both saw revision 1; the second learns what is in force instead.
+    def test_conflicting_changes_of_two_operators(self):
+        # Both base their change on revision 1; the second is refused and gets
+        # the current revision and preset.
         self.assertEqual(self.switch("peak", "command-1", "1")[0].code, 200)
         response, body = self.switch("ordinary", "command-2", "1", "r2")
         self.assertEqual(response.code, 412)
         self.assertEqual(response.headers["ETag"], '"2"')
         self.assertIn("preset peak", body["error"]["detail"])
 
-    def test_lost_answer_is_unknown_and_resent_through_another_router(self):
-        # The command took hold but its answer was lost. Saying that it was
-        # refused would be a lie; the resend through r2 gets the answer.
+    def test_lost_answer_is_unknown_and_resend_gets_it(self):
+        # The command was accepted but its answer was lost, so the outcome must
+        # not be ``not-run``. A resend through another router gets the answer.
         self.group.lost_replies = 1
         response, body = self.switch("peak", "command-1", "1")
         self.assertEqual(response.code, 503)
@@ -159,7 +162,7 @@
         response, _ = self.switch("ordinary", "command-1", "1", "r2")
         self.assertEqual(response.code, 422)
 
-    def test_without_keepers_nothing_is_accepted_and_status_says_so(self):
+    def test_without_keepers_changes_are_refused(self):
         self.group.cut = True
         response, body = self.switch("peak", "command-1", "1")
         self.assertEqual(
@@ -170,7 +173,7 @@
         response, _ = self.send("GET", "/r1/operators/presets/peak")
         self.assertEqual(response.headers["Amaranthring-Source"], "router")
 
-    def test_account_tokens_change_and_are_never_shown(self):
+    def test_account_tokens_are_replaced_and_never_shown(self):
         token = "a-token-of-the-account"
         for revision, body in ((1, {"tokens": [token]}), (2, {})):
             response, _ = self.send(
@@ -195,14 +198,14 @@
         config = self.group.machine.book.parts.config()
         self.assertEqual(config.drained, {})
 
-    def test_change_of_keepers_is_validated_and_passed_on(self):
+    def test_change_of_keepers_is_validated_and_forwarded(self):
         path = "/r1/operators/keepers/add"
         body = {"name": "k4", "data_centre": "dc1", "address": "10.0.0.4:80"}
         response, _ = self.send("POST", path, body)
         self.assertEqual(response.code, 200)
-        self.assertEqual(self.changed, (True, "k4", "10.0.0.4:80"))
-        for bad in ({"name": "k4"}, body | {"address": "x"}, {}):
-            response, _ = self.send("POST", path, bad)
+        self.assertEqual(self.keeper_change, (True, "k4", "10.0.0.4:80"))
+        for invalid in ({"name": "k4"}, body | {"address": "x"}, {}):
+            response, _ = self.send("POST", path, invalid)
             self.assertEqual(response.code, 400)
 
     def test_views_and_unknown_names(self):
