--- a/amaranthring/cli/fleet_commands.py
+++ b/amaranthring/cli/fleet_commands.py
@@ -116,7 +116,7 @@
         revision: int | None = None,
         command_id: str = "",
     ) -> str:
-        """Restore the presets of TO_REVISION, as a new revision."""
+        """Restore presets, and which is in force, from TO_REVISION."""
         body = {"revision": to_revision}
         path = "/operators/restore"
         return self._send_command("POST", path, body, command_id, revision)
--- a/amaranthring/monitoring/exporters.py
+++ b/amaranthring/monitoring/exporters.py
@@ -20,10 +20,10 @@
 MAX_DATAGRAM_BYTES = 1400
 
 
-def summarize(figures: metrics.Metrics) -> dict:
+def summarize(source: metrics.Metrics) -> dict:
     """Return counters, gauges and histogram summaries, times in seconds."""
     histograms = []
-    for (name, account, cls), histogram in figures.histograms.items():
+    for (name, account, cls), histogram in source.histograms.items():
         row = {
             "name": name,
             "account": account,
@@ -36,8 +36,8 @@
             row[f"p{percentile}"] = value / MICROSECONDS_PER_SECOND
         histograms.append(row)
     return {
-        "counters": dict(sorted(figures.counters.items())),
-        "gauges": dict(sorted(figures.gauges.items())),
+        "counters": dict(sorted(source.counters.items())),
+        "gauges": dict(sorted(source.gauges.items())),
         "histograms": histograms,
     }
 
@@ -60,8 +60,8 @@
     The increments in a lost datagram are not sent again.
     """
 
-    def __init__(self, figures: metrics.Metrics, settings):
-        self.metrics = figures
+    def __init__(self, source: metrics.Metrics, settings):
+        self.metrics = source
         self.interval_seconds = settings.every_seconds
         self.last_sent: dict[str, int] = {}
         self.client = statsd.StatsClient(
--- a/amaranthring/monitoring/health.py
+++ b/amaranthring/monitoring/health.py
@@ -17,7 +17,7 @@
         self.not_ready_reason = ready
 
     def get(self):
-        """Respond with the readiness and the reason against it."""
+        """Respond whether the router is ready, and if not, why."""
         reason = self.not_ready_reason()
         self.set_status(503 if reason else 200)
         self.set_header("Cache-Control", "no-store")
--- a/amaranthring/operators/handlers.py
+++ b/amaranthring/operators/handlers.py
@@ -259,9 +259,7 @@
     async def get(self) -> None:
         """Show the status of the keepers."""
         if self.dependencies.keepers is None:
-            raise errors.NotFoundError(
-                "keeper status is not available"
-            )
+            raise errors.NotFoundError("keeper status is not available")
         self.respond(config_parts.to_plain(await self.dependencies.keepers()))
 
 
@@ -271,9 +269,7 @@
     async def post(self, action: str) -> None:
         """Add a keeper, as a learner at first, or remove one."""
         if self.dependencies.change_keepers is None:
-            raise errors.NotFoundError(
-                "changing keepers is not available"
-            )
+            raise errors.NotFoundError("changing keepers is not available")
         body = schemas.validate(schemas.KeeperModel, self.json_body())
         adding = action == "add"
         if adding and not (body.address and body.data_centre):
--- a/amaranthring/operators/schemas.py
+++ b/amaranthring/operators/schemas.py
@@ -195,7 +195,7 @@
     Raises
     ------
     errors.BadRequestError
-        If it may not.
+        If it is malformed.
     """
     return _validated(lambda: NAME_ADAPTER.validate_python(text))
 
