--- a/amaranthring/testing/announcements.py
+++ b/amaranthring/testing/announcements.py
@@ -1,8 +1,7 @@
-"""How a stand-in announces itself to the routers.
+"""Announcements of a stand-in target to the routers, over HTTP.
 
-One task announces, renews and reports over HTTP. When a router does not
-answer, the next configured one is tried. Every body is signed with the
-targets' shared key.
+When a router fails to answer, the next configured one is tried. Every body
+is signed with the targets' shared key.
 """
 
 import asyncio
@@ -16,29 +15,29 @@
 from amaranthring.core import records
 from amaranthring.targets import protocol
 
-FIRST_RENEW_SECONDS = 0.5
-TRY_SECONDS = 1.0
+INITIAL_RENEW_SECONDS = 0.5
+REQUEST_TIMEOUT_SECONDS = 1.0
 REPORT_SLACK_SECONDS = 0.25
 
 
 class Announcer:
-    """Keeps one target announced, with one task.
+    """Announces one target, renews it and reports its load.
 
     Parameters
     ----------
     target : records.Target
-        What to announce.
+        Target to announce.
     routers : list of str
         Base URLs of the routers' internal listeners.
     key_id, key
-        Key of the targets.
+        Targets' shared key, and its identifier.
     load : callable
         Returns ``(running, waiting, kv_used)``.
     report_seconds : float
-        Time between reports; a report tells the load as it was at the
-        report before, so that it lags.
+        Time between reports. Each report carries the load sampled at the
+        previous one, to simulate lag.
     serves : callable, optional
-        Returns what it serves now; a change is announced.
+        Returns the names that it serves now; a change is announced.
     """
 
     def __init__(
@@ -58,9 +57,9 @@
         self.key = key
         self.load = load
         self.report_seconds = report_seconds
-        self.sequence = 0
-        self.spoken = 0
-        self.renew_seconds = FIRST_RENEW_SECONDS
+        self.report_sequence = 0
+        self.message_sequence = 0
+        self.renew_seconds = INITIAL_RENEW_SECONDS
         self.client = tornado.httpclient.AsyncHTTPClient(force_instance=True)
         self.task: asyncio.Task | None = None
 
@@ -77,19 +76,19 @@
         status = 599
         for _ in range(len(self.routers)):
             try:
-                answer = await self.client.fetch(
+                response = await self.client.fetch(
                     self.routers[0] + path,
                     method="POST",
                     body=body,
                     headers=headers,
-                    request_timeout=TRY_SECONDS,
-                    connect_timeout=TRY_SECONDS,
+                    request_timeout=REQUEST_TIMEOUT_SECONDS,
+                    connect_timeout=REQUEST_TIMEOUT_SECONDS,
                     raise_error=False,
                 )
-                status = answer.code
+                status = response.code
                 if status == 200:
-                    said = json.loads(answer.body)
-                    self.renew_seconds = said["renew_seconds"]
+                    reply = json.loads(response.body)
+                    self.renew_seconds = reply["renew_seconds"]
             except (OSError, tornado.httpclient.HTTPError):
                 status = 599
             if status < 500:
@@ -98,62 +97,64 @@
         return status
 
     async def announce(self) -> bool:
-        """Announce the target; return whether a router took it."""
-        record = dataclasses.asdict(self.target) | self._named()
+        """Announce the target; return whether a router accepted it."""
+        record = dataclasses.asdict(self.target) | self._message_header()
         return await self.post("/targets/announce", record) == 200
 
     async def leave(self) -> None:
-        """Tell that the target leaves; renewals stop."""
+        """Announce that the target leaves, and stop renewing."""
         if self.task:
             self.task.cancel()
-        await self.post("/targets/leave", self._named())
+        await self.post("/targets/leave", self._message_header())
 
     def start(self) -> None:
         """Start the task that announces, renews and reports."""
         self.task = asyncio.ensure_future(self._run())
 
-    def changed(self) -> bool:
-        """Take over what the target serves now; return whether it changed."""
+    def refresh_serves(self) -> bool:
+        """Update the names that the target serves; return if they changed."""
         serves = tuple(self.serves()) if self.serves else self.target.serves
         if serves == self.target.serves:
             return False
         self.target = dataclasses.replace(self.target, serves=serves)
         return True
 
-    def _named(self) -> dict[str, t.Any]:
-        self.spoken += 1
+    def _message_header(self) -> dict[str, t.Any]:
+        self.message_sequence += 1
         return {
             "name": self.target.name,
             "incarnation": self.target.incarnation,
-            "sequence": self.spoken,
+            "sequence": self.message_sequence,
         }
 
     async def _run(self) -> None:
         status = 0
-        reported = time.monotonic()
-        lagging = self.load()
+        reported_at = time.monotonic()
+        previous_load = self.load()
         due = self.report_seconds - REPORT_SLACK_SECONDS
         while True:
-            if self.changed():
+            if self.refresh_serves():
                 status = 0
             if status != 200:
                 status = 200 if await self.announce() else 0
-            elif time.monotonic() - reported >= due:
-                # A report renews as well; one message does for both.
-                reported = time.monotonic()
-                status = await self._report(lagging)
-                lagging = self.load()
+            elif time.monotonic() - reported_at >= due:
+                # A report also renews, so no separate renewal is sent.
+                reported_at = time.monotonic()
+                status = await self._report(previous_load)
+                previous_load = self.load()
             else:
-                status = await self.post("/targets/renew", self._named())
+                status = await self.post(
+                    "/targets/renew", self._message_header()
+                )
             await asyncio.sleep(self.renew_seconds)
 
     async def _report(self, load: tuple[int, int, float]) -> int:
-        self.sequence += 1
+        self.report_sequence += 1
         running, waiting, kv_used = load
         report = records.LoadReport(
             self.target.name,
             self.target.incarnation,
-            self.sequence,
+            self.report_sequence,
             running,
             waiting,
             kv_used,
--- a/amaranthring/testing/booking.py
+++ b/amaranthring/testing/booking.py
@@ -1,10 +1,10 @@
-"""A stand-in of a plain booking service.
+"""A stand-in booking service.
 
-``POST /NAME/bookings`` books; every run is recorded, so that a test can
-compare what a caller was told with what ran. A body may carry
-``{"stand_in": {"fault": ..., "seconds": ...}}`` with one of the faults
-``hang-before``, ``hang-after``, ``crash-before``, ``crash-after``, ``slow``,
-``truncate``, ``no-length``, ``refuse``, ``status`` and ``large``.
+Every run is recorded, so that a test can compare what callers were told with
+what ran. The body of a call, such as ``POST /NAME/bookings``, may request a
+fault with ``{"stand_in": {"fault": ..., "seconds": ...}}``: ``hang-before``,
+``hang-after``, ``crash-before``, ``crash-after``, ``slow``, ``truncate``,
+``no-length``, ``refuse``, ``status`` or ``large``.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 from amaranthring.core import records
 from amaranthring.testing import standin
 
-RUNS_MOST = 100_000
+MAX_RUNS = 100_000
 HANG_SECONDS = 3600.0
 
 
 class Booking:
-    """State of one replica.
+    """State of one replica of the service.
 
     Attributes
     ----------
@@ -30,84 +30,84 @@
         Every run: its slot, key, method and path.
     honours_keys : bool
         Whether a repeated idempotency key returns the first answer.
-    exits : bool
-        Whether a crash ends the process; else it drops the connection.
+    exit_on_crash : bool
+        Whether a crash ends the process or just drops the connection.
     """
 
-    def __init__(self, name: str, honours_keys=False, exits=False):
+    def __init__(self, name: str, honours_keys=False, exit_on_crash=False):
         self.name = name
         self.honours_keys = honours_keys
-        self.exits = exits
+        self.exit_on_crash = exit_on_crash
         self.runs: list[dict[str, t.Any]] = []
         self.answers: dict[str, bytes] = {}
         self.running = 0
         self.received = 0
 
     def load(self) -> tuple[int, int, float]:
-        """Return running, waiting and share of memory in use."""
+        """Return requests running and waiting, and the memory share."""
         return self.running, 0, 0.0
 
     def app(self) -> tornado.web.Application:
         """Return the HTTP application of this replica."""
-        given = {"booking": self}
+        handler_args = {"booking": self}
         return tornado.web.Application(
             [
-                (r"/control/ran", RanHandler, given),
-                (r"/.*", CallHandler, given),
+                (r"/control/ran", RunsHandler, handler_args),
+                (r"/.*", CallHandler, handler_args),
             ]
         )
 
     def run(self, record: dict[str, t.Any]) -> bytes:
         """Run one call and return its answer."""
-        if len(self.runs) < RUNS_MOST:
+        if len(self.runs) < MAX_RUNS:
             self.runs.append(record)
         number = len(self.runs)
         answer = {"booked": record["slot"], "by": self.name, "number": number}
         return json.dumps(answer).encode()
 
 
-class RanHandler(tornado.web.RequestHandler):
-    """``GET /control/ran``: what this replica really ran."""
+class RunsHandler(tornado.web.RequestHandler):
+    """``GET /control/ran``: the calls that this replica ran."""
 
     def initialize(self, booking):
-        """Take the replica's state."""
+        """Store the replica's state."""
         self.booking = booking
 
     def get(self):
-        """Answer the runs."""
+        """Return the recorded runs."""
         self.write({"runs": self.booking.runs})
 
 
 class CallHandler(tornado.web.RequestHandler):
-    """Every call of the service."""
+    """Handles every call of the service."""
 
     def initialize(self, booking):
-        """Take the replica's state."""
+        """Store the replica's state."""
         self.booking = booking
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def on_connection_close(self):
-        """Wake a call that hangs for a caller who left."""
-        self.gone.set()
+        """End the wait of a call whose caller disconnected."""
+        self.disconnected.set()
 
     async def prepare(self):
-        """Run the call of any method."""
+        """Run a call of any HTTP method."""
         self.booking.running += 1
         self.booking.received += 1
         try:
-            await self._call()
+            await self._run_call()
         finally:
             self.booking.running -= 1
 
-    async def _call(self):
-        body = _decoded(self.request.body)
-        asked = body.get("stand_in", {})
-        fault = asked.get("fault", "")
+    async def _run_call(self):
+        body = _decode_body(self.request.body)
+        options = body.get("stand_in", {})
+        fault = options.get("fault", "")
         key = self.request.headers.get("Idempotency-Key", "")
         if fault == "hang-before":
             await self._wait(HANG_SECONDS)
         if fault == "slow":
-            await self._wait(asked.get("seconds", 1.0))
+            await self._wait(options.get("seconds", 1.0))
         if fault == "crash-before":
             return self._crash()
         if fault == "refuse":
@@ -115,8 +115,10 @@
             self.set_status(503)
             self.finish(b"{}")
             return None
-        known = self.booking.honours_keys and key in self.booking.answers
-        answer = self.booking.answers[key] if known else self._run(body, key)
+        repeated = self.booking.honours_keys and key in self.booking.answers
+        answer = (
+            self.booking.answers[key] if repeated else self._run(body, key)
+        )
         if fault == "hang-after":
             await self._wait(HANG_SECONDS)
         if fault == "crash-after":
@@ -126,9 +128,9 @@
         if fault == "no-length":
             return self._truncate(answer, "Content-Type: text/plain")
         if fault == "large":
-            answer += b" " * asked.get("bytes", 1 << 20)
+            answer += b" " * options.get("bytes", 1 << 20)
         if fault == "status":
-            self.set_status(asked.get("status", 500))
+            self.set_status(options.get("status", 500))
         self.set_header("Content-Type", "application/json")
         self.finish(answer)
         return None
@@ -151,12 +153,12 @@
 
     async def _wait(self, seconds):
         try:
-            await asyncio.wait_for(self.gone.wait(), seconds)
+            await asyncio.wait_for(self.disconnected.wait(), seconds)
         except TimeoutError:
             pass
 
     def _crash(self):
-        if self.booking.exits:
+        if self.booking.exit_on_crash:
             os._exit(1)
         self.detach().close()
 
@@ -167,7 +169,7 @@
         stream.close()
 
 
-def _decoded(data: bytes) -> dict[str, t.Any]:
+def _decode_body(data: bytes) -> dict[str, t.Any]:
     try:
         body = json.loads(data or b"{}")
     except ValueError:
@@ -176,21 +178,21 @@
 
 
 async def main() -> None:
-    """Run one replica until it is told to stop."""
+    """Run one replica until SIGTERM or SIGINT."""
     parser = standin.arguments(records.TargetKind.SERVICE)
     parser.add_argument("--services", default="booking")
     parser.add_argument("--honours-keys", action="store_true")
-    given = parser.parse_args()
-    booking = Booking(given.name, given.honours_keys, exits=True)
-    _, port = standin.listen(booking.app(), given.port)
-    announced = standin.target(
-        given,
+    args = parser.parse_args()
+    booking = Booking(args.name, args.honours_keys, exit_on_crash=True)
+    _, port = standin.listen(booking.app(), args.port)
+    target = standin.target(
+        args,
         records.TargetKind.SERVICE,
         port,
-        given.services,
-        honours_keys=given.honours_keys,
+        args.services,
+        honours_keys=args.honours_keys,
     )
-    await standin.serve(given, announced, booking.load)
+    await standin.serve(args, target, booking.load)
 
 
 if __name__ == "__main__":
--- a/amaranthring/testing/engine.py
+++ b/amaranthring/testing/engine.py
@@ -1,14 +1,15 @@
-"""A stand-in of a model engine.
-
-It speaks what ``docs/TARGETS.md`` asks of an engine: chat completions,
-streamed and not, resume and cancel of streams, continuation of a text,
-a limited prefix cache with late and gappy events, KV export and import,
-priorities and orders. Tokens follow from the messages alone, so a test can
-check that an answer belongs to its request.
-
-A body may carry ``{"stand_in": {"fault": ..., "at": N, "seconds": S}}``;
-faults are those of :data:`FAULTS`. ``POST /control/fault`` with
-``{"fault": ..., "at": N, "times": N}`` applies one to the next requests.
+"""A stand-in model engine.
+
+It implements the engine interface of ``docs/TARGETS.md``: chat completions,
+streamed or not, resuming and cancelling streams, continuing a text, a
+bounded prefix cache that loses some events, KV export and import, priorities
+and orders. Tokens are derived from model and messages alone, so that a test
+can check that an answer belongs to its request.
+
+A body may request one of :data:`FAULTS` with
+``{"stand_in": {"fault": ..., "at": N, "seconds": S}}``.
+``POST /control/fault`` with ``{"fault": ..., "at": N, "times": N}`` plans one
+for the next requests.
 """
 
 import asyncio
@@ -29,33 +30,33 @@
 from amaranthring.testing import standin
 
 FAULTS = (
-    "crash",  # the process exits, or the connection drops, before token `at`
-    "drop",  # the connection drops before token `at`, the stream is kept
-    "truncate",  # ends in good form before token `at`, with no end mark
-    "gap",  # token `at` is left out
-    "twice",  # token `at` is sent twice
-    "reorder",  # token `at` and the one after it change places
-    "foreign",  # token `at` carries another stream's id
-    "foreign-answer",  # the whole answer is another request's
+    "crash",  # exits, or drops the connection, before token `at`
+    "drop",  # drops the connection before token `at`; keeps the stream
+    "truncate",  # ends cleanly before token `at`, with no end marker
+    "gap",  # omits token `at`
+    "twice",  # sends token `at` twice
+    "reorder",  # swaps token `at` and the next one
+    "foreign",  # sends token `at` with the id of another stream
+    "foreign-answer",  # sends the answer of another request
     "slow",  # waits `seconds` before token `at`
     "hang",  # sends nothing from token `at` on
     "status",  # answers 500
-    "refuse",  # answers 503 and that it did not run
+    "refuse",  # answers 503 and states that it did not run
     "comments",  # sends comments and no token from token `at` on
-    "garbage",  # sends what is no event before token `at`
+    "garbage",  # sends an invalid event before token `at`
 )
 DEFAULT_MAX_TOKENS = 16
-RAN_MOST = 200_000
-STREAMS_MOST = 4096
+MAX_RUNS = 200_000
+MAX_STREAMS = 4096
 KEEP_SECONDS = 30.0
 HANG_SECONDS = 3600.0
-EVENTS_MOST = 1024
+MAX_CACHE_EVENTS = 1024
 END_MARKER = "[DONE]"
 
 
 @dataclasses.dataclass
 class Stream:
-    """One answer: what was asked, and how much of it was generated."""
+    """An answer: its request, and how far it has been generated."""
 
     name: str
     body: dict[str, t.Any]
@@ -68,24 +69,24 @@
 
 
 def seed_of(body: dict[str, t.Any]) -> str:
-    """Return the word from which the tokens of `body` are made."""
+    """Return the prefix of every token that answers `body`."""
     messages = json.dumps(body.get("messages", []), sort_keys=True)
     return hashing.digest(str(body.get("model", "")), messages)[:8]
 
 
 def token(seed: str, number: int) -> str:
-    """Return one token."""
+    """Return token `number`."""
     return f"{seed}.{number} "
 
 
 def expected_text(body: dict[str, t.Any]) -> str:
-    """Return the whole text that an engine answers to `body`."""
+    """Return the full text with which an engine answers `body`."""
     total = body.get("max_tokens", DEFAULT_MAX_TOKENS)
     return "".join(token(seed_of(body), n) for n in range(total))
 
 
 class Slots:
-    """Runs at most `capacity` requests, lower priority numbers first."""
+    """Semaphore of `capacity` slots; lower priority numbers go first."""
 
     def __init__(self, capacity: int):
         self.capacity = capacity
@@ -108,7 +109,7 @@
             raise
 
     def release(self) -> None:
-        """Give a slot back and wake the next."""
+        """Release a slot and wake the next waiter."""
         self.running -= 1
         while self.waiting:
             _, _, future = heapq.heappop(self.waiting)
@@ -123,18 +124,18 @@
 
     Attributes
     ----------
-    ran : list of dict
-        Every run: request id, account's chat, first token and tokens sent.
+    runs : list of dict
+        Every run: request id, chat, seed and first token.
     streams : dict
-        Streams that can be resumed.
+        Streams that can be resumed, by request id.
     cache : OrderedDict
         Chats whose prefix is cached, least recently used first.
-    exits : bool
-        Whether a crash ends the process; else it drops the connection.
-    continues : bool
+    exit_on_crash : bool
+        Whether a crash ends the process or just drops the connection.
+    supports_continuation : bool
         Whether it can continue a given text.
     on_crash : callable
-        Called by a crash that does not end the process.
+        Called on a crash that does not end the process.
     """
 
     def __init__(
@@ -145,7 +146,7 @@
         token_seconds: float = 0.0,
         cache_chats: int = 500,
         fencing: bool = False,
-        exits: bool = False,
+        exit_on_crash: bool = False,
         continues: bool = True,
     ):
         self.name = name
@@ -154,7 +155,7 @@
         self.token_seconds = token_seconds
         self.cache_chats = cache_chats
         self.fencing = fencing
-        self.exits = exits
+        self.exit_on_crash = exit_on_crash
         self.supports_continuation = continues
         self.on_crash: t.Callable[[], None] = lambda: None
         self.runs: list[dict[str, t.Any]] = []
@@ -165,7 +166,7 @@
             collections.OrderedDict()
         )
         self.cache_events: collections.deque[dict[str, t.Any]] = (
-            collections.deque(maxlen=EVENTS_MOST)
+            collections.deque(maxlen=MAX_CACHE_EVENTS)
         )
         self.cache_sequence = 0
         self.planned_fault: dict[str, t.Any] = {}
@@ -176,13 +177,13 @@
         self.cancelled = 0
 
     def load(self) -> tuple[int, int, float]:
-        """Return running, waiting and share of KV memory in use."""
+        """Return requests running and waiting, and the KV memory share."""
         used = len(self.cache) / max(1, self.cache_chats)
         return self.slots.running, len(self.slots.waiting), used
 
     def app(self) -> tornado.web.Application:
         """Return the HTTP application of this engine."""
-        given = {"engine": self}
+        handler_args = {"engine": self}
         routes = [
             (r"/v1/chat/completions", CompletionsHandler),
             (r"/v1/streams/([^/]+)/resume", ResumeHandler),
@@ -193,11 +194,11 @@
             (r"/control/(ran|fault)", ControlHandler),
         ]
         return tornado.web.Application(
-            [(path, handler, given) for path, handler in routes]
+            [(path, handler, handler_args) for path, handler in routes]
         )
 
     def fault(self, body: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Return the fault for a request: its own, or the planned one."""
+        """Return the fault that `body` requests, or the planned one."""
         if "stand_in" in body:
             return body["stand_in"]
         if self.planned_fault.get("times", 0) > 0:
@@ -206,40 +207,40 @@
         return {}
 
     def retain(self, stream: Stream) -> None:
-        """Remember `stream` for a resume."""
+        """Keep `stream` for resumption, within a limit of streams."""
         self.streams[stream.name] = stream
-        while len(self.streams) > STREAMS_MOST:
+        while len(self.streams) > MAX_STREAMS:
             self.streams.popitem(last=False)
 
     def cache_prefix(self, chat: str, tokens: int) -> None:
-        """Cache the prefix of `chat`; every seventh event is lost."""
+        """Cache the prefix of `chat`; every seventh cache event is lost."""
         self.cache[chat] = tokens
         self.cache.move_to_end(chat)
-        self._event("stored", chat)
+        self._record_event("stored", chat)
         while len(self.cache) > self.cache_chats:
-            gone, _ = self.cache.popitem(last=False)
-            self._event("evicted", gone)
+            evicted, _ = self.cache.popitem(last=False)
+            self._record_event("evicted", evicted)
 
-    def _event(self, kind: str, chat: str) -> None:
+    def _record_event(self, kind: str, chat: str) -> None:
         self.cache_sequence += 1
         if self.cache_sequence % 7:
             record = {"sequence": self.cache_sequence, "kind": kind}
             self.cache_events.append(record | {"chat": chat})
 
     def start_stream(self, body: dict, headers, name: str) -> Stream:
-        """Note a run and return its stream."""
-        follows = (
+        """Record a run and return its stream."""
+        continuation = (
             body.get("continue_from", {}) if self.supports_continuation else {}
         )
         stream = Stream(
             name=name,
             body=body,
             seed=seed_of(body),
-            start=int(follows.get("tokens", 0)),
+            start=int(continuation.get("tokens", 0)),
             total=int(body.get("max_tokens", DEFAULT_MAX_TOKENS)),
         )
         stream.sent = stream.start
-        if len(self.runs) < RAN_MOST:
+        if len(self.runs) < MAX_RUNS:
             chat = headers.get("Amaranthring-Chat", "")
             record = {"request_id": name, "chat": chat, "seed": stream.seed}
             self.runs.append(record | {"start": stream.start})
@@ -247,16 +248,16 @@
 
 
 class Handler(tornado.web.RequestHandler):
-    """Base of the handlers: state, body, disconnect."""
+    """Base of the handlers: engine state, JSON body, disconnects."""
 
     def initialize(self, engine: Engine):
-        """Take the engine's state."""
+        """Store the engine's state."""
         self.engine = engine
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def on_connection_close(self):
-        """Note that the caller left."""
-        self.gone.set()
+        """Record that the caller disconnected."""
+        self.disconnected.set()
 
     def body(self) -> dict[str, t.Any]:
         """Return the decoded JSON body."""
@@ -266,36 +267,36 @@
             raise tornado.web.HTTPError(400) from error
 
     def crash(self) -> None:
-        """Die as a process, or drop the connection."""
-        if self.engine.exits:
+        """End the process, or drop the connection."""
+        if self.engine.exit_on_crash:
             os._exit(1)
         self.engine.on_crash()
         self.detach().close()
 
     async def wait(self, seconds: float) -> None:
-        """Wait, or until the caller left."""
+        """Wait for `seconds`, or until the caller disconnects."""
         try:
-            await asyncio.wait_for(self.gone.wait(), seconds)
+            await asyncio.wait_for(self.disconnected.wait(), seconds)
         except TimeoutError:
             pass
 
     async def answer(self, stream: Stream, fault: dict) -> None:
-        """Run `stream` from where it stands, in a slot."""
+        """Generate `stream` from its current position, in a slot."""
         priority = int(self.request.headers.get("Amaranthring-Priority", 1))
         await self.engine.slots.acquire(priority)
         try:
             if stream.body.get("stream"):
-                await self._events(stream, fault)
+                await self._stream_events(stream, fault)
             else:
-                await self._whole(stream, fault)
+                await self._send_completion(stream, fault)
         except tornado.iostream.StreamClosedError:
             pass
         finally:
             self.engine.slots.release()
-        if self.gone.is_set():
+        if self.disconnected.is_set():
             self.engine.cancelled += 1
 
-    async def _whole(self, stream: Stream, fault: dict) -> None:
+    async def _send_completion(self, stream: Stream, fault: dict) -> None:
         kind = fault.get("fault", "")
         if kind == "crash":
             self.engine.streams.pop(stream.name, None)
@@ -305,14 +306,14 @@
         if kind in ("slow", "hang"):
             await self.wait(fault.get("seconds", HANG_SECONDS))
         await self.wait(self.engine.token_seconds * stream.total or 0.0001)
-        if self.gone.is_set():
+        if self.disconnected.is_set():
             return None
         foreign = kind == "foreign-answer"
         seed = "another" if foreign else stream.seed
         text = "".join(token(seed, n) for n in range(stream.total))
         message = {"role": "assistant", "content": text}
         choice = {"index": 0, "message": message, "finish_reason": "stop"}
-        whole = {
+        completion = {
             "id": f"chatcmpl-{stream.name}",
             "object": "chat.completion",
             "created": 0,
@@ -320,7 +321,7 @@
             "choices": [choice],
             "usage": {"completion_tokens": stream.total},
         }
-        data = json.dumps(whole).encode()
+        data = json.dumps(completion).encode()
         if kind == "truncate":
             head = f"HTTP/1.1 200 OK\r\nContent-Length: {len(data)}\r\n\r\n"
             raw = self.detach()
@@ -331,7 +332,7 @@
         self.set_header("Content-Type", "application/json")
         return self.finish(data)
 
-    async def _events(self, stream: Stream, fault: dict) -> None:
+    async def _stream_events(self, stream: Stream, fault: dict) -> None:
         self.set_header("Content-Type", "text/event-stream")
         name = stream.name
         if fault.get("fault") == "foreign-answer":
@@ -344,13 +345,13 @@
         reader = stream.reader
         while stream.sent <= stream.total:
             stopped = stream.cancelled or stream.reader != reader
-            if stopped or self.gone.is_set():
+            if stopped or self.disconnected.is_set():
                 return None
             number = stream.sent
             kind = fault.get("fault") if number == fault.get("at", 0) else ""
             if kind:
                 fault = {} if kind != "hang" else fault
-                done = await self._fault(stream, kind, number)
+                done = await self._apply_fault(stream, kind, number)
                 if done:
                     return None
                 continue
@@ -365,8 +366,10 @@
                 await asyncio.sleep(delay)
         return self.finish()
 
-    async def _fault(self, stream: Stream, kind: str, number: int) -> bool:
-        """Do fault `kind` at token `number`; return whether all ends."""
+    async def _apply_fault(
+        self, stream: Stream, kind: str, number: int
+    ) -> bool:
+        """Apply fault `kind` at token `number`; return if the answer ends."""
         if kind == "crash":
             self.engine.streams.pop(stream.name, None)
             self.crash()
@@ -379,16 +382,18 @@
             self.finish()
             return True
         if kind == "comments":
-            while not self.gone.is_set():
+            while not self.disconnected.is_set():
                 self.write(": still here\n\n")
                 await self.flush()
                 await self.wait(0.05)
             return True
         if kind in ("slow", "hang"):
-            given = self.engine.fault(stream.body) or self.engine.planned_fault
-            await self.wait(given.get("seconds", HANG_SECONDS))
+            planned = (
+                self.engine.fault(stream.body) or self.engine.planned_fault
+            )
+            await self.wait(planned.get("seconds", HANG_SECONDS))
             return kind == "hang"
-        shown = {
+        data = {
             "gap": "",
             "twice": event(stream.name, stream, number) * 2,
             "reorder": event(stream.name, stream, number + 1)
@@ -396,7 +401,7 @@
             "foreign": event("another", stream, number),
             "garbage": "what is no event\n\n",
         }[kind]
-        self.write(shown)
+        self.write(data)
         stream.sent = number + (2 if kind == "reorder" else 1)
         if kind == "garbage":
             stream.sent = number
@@ -404,7 +409,7 @@
 
 
 def event(name: str, stream: Stream, number: int) -> str:
-    """Return event `number` of `stream` under the id `name`."""
+    """Return event `number` of `stream`, with `name` as its stream id."""
     head = f"id: {name}:{number}\ndata: "
     if number >= stream.total:
         return f"{head}{END_MARKER}\n\n"
@@ -439,7 +444,9 @@
             self.set_status(503)
             return
         chat = headers.get("Amaranthring-Chat", "")
-        await self._import(chat, headers.get("Amaranthring-Import-From", ""))
+        await self._import_prefix(
+            chat, headers.get("Amaranthring-Import-From", "")
+        )
         hit = chat in engine.cache
         engine.hits += hit
         self.set_header("Amaranthring-Cache", "hit" if hit else "miss")
@@ -449,7 +456,7 @@
         engine.retain(stream)
         await self.answer(stream, fault)
 
-    async def _import(self, chat: str, origin: str) -> None:
+    async def _import_prefix(self, chat: str, origin: str) -> None:
         if not origin or chat in self.engine.cache:
             return
         client = tornado.httpclient.AsyncHTTPClient()
@@ -466,14 +473,14 @@
     """``POST /v1/streams/ID/resume`` with ``{"offset": N}``."""
 
     async def post(self, name):
-        """Go on with a kept stream from event `offset`."""
+        """Resume a kept stream from event `offset`."""
         stream = self.engine.streams.get(name)
         if stream is None:
             raise tornado.web.HTTPError(404)
         offset = int(self.body().get("offset", 0))
         if not stream.start <= offset <= stream.total:
             raise tornado.web.HTTPError(416)
-        # The engine may not have seen yet that the old reader left.
+        # Ends the previous reader, whose disconnect may not be known yet.
         stream.reader += 1
         stream.sent = offset
         stream.cancelled = False
@@ -484,7 +491,7 @@
     """``POST /v1/streams/ID/cancel``."""
 
     def post(self, name):
-        """Stop generating; the stream is forgotten."""
+        """Stop generating and discard the stream."""
         stream = self.engine.streams.pop(name, None)
         if stream is None:
             raise tornado.web.HTTPError(404)
@@ -496,22 +503,22 @@
     """KV export and import of one chat."""
 
     def get(self, chat):
-        """Export."""
+        """Export the cached prefix."""
         if chat not in self.engine.cache:
             raise tornado.web.HTTPError(404)
         self.write({"chat": chat, "tokens": self.engine.cache[chat]})
 
     def put(self, chat):
-        """Import."""
+        """Import a cached prefix."""
         self.engine.cache_prefix(chat, int(self.body().get("tokens", 0)))
         self.write({})
 
 
 class CacheEventsHandler(Handler):
-    """``GET /v1/cache/events?after=SEQUENCE``: late, with gaps."""
+    """``GET /v1/cache/events?after=SEQUENCE``; events have gaps."""
 
     def get(self):
-        """Answer the events after a sequence number."""
+        """Return the events after a sequence number."""
         after = int(self.get_query_argument("after", "0"))
         found = [e for e in self.engine.cache_events if e["sequence"] > after]
         self.write({"events": found})
@@ -521,7 +528,7 @@
     """``POST /v1/orders``: load or unload a model, change the role."""
 
     def post(self):
-        """Follow an order, unless its fencing number is old."""
+        """Execute an order, unless its fencing number is stale."""
         order = self.body()
         engine = self.engine
         number = int(order.get("fencing", 0))
@@ -542,10 +549,10 @@
 
 
 class ControlHandler(Handler):
-    """What tests read and set."""
+    """Recorded runs, counters and fault injection, for tests."""
 
     def get(self, _):
-        """Answer what really ran."""
+        """Return the recorded runs and counters."""
         engine = self.engine
         self.write(
             {
@@ -564,31 +571,31 @@
 
 
 async def main() -> None:
-    """Run one engine until it is told to stop."""
+    """Run one engine until SIGTERM or SIGINT."""
     parser = standin.arguments(records.TargetKind.ENGINE)
     parser.add_argument("--models", default="m1")
     parser.add_argument("--token-seconds", type=float, default=0.0)
     parser.add_argument("--cache-chats", type=int, default=500)
     parser.add_argument("--fencing", action="store_true")
-    given = parser.parse_args()
+    args = parser.parse_args()
     engine = Engine(
-        given.name,
-        given.models.split(","),
-        given.capacity,
-        given.token_seconds,
-        given.cache_chats,
-        given.fencing,
-        exits=True,
+        args.name,
+        args.models.split(","),
+        args.capacity,
+        args.token_seconds,
+        args.cache_chats,
+        args.fencing,
+        exit_on_crash=True,
     )
-    _, port = standin.listen(engine.app(), given.port)
-    announced = standin.target(
-        given,
+    _, port = standin.listen(engine.app(), args.port)
+    target = standin.target(
+        args,
         records.TargetKind.ENGINE,
         port,
-        given.models,
-        fencing=given.fencing,
+        args.models,
+        fencing=args.fencing,
     )
-    await standin.serve(given, announced, engine.load, lambda: engine.models)
+    await standin.serve(args, target, engine.load, lambda: engine.models)
 
 
 if __name__ == "__main__":
--- a/amaranthring/testing/scripted_target.py
+++ b/amaranthring/testing/scripted_target.py
@@ -1,6 +1,6 @@
-"""A target whose answers are scripted, and a router in this process before it.
+"""Scripted targets, and an in-process router that forwards to them.
 
-The names on the wire are this module's own: forwarding knows none.
+The header names are defined here: forwarding gets them from its dialect.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 PROMPT = "Test-Prompt"
 COPY = "Test-Copy-From"
 LAST_EVENT_ID = "Last-Event-Id"
-OURS = {
+NOT_FORWARDED = {
     TIMEOUT,
     EXPECTED,
     ACCOUNT,
@@ -48,11 +48,11 @@
 
 
 def read_request(start_line, headers, arrived) -> records.Incoming:
-    """Read the head of a request."""
-    kept = tornado.httputil.HTTPHeaders()
+    """Parse the head of a request."""
+    forwarded = tornado.httputil.HTTPHeaders()
     for name, value in headers.get_all():
-        if name not in OURS and name != "Transfer-Encoding":
-            kept.add(name, value)
+        if name not in NOT_FORWARDED and name != "Transfer-Encoding":
+            forwarded.add(name, value)
     parts = filter(None, headers.get(PROMPT, "").split(","))
     return records.Incoming(
         request_id=headers.get(ID, ""),
@@ -60,7 +60,7 @@
         uri=start_line.path,
         path=start_line.path.partition("?")[0],
         host=headers.get("Host", ""),
-        headers=kept,
+        headers=forwarded,
         arrived=arrived,
         timeout=float(headers.get(TIMEOUT, "5")),
         key=headers.get(KEY, ""),
@@ -73,7 +73,7 @@
 
 
 def request_headers(incoming, sending) -> dict[str, str]:
-    """Return the headers for a target."""
+    """Return the request headers that a target gets."""
     headers = dict(incoming.headers.items())
     headers[TIMEOUT] = f"{sending.seconds_left:.3f}"
     headers[EXPECTED] = sending.target.id
@@ -86,15 +86,15 @@
     return headers
 
 
-def read_answer(status, headers) -> records.ResponseHead:
-    """Read the head of an answer."""
-    kept = tornado.httputil.HTTPHeaders()
+def read_response(status, headers) -> records.ResponseHead:
+    """Parse the head of a response."""
+    forwarded = tornado.httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name not in ("Connection", "Content-Length", "Transfer-Encoding"):
-            kept.add(name, value)
+            forwarded.add(name, value)
     return records.ResponseHead(
         status,
-        kept,
+        forwarded,
         headers.get(ID, ""),
         SIGNED in headers,
         REFUSED in headers,
@@ -102,12 +102,12 @@
     )
 
 
-DIALECT = records.Dialect(read_request, request_headers, read_answer)
+DIALECT = records.Dialect(read_request, request_headers, read_response)
 
 
 @dataclasses.dataclass
 class Seen:
-    """A request as a target read it."""
+    """A request as a target received it."""
 
     method: str
     uri: str
@@ -119,23 +119,23 @@
 
 
 class ScriptedTarget:
-    """A target that answers each connection's request by a script.
+    """A target that answers requests by a script.
 
     Attributes
     ----------
-    seen : list of Seen
-        Requests that it read whole.
-    left : int
+    requests : list of Seen
+        Requests that it received completely.
+    aborted : int
         Connections that the router closed while the script still ran.
-    keeps : bool
-        Whether a connection serves one call after the other.
+    keep_alive : bool
+        Whether a connection serves one request after another.
     connections : int
-        Connections that it accepted.
+        Number of connections that it accepted.
     """
 
-    def __init__(self, name: str, script: Script, keeps: bool = False):
+    def __init__(self, name: str, script: Script, keep_alive: bool = False):
         self.name = name
-        self.keep_alive = keeps
+        self.keep_alive = keep_alive
         self.connections = 0
         self.script = script
         self.requests: list[Seen] = []
@@ -144,7 +144,7 @@
         self.address = ""
 
     async def start(self) -> None:
-        """Listen on the loopback."""
+        """Listen on loopback."""
         self.server = await asyncio.start_server(
             self._serve, "127.0.0.1", 0, family=socket.AF_INET
         )
@@ -156,7 +156,7 @@
         self.server.close()
 
     def record(self, service: str = "s", **fields) -> messages.TargetRecord:
-        """Return what a router would know of it."""
+        """Return the record that a router would hold of it."""
         return messages.TargetRecord(
             self.name, service, self.address, "here", sequence=1, **fields
         )
@@ -175,8 +175,8 @@
             writer.close()
 
     async def _serve_one(self, reader, writer) -> bool:
-        """Answer one call; return whether another may follow."""
-        seen = await _read(reader)
+        """Answer one request; return whether another may follow."""
+        seen = await _read_request(reader)
         self.requests.append(seen)
         running = asyncio.ensure_future(self.script(seen, writer))
         if self.keep_alive:
@@ -193,7 +193,7 @@
         return False
 
 
-async def _read(reader) -> Seen:
+async def _read_request(reader) -> Seen:
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin1")
     line, _, rest = head.partition("\r\n")
     start = tornado.httputil.parse_request_start_line(line)
@@ -206,7 +206,7 @@
 def response_head(
     seen: Seen, status: int = 200, signed: bool = True, **more: str
 ) -> bytes:
-    """Return the head of an answer to `seen`."""
+    """Return the head of a response to `seen`."""
     lines = [f"HTTP/1.1 {status} Status", f"{ID}: {seen.headers[ID]}"]
     if signed:
         lines.append(f"{SIGNED}: yes")
@@ -217,7 +217,7 @@
 def respond(
     body: bytes = b"good", status: int = 200, signed: bool = True
 ) -> Script:
-    """Return a script that answers whole."""
+    """Return a script that sends a complete response."""
 
     async def script(seen, writer):
         length = str(len(body))
@@ -230,7 +230,7 @@
 
 
 def respond_not_run(status: int = 503) -> Script:
-    """Return a script that states that the request did not run."""
+    """Return a script that answers that the request did not run."""
 
     async def script(seen, writer):
         more = {"Content_Length": "0", REFUSED: "1"}
@@ -240,7 +240,7 @@
 
 
 def raw(data: t.Callable[[Seen], bytes]) -> Script:
-    """Return a script that writes bytes and closes."""
+    """Return a script that writes raw bytes."""
 
     async def script(seen, writer):
         writer.write(data(seen))
@@ -259,10 +259,10 @@
 
 
 def abort_connection(writer: asyncio.StreamWriter) -> None:
-    """Reset the connection instead of closing it in good order."""
-    held = writer.get_extra_info("socket")
+    """Reset the connection instead of closing it gracefully."""
+    sock = writer.get_extra_info("socket")
     linger = struct.pack("ii", 1, 0)
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
 
 
@@ -286,7 +286,8 @@
     Parameters
     ----------
     breaks_after : int, optional
-        The connection is reset in the middle of the event after this one.
+        Number of the event after which the connection is reset, in the
+        middle of the next event.
     """
 
     async def script(seen, writer):
@@ -313,7 +314,7 @@
 
 
 class ScriptedRouter:
-    """A router that forwards by a fixed plan to scripted targets.
+    """A router that forwards to scripted targets by a fixed plan.
 
     Attributes
     ----------
@@ -322,9 +323,9 @@
     cut_off : bool
         Whether no keeper answers this router.
     first_plan : asyncio.Event
-        Set once there is a confirmed plan; set from the start.
+        Set once a plan is confirmed; here from the start.
     address : tuple
-        Where it listens.
+        Host and port of its listener.
     """
 
     def __init__(self, plan: routing.Plan, allowance: float = 10.0):
@@ -365,14 +366,14 @@
 
 @dataclasses.dataclass
 class Response:
-    """What a caller got.
+    """A response as a caller received it.
 
     Attributes
     ----------
     status : int
-        0 if the connection closed before a head.
-    whole : bool
-        Whether the answer was complete.
+        0 if the connection closed before the head.
+    complete : bool
+        Whether the whole body arrived.
     """
 
     status: int
@@ -389,7 +390,7 @@
     body: bytes = b"",
     **headers: str,
 ) -> Response:
-    """Send one request as a caller would, on a connection of its own."""
+    """Send one request on a connection of its own."""
     began = time.monotonic()
     reader, writer = await asyncio.open_connection(*address)
     lines = [f"{method} {path} HTTP/1.1", "Host: h"]
@@ -398,17 +399,17 @@
     lines += [f"{name}: {value}" for name, value in given.items()]
     writer.write("\r\n".join([*lines, "", ""]).encode() + body)
     try:
-        return await _read_answer(reader, method, began)
+        return await _read_response(reader, method, began)
     finally:
         writer.close()
 
 
-async def _read_answer(reader, method: str, began: float) -> Response:
-    nothing = tornado.httputil.HTTPHeaders()
+async def _read_response(reader, method: str, began: float) -> Response:
+    no_headers = tornado.httputil.HTTPHeaders()
     try:
         data = (await reader.readuntil(b"\r\n\r\n")).decode("latin1")
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Response(0, nothing, b"", False, time.monotonic() - began)
+        return Response(0, no_headers, b"", False, time.monotonic() - began)
     line, _, rest = data.partition("\r\n")
     status = tornado.httputil.parse_response_start_line(line).code
     headers = tornado.httputil.HTTPHeaders.parse(rest)
--- a/amaranthring/testing/standin.py
+++ b/amaranthring/testing/standin.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: command line, listening, orderly end."""
+"""Command line, listener and graceful shutdown of the stand-ins."""
 
 import argparse
 import asyncio
@@ -14,12 +14,12 @@
 from amaranthring.core import signals
 from amaranthring.testing import announcements
 
-END_SECONDS = 10.0
-LOOK_SECONDS = 0.05
+DRAIN_SECONDS = 10.0
+POLL_SECONDS = 0.05
 
 
 def arguments(kind: records.TargetKind) -> argparse.ArgumentParser:
-    """Return the parser of the arguments that every stand-in takes."""
+    """Return a parser of the arguments that all stand-ins take."""
     parser = argparse.ArgumentParser(description=f"stand-in {kind}")
     parser.add_argument("--name", required=True)
     parser.add_argument("--port", type=int, default=0)
@@ -43,52 +43,52 @@
 
 
 def target(
-    given: argparse.Namespace,
+    args: argparse.Namespace,
     kind: records.TargetKind,
     port: int,
     serves: str,
     **fields: t.Any,
 ) -> records.Target:
-    """Return the announcement of a stand-in; a start is an incarnation."""
+    """Return the record to announce; every start is a new incarnation."""
     return records.Target(
-        name=given.name,
+        name=args.name,
         incarnation=time.time_ns() // 1_000_000,
         kind=kind,
         address=f"127.0.0.1:{port}",
-        data_centre=given.data_centre,
-        region=given.region,
+        data_centre=args.data_centre,
+        region=args.region,
         serves=tuple(serves.split(",")),
-        capacity=given.capacity,
+        capacity=args.capacity,
         **fields,
     )
 
 
 async def serve(
-    given: argparse.Namespace,
-    announced: records.Target,
+    args: argparse.Namespace,
+    announced_target: records.Target,
     load: t.Callable[[], tuple[int, int, float]],
     serves: t.Callable[[], list[str]] | None = None,
 ) -> None:
-    """Announce until SIGTERM or SIGINT, leave, and end what still runs."""
-    print(f"listening {announced.address}", flush=True)
-    stopped = signals.stop_event()
+    """Announce until SIGTERM or SIGINT, then leave and drain requests."""
+    print(f"listening {announced_target.address}", flush=True)
+    stopping = signals.stop_event()
     announcer = None
-    if given.announce:
-        key_id, key = next(iter(settings.read_keys(given.key_file).items()))
+    if args.announce:
+        key_id, key = next(iter(settings.read_keys(args.key_file).items()))
         announcer = announcements.Announcer(
-            announced,
-            given.announce,
+            announced_target,
+            args.announce,
             key_id,
             key,
             load,
-            given.report_seconds,
+            args.report_seconds,
             serves,
         )
         announcer.start()
-    await stopped.wait()
+    await stopping.wait()
     if announcer:
         await announcer.leave()
-    for _ in range(int(END_SECONDS / LOOK_SECONDS)):
+    for _ in range(int(DRAIN_SECONDS / POLL_SECONDS)):
         if not sum(load()[:2]):
             break
-        await asyncio.sleep(LOOK_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
--- a/amaranthring/testing/tcp_relay.py
+++ b/amaranthring/testing/tcp_relay.py
@@ -1,8 +1,9 @@
-"""A TCP relay whose directions can be cut, as a network partition does.
+"""A TCP relay that simulates network partitions by blocking directions.
 
-Bytes of a cut direction are held back, not lost: like packets that are
-dropped and sent again, they arrive after :meth:`Cut.heal`, or never if an
-end gives up first. New connections are accepted while cut, and hang.
+Bytes of a blocked direction are held back, as if they were retransmitted:
+they arrive after :meth:`Relay.heal`, or never if an end closes first. While
+the direction to the upstream is blocked, new connections are accepted and
+hang.
 """
 
 import asyncio
@@ -11,21 +12,21 @@
 
 
 class Relay:
-    """A relay from a listening port to a target address.
+    """A relay from a listening port to an upstream address.
 
     Attributes
     ----------
     port : int
-        Where it listens, on 127.0.0.1.
-    target : str
-        ``host:port``; may be changed while it runs.
+        Port that it listens on, at 127.0.0.1.
+    upstream : str
+        ``host:port``; may be changed while the relay runs.
     """
 
-    def __init__(self, target: str = ""):
-        self.upstream = target
+    def __init__(self, upstream: str = ""):
+        self.upstream = upstream
         self.port = 0
-        self.open_to_target = asyncio.Event()
-        self.open_to_client = asyncio.Event()
+        self.upstream_unblocked = asyncio.Event()
+        self.client_unblocked = asyncio.Event()
         self.heal()
         self.tasks: set[asyncio.Task] = set()
 
@@ -35,7 +36,7 @@
         return f"127.0.0.1:{self.port}"
 
     async def start(self) -> None:
-        """Listen on its port, or on a free one if it is 0."""
+        """Listen on `port`, or on a free port if it is 0."""
         self.server = await asyncio.start_server(
             self._accept, "127.0.0.1", self.port
         )
@@ -49,55 +50,55 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def block(self, to_target: bool = True, to_client: bool = True) -> None:
-        """Hold back bytes of the given directions."""
+        """Hold back the bytes of the given directions."""
         if to_target:
-            self.open_to_target.clear()
+            self.upstream_unblocked.clear()
         if to_client:
-            self.open_to_client.clear()
+            self.client_unblocked.clear()
 
     def heal(self) -> None:
-        """Let everything through again."""
-        self.open_to_target.set()
-        self.open_to_client.set()
+        """Unblock both directions and release what was held back."""
+        self.upstream_unblocked.set()
+        self.client_unblocked.set()
 
     async def _accept(self, reader, writer) -> None:
         task = asyncio.current_task()
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         try:
-            await self.open_to_target.wait()
+            await self.upstream_unblocked.wait()
             host, port = self.upstream.rsplit(":", 1)
-            there = await asyncio.open_connection(host, int(port))
-            await self._relay_both(reader, writer, there)
+            upstream = await asyncio.open_connection(host, int(port))
+            await self._relay_both(reader, writer, upstream)
         except (OSError, ValueError, asyncio.CancelledError):
-            # The server's own callback would report a cancelled task as a
-            # fault; it only ever is cancelled by `stop`.
+            # Only `stop` cancels the task; asyncio's server would log the
+            # cancellation as an error.
             pass
         finally:
             writer.close()
 
-    async def _relay_both(self, reader, writer, there) -> None:
-        ways = [
+    async def _relay_both(self, reader, writer, upstream) -> None:
+        tasks = [
             asyncio.ensure_future(
-                self._relay(reader, there[1], self.open_to_target)
+                self._relay(reader, upstream[1], self.upstream_unblocked)
             ),
             asyncio.ensure_future(
-                self._relay(there[0], writer, self.open_to_client)
+                self._relay(upstream[0], writer, self.client_unblocked)
             ),
         ]
         try:
-            await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for way in ways:
-                way.cancel()
-            there[1].close()
+            for task in tasks:
+                task.cancel()
+            upstream[1].close()
 
-    async def _relay(self, reader, writer, way: asyncio.Event) -> None:
+    async def _relay(self, reader, writer, unblocked: asyncio.Event) -> None:
         try:
             while data := await reader.read(READ_BYTES):
-                await way.wait()
+                await unblocked.wait()
                 writer.write(data)
                 await writer.drain()
-            await way.wait()
+            await unblocked.wait()
         except OSError:
             pass
