--- a/amaranthring/testing/__init__.py
+++ b/amaranthring/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Public asserts, fakes and stand-ins for tests, demo and bench."""
+"""Fakes, stand-ins and fleets for tests, demo and benchmarks."""
--- a/amaranthring/testing/fake_dependencies.py
+++ b/amaranthring/testing/fake_dependencies.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of what the request's way needs from other packages."""
+"""Fakes of what request execution needs from other packages."""
 
 import asyncio
 import collections
@@ -16,26 +16,26 @@
 
 
 class Ledger:
-    """A ledger of claims in memory, shared by several routers.
+    """An in-memory ledger of claims, shared by several routers.
 
     Attributes
     ----------
     claims : dict
-        By account and key: body digest, claim, and who may settle it.
+        Body digest and claim, by account and key.
     fail : AmaranthringError or None
         Raised by every call while it is set.
     fail_settle : AmaranthringError or None
-        Raised by ``settle`` only.
+        Raised by every ``settle`` while it is set.
     """
 
     def __init__(self):
         self.claims: dict[tuple[str, str], tuple[str, records.Claim]] = {}
         self.fail: errors.AmaranthringError | None = None
         self.fail_settle: errors.AmaranthringError | None = None
-        self.answer_bytes_most = 16 * 1024
+        self.max_answer_bytes = 16 * 1024
 
     async def claim(self, request, attempt, target) -> records.Claim:
-        """Grant once; say what is known to everyone else."""
+        """Grant the key to one attempt; return its claim to others."""
         await asyncio.sleep(0)
         if self.fail:
             raise self.fail
@@ -48,12 +48,12 @@
             if held.attempt == attempt and held.outcome is None:
                 return records.Claim(state.GRANTED, attempt, target)
             return held
-        kept = records.Claim(state.IN_PROGRESS, attempt, target)
-        self.claims[name] = (request.body_digest, kept)
+        claim = records.Claim(state.IN_PROGRESS, attempt, target)
+        self.claims[name] = (request.body_digest, claim)
         return records.Claim(state.GRANTED, attempt, target)
 
     async def settle(self, request, attempt, outcome, answer) -> None:
-        """Settle for the holder only."""
+        """Settle a claim if `attempt` holds it."""
         await asyncio.sleep(0)
         if self.fail or self.fail_settle:
             raise self.fail or self.fail_settle
@@ -63,18 +63,18 @@
             raise errors.NotFoundError("no such claim")
         if held.attempt != attempt:
             raise errors.ForbiddenError("another attempt holds the claim")
-        unknown = outcome is errors.Outcome.UNKNOWN
+        is_unknown = outcome is errors.Outcome.UNKNOWN
         state = records.ClaimState
-        held.state = state.UNKNOWN if unknown else state.SETTLED
+        held.state = state.UNKNOWN if is_unknown else state.SETTLED
         held.outcome = outcome
-        if answer and len(answer.body) > self.answer_bytes_most:
+        if answer and len(answer.body) > self.max_answer_bytes:
             answer = records.StoredAnswer(
                 answer.status, answer.content_type, b"", False
             )
         held.answer = answer
 
     def mark_unknown(self, account: str, key: str) -> None:
-        """Do as the keepers do when the holder of a claim is lost."""
+        """Mark a claim as unknown, as keepers do if its holder is lost."""
         _, held = self.claims[account, key]
         held.state = records.ClaimState.UNKNOWN
 
@@ -149,7 +149,7 @@
         }
 
     async def check_limits(self, _) -> None:
-        """Refuse with the planned error."""
+        """Raise the planned error, if any."""
         if self.limit_error:
             raise self.limit_error
 
@@ -171,23 +171,23 @@
         )
 
     def release(self, grant, end) -> None:
-        """Count the grant back."""
+        """Release the grant."""
         self.running[grant.target.name] -= 1
         self.released.append(end)
 
     async def report_crash(self, request, target) -> None:
-        """Note a coincidence; two targets quarantine the request."""
+        """Record a crash; the second target quarantines the request."""
         self.crash_reports.append((request.body_digest, target.name))
-        seen = {
+        crashed_targets = {
             t
             for digest, t in self.crash_reports
             if digest == request.body_digest
         }
-        if len(seen) >= 2:
+        if len(crashed_targets) >= 2:
             self.quarantined.add(request.body_digest)
 
     def may_retry(self, _) -> bool:
-        """Pay one retry."""
+        """Take one retry from the budget, if any is left."""
         self.retries_left -= 1
         return self.retries_left >= 0
 
@@ -199,6 +199,6 @@
         return self.lost[name]
 
     def lose(self, name) -> None:
-        """Let membership give a target up."""
+        """Declare a target lost."""
         self.targets.pop(name, None)
         self.when_lost(name).set_result(None)
--- a/amaranthring/testing/fake_network.py
+++ b/amaranthring/testing/fake_network.py
@@ -1,7 +1,7 @@
-"""Small fakes of the target table and the mesh, for tests and benchmarks.
+"""Fakes of the target table and the mesh, for tests and benchmarks.
 
-A :class:`Net` joins fake meshes in one process. Messages go through
-``wire`` as they would on a stream, so that what cannot be encoded fails.
+A :class:`Network` connects fake meshes in one process. Messages are encoded
+and decoded with ``wire``, so that one that cannot be encoded fails.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 def target(name, data_centre="dc1", serves=("m",), **fields):
-    """Return an engine called `name`."""
+    """Return the record of an engine."""
     fields.setdefault("kind", records.TargetKind.ENGINE)
     fields.setdefault("incarnation", 1)
     fields.setdefault("region", "north")
@@ -46,19 +46,19 @@
 
 
 class Table:
-    """Target table of one router."""
+    """Fake target table of one router."""
 
     def __init__(self, targets=()):
-        self.targets = {each.name: each for each in targets}
+        self.targets = {target.name: target for target in targets}
         self.states = dict.fromkeys(self.targets, records.TargetState.READY)
         self.reports = {}
         self.callbacks = []
 
-    def put(self, each, state=records.TargetState.READY):
+    def put(self, target, state=records.TargetState.READY):
         """Add or change a target."""
-        self.targets[each.name] = each
-        self.states[each.name] = state
-        self.changed(each.name)
+        self.targets[target.name] = target
+        self.states[target.name] = state
+        self.changed(target.name)
 
     def set_state(self, name, state):
         """Change the state of a target."""
@@ -73,10 +73,10 @@
     def eligible(self, kind, serves):
         """Return ready targets for `kind` and `serves`."""
         return [
-            each
-            for name, each in self.targets.items()
-            if each.kind == kind
-            and serves in each.serves
+            target
+            for name, target in self.targets.items()
+            if target.kind == kind
+            and serves in target.serves
             and self.states[name] == records.TargetState.READY
         ]
 
@@ -99,34 +99,37 @@
         return self.states.get(name, records.TargetState.LOST)
 
     def subscribe(self, callback):
-        """Call `callback` with the name of each changed target."""
+        """Call `callback` with the name of target changed target."""
         self.callbacks.append(callback)
 
 
 @dataclasses.dataclass
 class FakeLink:
-    """Stands for the link that a message came on."""
+    """The link on which a message arrived."""
 
     peer: links.Identity
 
 
 class Network:
-    """Joins meshes; holds what is cut, frozen or lost.
+    """Connects meshes; simulates partitions, frozen routers and loss.
 
     Attributes
     ----------
     data_centres : dict
-        Router to its data centre.
+        Data centre by router.
     frozen : set
-        Routers that answer nothing.
+        Routers that do not answer.
     leaving : set
-        Routers that said that they leave; they still answer.
-    lose : callable
-        Returns whether a one-way message from, to is lost.
+        Routers that announced that they leave; they still answer.
+    cut : set
+        Pairs of sender and receiver between which messages do not pass.
+    is_dropped : callable
+        Returns whether a one-way message is dropped, given its sender, its
+        receiver and the message.
     plain : bool
-        Hand messages over as they are, for speed.
+        Whether messages are passed without encoding, for speed.
     pause : callable
-        Awaitable; passes the time of a call that is not answered.
+        Coroutine function; waits out the timeout of an unanswered call.
     """
 
     def __init__(self, data_centres, plain=False):
@@ -143,30 +146,30 @@
         for name in self.data_centres:
             self.meshes[name] = Mesh(name, self)
 
-    def passes(self, sender, receiver):
+    def can_reach(self, sender, receiver):
         """Return whether messages get from `sender` to `receiver`."""
         if receiver not in self.meshes or sender not in self.meshes:
             return False
         return (sender, receiver) not in self.cut
 
     def stop(self, name):
-        """Kill router `name`; the others learn of it at once."""
+        """Kill router `name`; the others are notified at once."""
         del self.meshes[name]
         del self.data_centres[name]
         self.changed()
 
     def leave(self, name):
-        """Let router `name` leave gracefully; it goes on answering."""
+        """Let router `name` leave gracefully; it still answers."""
         self.leaving.add(name)
         self.changed()
 
     def changed(self):
-        """Tell every router that the live list changed."""
+        """Notify every router that the live routers changed."""
         for mesh in list(self.meshes.values()):
             mesh.changed()
 
     def count(self, message):
-        """Count a message that crosses the net; return it decoded."""
+        """Count a message; return it as the receiver decodes it."""
         if self.plain:
             return message
         tag, body = wire.encode_message(message)
@@ -176,11 +179,17 @@
 
 
 class Mesh:
-    """Mesh of one router within a :class:`Net`."""
+    """Fake mesh of one router in a :class:`Network`.
 
-    def __init__(self, name, net):
+    Attributes
+    ----------
+    hidden : set
+        Routers that this router does not see as live.
+    """
+
+    def __init__(self, name, network):
         self.name = name
-        self.net = net
+        self.network = network
         self.handlers = links.Handlers()
         self.callbacks = []
         self.hidden = set()
@@ -189,18 +198,18 @@
         """Return live routers as this router sees them."""
         return sorted(
             name
-            for name, centre in self.net.data_centres.items()
+            for name, centre in self.network.data_centres.items()
             if name not in self.hidden
-            and name not in self.net.leaving
+            and name not in self.network.leaving
             and data_centre in (None, centre)
         )
 
     def data_centre_of(self, name):
         """Return the data centre of router `name`."""
-        return self.net.data_centres.get(name, "")
+        return self.network.data_centres.get(name, "")
 
     def subscribe(self, callback):
-        """Call `callback` when the live list changes."""
+        """Call `callback` when the live routers change."""
         self.callbacks.append(callback)
 
     def changed(self):
@@ -213,29 +222,31 @@
         if name == self.name:
             self._handle(self.name, message)
             return True
-        if not self.net.passes(self.name, name):
+        if not self.network.can_reach(self.name, name):
             return False
-        if name in self.net.frozen:
+        if name in self.network.frozen:
             return True
-        if self.net.is_dropped(self.name, name, message):
+        if self.network.is_dropped(self.name, name, message):
             return True
-        self.net.meshes[name]._handle(self.name, self.net.count(message))
+        self.network.meshes[name]._handle(
+            self.name, self.network.count(message)
+        )
         return True
 
     async def call(self, name, message, timeout):
-        """Call `name`; a frozen one lets the call time out."""
+        """Call `name`; a call of a frozen router times out."""
         if name == self.name:
             return await self._result(self.name, message)
-        if not self.net.passes(self.name, name):
+        if not self.network.can_reach(self.name, name):
             raise errors.LinkClosedError(
                 f"no link to {name}", outcome=errors.Outcome.NOT_RUN
             )
-        if name in self.net.frozen:
-            await self.net.pause(timeout)
+        if name in self.network.frozen:
+            await self.network.pause(timeout)
             raise errors.LinkTimeoutError(f"no reply from {name}")
-        there = self.net.meshes[name]
-        answer = await there._result(self.name, self.net.count(message))
-        return None if answer is None else self.net.count(answer)
+        receiver = self.network.meshes[name]
+        answer = await receiver._result(self.name, self.network.count(message))
+        return None if answer is None else self.network.count(answer)
 
     def _handle(self, sender, message):
         handler = self.handlers.by_class[type(message)]
--- a/amaranthring/testing/fake_state.py
+++ b/amaranthring/testing/fake_state.py
@@ -1,4 +1,4 @@
-"""Fakes for the state of the fleet: a group of one, a mesh in one process."""
+"""Fakes of the keeper group and the mesh, for tests of fleet state."""
 
 import asyncio
 import itertools
@@ -18,21 +18,23 @@
 
 
 def round_trip(message: t.Any) -> t.Any:
-    """Return `message` as it comes out of a stream."""
+    """Return `message` encoded and decoded again."""
     if message is None:
         return None
     return wire.decode_message(*wire.encode_message(message))
 
 
 class FakeGroup:
-    """Keepers in one process: every proposal is committed at once.
+    """A keeper group in one process that commits proposals at once.
 
     Attributes
     ----------
     cut : bool
-        While true, nothing is accepted and no query answered.
-    lose_answers : int
-        So many answers to proposals are lost after the command took hold.
+        While true, proposals and queries fail for lack of a quorum.
+    lost_replies : int
+        Number of replies to lose after their commands were applied.
+    skew : float
+        Seconds by which its clock is ahead.
     """
 
     def __init__(self, machine: machines.StateMachine | None = None):
@@ -45,46 +47,46 @@
 
     async def propose(self, command: t.Any, _timeout: float = 1.0) -> t.Any:
         """Apply `command` as a committed entry of the log."""
-        self._reachable()
+        self._check_quorum()
         result = self.apply(command)
         if self.lost_replies:
             self.lost_replies -= 1
-            raise errors.LinkTimeoutError("the answer was lost")
+            raise errors.LinkTimeoutError("the reply was lost")
         return round_trip(result)
 
     def apply(self, command: t.Any) -> t.Any:
-        """Apply `command` at the wall time now, moved by `skew`."""
+        """Apply `command` at the current wall time plus `skew`."""
         stamp = time.time() + self.skew
         return self.machine.apply(next(self.index), stamp, round_trip(command))
 
     async def query(self, message: t.Any, _timeout: float = 1.0) -> t.Any:
         """Answer a query."""
-        self._reachable()
+        self._check_quorum()
         answer = await self.queries.answer(round_trip(message))
-        self._reachable()
+        self._check_quorum()
         return round_trip(answer)
 
     def restart(self) -> None:
-        """Go on from a snapshot, in another machine."""
+        """Restore a snapshot into a new state machine."""
         data = self.machine.snapshot()
         self.machine = machines.StateMachine()
         self.machine.restore(data)
         self.queries = queries.Queries(self.machine)
 
-    def _reachable(self) -> None:
+    def _check_quorum(self) -> None:
         if self.cut:
             raise errors.NoQuorumError("no keepers", retry_after=1.0)
 
 
 class FakeMesh:
-    """The mesh as one router sees it; all share `routers`.
+    """The mesh of one router; all meshes share `routers`.
 
     Parameters
     ----------
     routers : dict
-        Name to the mesh of each live router.
+        Mesh of each live router, by name.
     allowed : callable
-        Of two names; false while the link between them is cut.
+        Returns whether two routers, given by name, can connect.
     """
 
     def __init__(self, name, data_centre, routers, allowed=None):
@@ -98,7 +100,7 @@
         routers[name] = self
 
     def live(self, data_centre=None) -> list[str]:
-        """Return names of the live routers that this one reaches."""
+        """Return names of the live routers that this one can reach."""
         return sorted(
             name
             for name, mesh in self.routers.items()
@@ -111,7 +113,7 @@
         return self.routers[name].data_centre
 
     def send(self, name, message) -> bool:
-        """Deliver `message` soon, unless it is to be dropped."""
+        """Deliver `message` asynchronously, unless it is dropped."""
         other = self.routers.get(name)
         if other is None or not self.allowed(self.name, name):
             return False
@@ -139,13 +141,13 @@
         return round_trip(other.handle(self.name, round_trip(message)))
 
     def handle(self, source, message):
-        """Hand `message` to this router's handler."""
+        """Pass `message` to this router's handler."""
         link = types.SimpleNamespace(peer=types.SimpleNamespace(name=source))
         return self.handlers.by_class[type(message)](link, message)
 
 
 def make_revisions(name, data_centre, group, routers, **more):
-    """Return the revisions of a router in a fake fleet, and its mesh."""
+    """Return a router's :class:`revisions.Revisions` and its fake mesh."""
     neighbours = more.pop("neighbours", [])
     path = more.pop("path", "")
     mesh = FakeMesh(name, data_centre, routers, **more)
@@ -163,23 +165,23 @@
 
 
 def bootstrap(accounts: int = 3, policies: bool = False) -> t.Any:
-    """Return a first configuration with so many accounts."""
+    """Return a bootstrap command with a number of accounts."""
     presets = [fleet.Preset("ordinary"), fleet.Preset("peak", 1.5)]
-    named = [
+    account_list = [
         fleet.Account(f"account-{number}", [f"{number:064x}"])
         for number in range(accounts)
     ]
     if policies:
         for preset in presets:
-            for account in named:
+            for account in account_list:
                 preset.accounts[account.name] = fleet.AccountPolicy(2.0, 20.0)
-    return commands.Bootstrap("ordinary", presets, named)
+    return commands.Bootstrap("ordinary", presets, account_list)
 
 
 async def wait_until(condition: t.Callable[[], bool], seconds: float = 20.0):
     """Wait until `condition` holds, at most `seconds`."""
-    ends = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        if time.monotonic() > ends:
-            raise AssertionError("the condition did not come to hold")
+        if time.monotonic() > deadline:
+            raise AssertionError("condition not met in time")
         await asyncio.sleep(0.01)
--- a/amaranthring/testing/in_process_routers.py
+++ b/amaranthring/testing/in_process_routers.py
@@ -1,4 +1,4 @@
-"""Several routers' decision parts in one process, joined by fakes."""
+"""Routers' decision components in one process, over a fake network."""
 
 import collections
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests set."""
 
     def __init__(self):
         self.now = 1000.0
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass
 class Router:
-    """Decision parts of one router."""
+    """Decision components of one router."""
 
     name: str
     mesh: fakes.Mesh
@@ -45,7 +45,7 @@
     Parameters
     ----------
     routers, engines : int
-        How many; spread over `data_centres` in turn.
+        Numbers of each; assigned to `data_centres` in turn.
     """
 
     def __init__(
@@ -82,20 +82,20 @@
         owners = admission.Controller(
             name, table, mesh, lambda: self.config, clock=self.clock
         )
-        near = regions.Regions("north", mesh, table.all)
-        held = suspicion.CrashTracker(
+        region = regions.Regions("north", mesh, table.all)
+        crash_tracker = suspicion.CrashTracker(
             name,
             mesh,
-            near,
+            region,
             self._quarantine,
             lambda: self.config,
             clock=self.clock,
         )
-        held.confirm_seconds = 0.0
-        places = directory.Directory(
-            name, mesh, near.own, held, clock=self.clock
+        crash_tracker.confirm_seconds = 0.0
+        chat_directory = directory.Directory(
+            name, mesh, region.own, crash_tracker, clock=self.clock
         )
-        rates = limits.AccountLimits(
+        account_limits = limits.AccountLimits(
             name,
             mesh,
             lambda: self.config,
@@ -108,31 +108,48 @@
             "north",
             table,
             mesh,
-            places,
-            held,
+            chat_directory,
+            crash_tracker,
             lambda: self.config,
             clock=self.clock,
         )
-        for part in (owners, places, placer, held, rates):
-            part.add_handlers(mesh.handlers)
-        return Router(name, mesh, table, owners, places, placer, held, rates)
+        for component in (
+            owners,
+            chat_directory,
+            placer,
+            crash_tracker,
+            account_limits,
+        ):
+            component.add_handlers(mesh.handlers)
+        return Router(
+            name,
+            mesh,
+            table,
+            owners,
+            chat_directory,
+            placer,
+            crash_tracker,
+            account_limits,
+        )
 
     async def _quarantine(self, fingerprint):
         self.quarantined.append(fingerprint)
 
     def live(self):
-        """Return the routers that run, those that leave included."""
+        """Return the running routers, including those that are leaving."""
         return [
-            each for each in self.routers if each.name in self.network.meshes
+            router
+            for router in self.routers
+            if router.name in self.network.meshes
         ]
 
     def accepting(self):
-        """Return the routers that take new requests."""
+        """Return the routers that accept new requests."""
         leaving = self.network.leaving
-        return [each for each in self.live() if each.name not in leaving]
+        return [router for router in self.live() if router.name not in leaving]
 
     async def admit(self, number, router=None, excluded=(), **fields):
-        """Admit request `number` at the router in turn, or at `router`."""
+        """Admit request `number` at `router`, or at the next in turn."""
         live = self.accepting()
         at = self.by_name[router] if router else live[number % len(live)]
         request = fakes.request(number, **fields)
@@ -142,18 +159,18 @@
         return grant
 
     def release(self, grant, end=records.AttemptEnd.DONE):
-        """End `grant`."""
+        """Release `grant`."""
         at, _ = self.grants.pop(grant.grant_id)
         at.placer.release(grant, end)
 
     def in_flight(self):
-        """Return requests in flight by target, as they really are."""
+        """Return the actual number of requests in flight by target."""
         return collections.Counter(
             grant.target.name for _, grant in self.grants.values()
         )
 
     def counted_in_flight(self):
-        """Return requests in flight as all owners count them."""
+        """Return the number of requests in flight that owners count."""
         return sum(
             len(cell.counts.held)
             for router in self.live()
@@ -162,14 +179,16 @@
 
     def owner(self):
         """Return the router that owns the only cell."""
-        return next(each for each in self.accepting() if each.owners.cells)
+        return next(
+            router for router in self.accepting() if router.owners.cells
+        )
 
     def state_of(self, name):
-        """Return the state that the target is in, whoever knows it."""
+        """Return the state of target `name` as last set."""
         return self.states.get(name, records.TargetState.READY)
 
     def stop(self, name):
-        """Kill router `name`; return the grants that it ran."""
+        """Kill router `name`; return the grants that it held."""
         lost = [grant for at, grant in self.grants.values() if at.name == name]
         for grant in lost:
             del self.grants[grant.grant_id]
@@ -178,7 +197,7 @@
         return lost
 
     def leave(self, name):
-        """Let router `name` hand over and leave."""
+        """Let router `name` hand over its state and leave."""
         self.by_name[name].owners.hand_over()
         self.by_name[name].directory.hand_over()
         self.network.leave(name)
@@ -190,24 +209,24 @@
             router.table.set_state(name, state)
 
     def add(self, target):
-        """Let `target` join at every router."""
+        """Add `target` at every router."""
         self.targets.append(target)
         for router in self.live():
             router.table.put(target)
 
     def renew_leases(self):
-        """Let routers tell owners what they hold."""
+        """Let routers report the grants that they hold to the owners."""
         for router in self.live():
             if router.name not in self.network.frozen:
                 router.placer.held.renew()
 
     def send_digests(self):
-        """Let owners tell their siblings how they are loaded."""
+        """Let owners send load digests to their siblings."""
         for router in self.live():
             router.owners.tell_siblings(self.clock())
 
     def advance(self, seconds):
-        """Move the clock and do what time brings."""
+        """Advance the clock and run the timers of the owners."""
         self.clock.now += seconds
         for router in self.live():
             if router.name not in self.network.frozen:
