--- a/amaranthring/testing/faults.py
+++ b/amaranthring/testing/faults.py
@@ -1,7 +1,6 @@
 """Seeded faults on a fleet of keeper processes under a seeded load.
 
-What every client was told is kept, so that it can be compared with what the
-keepers hold afterwards.
+Replies to clients are recorded and compared with the final keeper states.
 """
 
 import asyncio
@@ -23,16 +22,16 @@
 
 @dataclasses.dataclass
 class ClientHistory:
-    """What clients were told.
+    """Replies that clients received.
 
     Attributes
     ----------
     calls : dict
         Calls by register.
     added : dict
-        Command id to the number that its answer gave.
+        Number in the reply to each add, by command id.
     not_run : set
-        Command ids of writes that were refused as certainly not run.
+        Values of writes whose outcome was "not run".
     """
 
     calls: dict[str, list[linearizable.Call]] = dataclasses.field(
@@ -42,26 +41,26 @@
     not_run: set[str] = dataclasses.field(default_factory=set)
 
     def check(self, dumps: list[keeper.Dump]) -> list[str]:
-        """Return every contradiction with the keepers' final states."""
-        found = []
+        """Return all contradictions with the final keeper states."""
+        problems = []
         if any(dump != dumps[0] for dump in dumps):
-            found.append("keepers hold different states")
+            problems.append("keepers hold different states")
         for command_id, number in self.added.items():
             held = dumps[0].seen.get(command_id)
             if held != number:
-                found.append(f"{command_id}: told {number}, held {held}")
+                problems.append(f"{command_id}: told {number}, held {held}")
         for register, calls in self.calls.items():
             if not linearizable.is_linearizable(calls):
-                found.append(f"register {register}: no order explains it")
+                problems.append(f"register {register}: no order explains it")
             written = {call.value for call in calls}
-            doubled = written & self.not_run
-            if doubled:
-                found.append(f"not-run writes were seen: {doubled}")
-        return found
+            applied = written & self.not_run
+            if applied:
+                problems.append(f"not-run writes were seen: {applied}")
+        return problems
 
 
 class Load:
-    """Clients that write, swap, read and add until told to end."""
+    """Clients that write, compare-and-set, read and add until stopped."""
 
     def __init__(self, fleet, seed: int, clients: int = 4):
         self.fleet = fleet
@@ -72,7 +71,7 @@
         self.number = 0
 
     async def run(self) -> None:
-        """Return after `ended` was set and the last calls were answered."""
+        """Run clients until `stopping` is set and their last calls ended."""
         await asyncio.gather(*(self._client() for _ in range(self.clients)))
 
     async def _client(self) -> None:
@@ -106,7 +105,7 @@
             reply = await client.query(keeper.Get(register), CALL_SECONDS)
         except errors.AmaranthringError:
             return None
-        self._note(register, began, "read", reply.value)
+        self._record(register, began, "read", reply.value)
         return reply.value
 
     async def _write(self, client, register, value, expected) -> None:
@@ -116,7 +115,7 @@
         try:
             await client.propose(command, CALL_SECONDS)
         except errors.RevisionConflictError as error:
-            self._note(register, began, "held", error.expected or "")
+            self._record(register, began, "held", error.expected or "")
         except errors.AmaranthringError as error:
             if error.outcome == errors.Outcome.NOT_RUN:
                 self.history.not_run.add(value)
@@ -126,75 +125,76 @@
             )
             self.history.calls[register].append(call)
         else:
-            self._note(register, began, kind, value, expected or "")
+            self._record(register, began, kind, value, expected or "")
 
-    def _note(self, register, began, kind, value, expected="") -> None:
+    def _record(self, register, began, kind, value, expected="") -> None:
         call = linearizable.Call(
             began, time.monotonic(), kind, value, expected
         )
         self.history.calls[register].append(call)
 
 
-async def kill_and_restart(fleet, source: random.Random) -> None:
-    """Kill a keeper at once and start it again a little later."""
-    name = source.choice(fleet.names)
+async def kill_and_restart(fleet, rng: random.Random) -> None:
+    """Kill a random keeper and restart it shortly after."""
+    name = rng.choice(fleet.names)
     fleet.keepers[name].kill()
-    await asyncio.sleep(source.uniform(0.0, 0.5))
+    await asyncio.sleep(rng.uniform(0.0, 0.5))
     await fleet.restart(name)
 
 
-async def pause_and_resume(fleet, source: random.Random) -> None:
-    """Freeze a keeper and wake it a little later."""
-    name = source.choice(fleet.names)
+async def pause_and_resume(fleet, rng: random.Random) -> None:
+    """Pause a random keeper and resume it shortly after."""
+    name = rng.choice(fleet.names)
     fleet.keepers[name].pause()
-    await asyncio.sleep(source.uniform(0.2, 1.2))
+    await asyncio.sleep(rng.uniform(0.2, 1.2))
     fleet.keepers[name].resume()
 
 
-async def isolate_and_heal(fleet, source: random.Random) -> None:
-    """Cut a keeper off the others in one or both directions."""
-    name = source.choice(fleet.names)
-    inwards, outwards = source.choice(((1, 0), (0, 1), (1, 1)))
+async def isolate_and_heal(fleet, rng: random.Random) -> None:
+    """Isolate a random keeper in one or both directions, then heal."""
+    name = rng.choice(fleet.names)
+    inwards, outwards = rng.choice(((1, 0), (0, 1), (1, 1)))
     fleet.isolate(name, bool(inwards), bool(outwards))
-    await asyncio.sleep(source.uniform(0.2, 1.2))
+    await asyncio.sleep(rng.uniform(0.2, 1.2))
     fleet.heal()
 
 
 async def run(fleet, seed: int, count: int, faults: list) -> list[str]:
-    """Run load and faults; return every contradiction afterwards.
+    """Run load and faults; return all contradictions found.
 
     Parameters
     ----------
     fleet : processes.KeeperFleet
-        Started.
+        Started fleet.
     seed : int
-        Of faults and load.
+        Seed of faults and load.
     count : int
-        Faults to cause, under a steady load.
+        Number of faults.
     faults : list of callable
-        Such as :func:`kill_one`; one at a time, drawn at random.
+        Functions such as :func:`kill_and_restart`, drawn at random and run
+        one at a time.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     await fleet.wait_leader()
     load = Load(fleet, seed)
     running = asyncio.ensure_future(load.run())
     for _ in range(count):
-        await asyncio.sleep(source.uniform(0.05, 0.4))
-        await source.choice(faults)(fleet, source)
+        await asyncio.sleep(rng.uniform(0.05, 0.4))
+        await rng.choice(faults)(fleet, rng)
     load.stopping = True
     await running
     fleet.heal()
     dumps = await wait_converged(fleet)
-    found = load.history.check(dumps)
+    problems = load.history.check(dumps)
     if len(load.history.added) < count:
-        found.append("too little was tested")
-    return found
+        problems.append("too little was tested")
+    return problems
 
 
 async def wait_converged(fleet) -> list[keeper.Dump]:
     """Return every keeper's state once all have applied the same entries."""
 
-    async def equal():
+    async def converged():
         statuses = [await fleet.status(name) for name in fleet.names]
         if None in statuses:
             return False
@@ -202,7 +202,7 @@
         last = {status.last_index for status in statuses}
         return len(applied) == 1 and applied == last
 
-    await keeper_processes.wait_until(equal, 30, "equal keepers")
+    await keeper_processes.wait_until(converged, 30, "equal keepers")
     return [
         await fleet.client.diallers[name].call(keeper.LocalDumpQuery(), 5)
         for name in fleet.names
--- a/amaranthring/testing/keeper.py
+++ b/amaranthring/testing/keeper.py
@@ -1,9 +1,9 @@
-"""A keeper process with a tiny machine, for failure tests and benchmarks.
+"""A keeper process with a small machine, for failure tests and benchmarks.
 
 Run as ``python -m amaranthring.testing.keeper SETTINGS CONTROL``. It writes
-the port that it listens on into ``CONTROL/port``. A file ``CONTROL/clock``
-holds seconds by which its wall clock is wrong; while ``CONTROL/full``
-exists, every write fails as on a full disk, and slowly.
+its port to ``CONTROL/port``. The file ``CONTROL/clock`` holds the offset of
+its wall clock in seconds; while ``CONTROL/full`` exists, every write blocks
+for a while and fails with ENOSPC.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 from amaranthring.keepers import options
 from amaranthring.keepers import server
 
-FULL_SECONDS = 0.2
+FULL_DISK_SECONDS = 0.2
 
 
 @wire.message("test-set")
@@ -40,7 +40,7 @@
 
 @wire.message("test-add")
 class Add:
-    """Adds to a counter once for each `command_id`."""
+    """Increments a counter, once for each `command_id`."""
 
     repeatable: t.ClassVar[bool] = True
 
@@ -57,12 +57,12 @@
 
 @wire.message("test-dump-query")
 class LocalDumpQuery:
-    """Reads everything that this keeper has applied, leader or not."""
+    """Reads the state that this keeper has applied, leader or not."""
 
 
 @wire.message("test-value")
 class Value:
-    """What a register holds, and the entry that wrote or read it."""
+    """Result of a command or read; index and time of a command."""
 
     value: str
     index: int = 0
@@ -79,19 +79,19 @@
 
 @wire.message("test-usage-query")
 class UsageQuery:
-    """Asks for what this process has used."""
+    """Asks for the resource usage of this process."""
 
 
 @wire.message("test-usage")
 class Usage:
-    """Processor seconds, and bytes sent over links that are up."""
+    """Processor seconds, and bytes sent over the open links."""
 
     processor_seconds: float
     sent_bytes: int
 
 
 class RegisterMachine:
-    """Registers with compare-and-set, and a counter without doubles."""
+    """Registers with compare-and-set, and an idempotent counter."""
 
     def __init__(self):
         self.registers: dict[str, str] = {}
@@ -123,7 +123,7 @@
 
 
 def add_query_handlers(handlers: links.Handlers, group, machine) -> None:
-    """Answer :class:`Get` from the leader, linearizably."""
+    """Handle linearizable reads, and local dumps."""
 
     async def get(link, message):
         del link
@@ -141,19 +141,21 @@
 
 
 def add_usage_handler(keeper: server.Keeper) -> None:
-    """Answer :class:`UsageQuery`."""
+    """Handle :class:`UsageQuery`."""
 
     def usage(link, message):
         del link, message
         diallers = [peer.dialler for peer in keeper.group.peers.values()]
-        up = [dialler.link for dialler in diallers if dialler.link]
-        sent = sum(one.sent_bytes for one in [*up, *keeper.server.links])
+        open_links = [dialler.link for dialler in diallers if dialler.link]
+        sent = sum(
+            link.sent_bytes for link in [*open_links, *keeper.server.links]
+        )
         return Usage(time.process_time(), sent)
 
     keeper.handlers.add(UsageQuery, usage)
 
 
-def _controlled(control: pathlib.Path):
+def _controlled_io(control: pathlib.Path):
     def wall() -> float:
         try:
             return time.time() + float((control / "clock").read_text())
@@ -162,7 +164,7 @@
 
     def write(fd: int, data: bytes) -> int:
         if (control / "full").exists():
-            time.sleep(FULL_SECONDS)
+            time.sleep(FULL_DISK_SECONDS)
             raise OSError(errno.ENOSPC, "No space left on device")
         return os.write(fd, data)
 
@@ -172,19 +174,19 @@
 async def run(path: str, control: pathlib.Path) -> None:
     """Run until SIGTERM."""
     machine = RegisterMachine()
-    clocks, files = _controlled(control)
+    clocks, files = _controlled_io(control)
     keeper = server.Keeper(settings.read(path), machine, clocks, files)
     add_query_handlers(keeper.handlers, keeper.group, machine)
     add_usage_handler(keeper)
-    ended = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
+    stopping = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stopping.set)
     host, port = keeper.settings.listen.fleet.rsplit(":", 1)
     sockets = tornado.netutil.bind_sockets(int(port), host)
     keeper.start(sockets)
     temporary = control / "port.tmp"
     temporary.write_text(str(sockets[0].getsockname()[1]))
     temporary.replace(control / "port")
-    await ended.wait()
+    await stopping.wait()
     await keeper.stop()
 
 
--- a/amaranthring/testing/keeper_processes.py
+++ b/amaranthring/testing/keeper_processes.py
@@ -1,4 +1,4 @@
-"""Keeper processes on loopback, with a relay for each link between two."""
+"""Keeper processes on loopback, with a relay for each link."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 KEY_TEXT = "a " + "6b" * 32
 KEYS = links.Keys({"a": b"k" * 32})
-ERRORS_SHOWN = 2000
+STDERR_CHARS = 2000
 MODULE = "amaranthring.testing.keeper"
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 
@@ -46,12 +46,14 @@
         if value:
             return value
         if time.monotonic() > end:
-            raise AssertionError(f"{what} did not come in {seconds} s")
+            raise AssertionError(
+                f"timed out waiting for {what} after {seconds} s"
+            )
         await asyncio.sleep(pause)
 
 
 class KeeperProcess:
-    """One keeper process that is started, stopped, frozen and killed."""
+    """One keeper process, controlled by signals and files."""
 
     def __init__(self, name: str, folder: pathlib.Path):
         self.name = name
@@ -63,16 +65,16 @@
 
     @property
     def settings_file(self) -> pathlib.Path:
-        """Return the place of its settings."""
+        """Return the path of its settings."""
         return self.folder / "keeper.ini"
 
     @property
     def errors(self) -> str:
-        """Return what it wrote to standard error."""
+        """Return its standard error."""
         return (self.folder / "stderr").read_text()
 
     def start(self) -> None:
-        """Start it."""
+        """Start the process."""
         (self.control / "port").unlink(missing_ok=True)
         with open(self.folder / "stderr", "ab") as out:
             self.process = subprocess.Popen(
@@ -88,32 +90,32 @@
             )
 
     def port(self) -> int:
-        """Return the port that it listens on, or 0."""
+        """Return the port that it listens on, or 0 if not known yet."""
         with contextlib.suppress(OSError):
             return int((self.control / "port").read_text())
         return 0
 
     def send(self, number: int) -> None:
-        """Send it a signal if it runs."""
+        """Send a signal if the process runs."""
         if self.process and self.process.poll() is None:
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """Kill it at once and wait for its end."""
+        """Kill the process and wait for its end."""
         self.send(signal.SIGKILL)
         if self.process:
             self.process.wait()
 
     def pause(self) -> None:
-        """Stop it where it is."""
+        """Suspend the process."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume the process."""
         self.send(signal.SIGCONT)
 
     def remove_data(self) -> None:
-        """Remove its data folder."""
+        """Delete its data folder."""
         shutil.rmtree(self.data)
 
 
@@ -129,7 +131,7 @@
     options : dict, optional
         Keys of the ``[keeper]`` section.
     direct : bool
-        Without relays, for measurements; links cannot be cut then.
+        Connect without relays, for benchmarks; links cannot be blocked.
     """
 
     def __init__(
@@ -172,7 +174,7 @@
         self.client = self.new_client()
 
     def address(self, name: str, other: str) -> str:
-        """Return where `name` reaches keeper `other`."""
+        """Return the address at which `name` reaches keeper `other`."""
         if self.direct:
             return f"127.0.0.1:{self.ports[other]}"
         if name == other:
@@ -197,26 +199,26 @@
         keeper.settings_file.write_text(text)
 
     async def wait_listening(self, name: str) -> None:
-        """Wait until keeper `name` listens; point its relays there."""
+        """Wait until keeper `name` listens; direct its relays to it."""
         keeper = self.keepers[name]
         try:
             port = await wait_until(keeper.port, what=f"port of {name}")
         except AssertionError as error:
             code = keeper.process and keeper.process.poll()
             raise AssertionError(
-                f"{error}; exit code {code}: {keeper.errors[-ERRORS_SHOWN:]}"
+                f"{error}; exit code {code}: {keeper.errors[-STDERR_CHARS:]}"
             ) from error
         for (_, other), relay in self.relays.items():
             if other == name:
                 relay.upstream = f"127.0.0.1:{port}"
 
     async def restart(self, name: str) -> None:
-        """Start keeper `name` again after its end."""
+        """Start keeper `name` again and wait until it listens."""
         self.keepers[name].start()
         await self.wait_listening(name)
 
     async def join(self, name: str) -> str:
-        """Start keeper `name`, not yet a member; return its address."""
+        """Start keeper `name` as a non-member; return its address."""
         self.keepers[name] = KeeperProcess(name, self.folder / name)
         for other in self.names:
             relay = self.relays[name, other] = tcp_relay.Relay()
@@ -243,7 +245,7 @@
         return made
 
     def isolate(self, name: str, inwards=True, outwards=True) -> None:
-        """Cut every link between keeper `name` and the other keepers."""
+        """Block the links of keeper `name` with the other keepers."""
         for (one, other), relay in self.relays.items():
             if one == "client":
                 continue
@@ -253,7 +255,7 @@
                 relay.block(to_target=outwards, to_client=inwards)
 
     def heal(self) -> None:
-        """End every cut."""
+        """Unblock every relay."""
         for relay in self.relays.values():
             relay.heal()
 
@@ -265,7 +267,7 @@
             return None
 
     async def leader(self, but: str = "") -> str:
-        """Return the keeper that leads with the highest term, or nothing."""
+        """Return the leader of the highest term, or an empty string."""
         found = []
         for name in self.names:
             status = await self.status(name) if name != but else None
--- a/amaranthring/testing/linearizable.py
+++ b/amaranthring/testing/linearizable.py
@@ -1,8 +1,8 @@
-"""Checks that a history of one register could have happened in one order.
+"""Linearizability check for histories of one register.
 
 Sources: J. Wing and C. Gong, "Testing and Verifying Concurrent Objects",
 J. Parallel Distrib. Comput. 17, 1993; G. Lowe, "Testing for
-linearizability", Concurr. Comput. 29(4), 2017 (remembering visited states).
+linearizability", Concurr. Comput. 29(4), 2017 (memoization).
 """
 
 import dataclasses
@@ -11,19 +11,19 @@
 
 @dataclasses.dataclass
 class Call:
-    """One call to a register as its client saw it.
+    """One call to a register, as its client observed it.
 
     Attributes
     ----------
     began, ended : float
-        Seconds; `ended` is infinite if its fate is not known.
+        Seconds; `ended` is infinite if the outcome is unknown.
     kind : str
-        ``read``, ``write``, ``swap`` (compare-and-set that was told to have
-        succeeded) or ``held`` (compare-and-set that was refused).
+        ``read``, ``write``, ``swap`` (successful compare-and-set) or
+        ``held`` (failed compare-and-set).
     value : str
-        What was read, written, or found to be held.
+        Value read, written, or found by a failed compare-and-set.
     expected : str
-        What a swap expected.
+        Value that a successful compare-and-set expected.
     """
 
     began: float
@@ -34,12 +34,12 @@
 
     @property
     def completed(self) -> bool:
-        """Return whether the client was told that it took effect."""
+        """Return whether the client received the outcome."""
         return self.ended < math.inf
 
 
 def _after(call: Call, state: str) -> str | None:
-    """Return the register after `call`, or None if `state` excludes it."""
+    """Return the state after `call`, or None if it cannot follow `state`."""
     if call.kind == "write":
         return call.value
     if call.kind == "swap":
@@ -48,28 +48,28 @@
 
 
 def is_linearizable(calls: list[Call], first: str = "") -> bool:
-    """Return whether one order of `calls` explains every answer.
+    """Return whether some linearization of `calls` explains every reply.
 
-    A call of unknown fate may have taken effect at any time after it began,
-    or never.
+    A call with unknown outcome may have taken effect at any time after it
+    began, or never.
     """
     calls = sorted(calls, key=lambda call: call.began)
-    certain = frozenset(i for i, c in enumerate(calls) if c.completed)
+    completed = frozenset(i for i, c in enumerate(calls) if c.completed)
     seen = set()
     stack = [(frozenset(), first)]
     while stack:
-        done, state = stack.pop()
-        if certain <= done:
+        applied, state = stack.pop()
+        if completed <= applied:
             return True
-        if (done, state) in seen:
+        if (applied, state) in seen:
             continue
-        seen.add((done, state))
-        left = [i for i in range(len(calls)) if i not in done]
-        horizon = min(calls[i].ended for i in left)
-        for i in left:
-            if calls[i].began > horizon:
+        seen.add((applied, state))
+        pending = [i for i in range(len(calls)) if i not in applied]
+        first_end = min(calls[i].ended for i in pending)
+        for i in pending:
+            if calls[i].began > first_end:
                 break
             after = _after(calls[i], state)
             if after is not None:
-                stack.append((done | {i}, after))
+                stack.append((applied | {i}, after))
     return False
--- a/amaranthring/testing/mesh_members.py
+++ b/amaranthring/testing/mesh_members.py
@@ -1,7 +1,7 @@
-"""Routers that hold nothing but mesh, spread and table, in one process.
+"""Routers reduced to mesh, target sync and target table, in one process.
 
-For tests and benchmarks of the membership: the same parts as in a router,
-wired the same way, with a :class:`cuts.Cut` before any listener.
+For tests and benchmarks of membership: the components of a router, wired the
+same way, with a :class:`tcp_relay.Relay` in front of every listener.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 
 def target(name: str, data_centre: str, **fields: t.Any) -> records.Target:
-    """Return an engine for tests whose address is its own."""
+    """Return the record of an engine with an address of its own."""
     made = {
         "name": name,
         "incarnation": 1,
@@ -42,19 +42,19 @@
 
 
 class Member:
-    """Mesh, spread and table of one router.
+    """Mesh, target sync and target table of one router.
 
     Parameters
     ----------
     name : str
         Name of this router.
     peers : list of settings.PeerAddress
-        Every router, this one included.
-    socks : list of socket
+        Every router, including this one.
+    sockets : list of socket
         Listening sockets of its fleet listener.
     """
 
-    def __init__(self, name, peers, socks, config=fleet.FleetConfig):
+    def __init__(self, name, peers, sockets, config=fleet.FleetConfig):
         peer = next(one for one in peers if one.name == name)
         self.name = name
         self.metrics = metrics.Metrics()
@@ -76,7 +76,7 @@
             on_link=self.mesh.accept,
             on_close=self.mesh.remove_link,
         )
-        self.server.add_sockets(socks)
+        self.server.add_sockets(sockets)
 
     def start(self) -> None:
         """Start every task."""
@@ -85,116 +85,120 @@
         self.target_sync.start()
 
     def stop(self) -> None:
-        """End as a killed process does: without a word."""
+        """Stop as a killed process does, without leaving."""
         self.target_sync.stop()
         self.table.stop()
         self.mesh.stop()
         self.server.close_all()
 
     def eligible(self) -> list[str]:
-        """Return names of engines that this router gives work to."""
+        """Return the names of the eligible engines."""
         found = self.table.eligible(records.TargetKind.ENGINE, "m")
         return [one.name for one in found]
 
 
 class Fleet:
-    """Several members over loopback, each behind cuts of its own.
+    """Several members on loopback, each behind relays of its own.
 
     Parameters
     ----------
-    places : list of str
+    data_centres : list of str
         Data centre of each member; members are named ``r0``, ``r1``, ...
 
     Attributes
     ----------
-    near, far : list of Cut
-        Before each member's listener, for the routers of its own data
+    local_relays, remote_relays : list of Relay
+        In front of each member's listener, for the routers of its own data
         centre and for the others. The lower name dials.
     """
 
-    def __init__(self, places: list[str], config=fleet.FleetConfig):
-        self.data_centres = places
+    def __init__(self, data_centres: list[str], config=fleet.FleetConfig):
+        self.data_centres = data_centres
         self.config = config
         self.local_relays: list[tcp_relay.Relay] = []
         self.remote_relays: list[tcp_relay.Relay] = []
         self.members: list[Member] = []
         self.renewals: dict[str, asyncio.Task] = {}
 
-    def peers_of(self, place: str) -> list[settings.PeerAddress]:
-        """Return every router as those of data centre `place` see it."""
+    def peers_of(self, data_centre: str) -> list[settings.PeerAddress]:
+        """Return every router, with its address as seen from `data_centre`."""
         made = []
-        for number, there in enumerate(self.data_centres):
-            cut = (
-                self.local_relays if there == place else self.remote_relays
+        for number, other in enumerate(self.data_centres):
+            relay = (
+                self.local_relays
+                if other == data_centre
+                else self.remote_relays
             )[number]
             made.append(
                 settings.PeerAddress(
-                    name=f"r{number}", data_centre=there, address=cut.address
+                    name=f"r{number}",
+                    data_centre=other,
+                    address=relay.address,
                 )
             )
         return made
 
     async def start(self) -> None:
         """Start every member."""
-        socks = []
+        sockets = []
         for _ in self.data_centres:
             sock, port = tornado.testing.bind_unused_port()
-            socks.append(sock)
+            sockets.append(sock)
             for side in (self.local_relays, self.remote_relays):
                 side.append(tcp_relay.Relay(f"127.0.0.1:{port}"))
                 await side[-1].start()
-        for number, place in enumerate(self.data_centres):
-            peers = self.peers_of(place)
-            made = Member(f"r{number}", peers, [socks[number]], self.config)
+        for number, data_centre in enumerate(self.data_centres):
+            peers = self.peers_of(data_centre)
+            made = Member(f"r{number}", peers, [sockets[number]], self.config)
             self.members.append(made)
         for member in self.members:
             member.start()
 
     async def stop(self) -> None:
-        """End members, cuts and renewals."""
+        """Stop members, relays and renewals."""
         for task in self.renewals.values():
             task.cancel()
         for member in self.members:
             member.stop()
-        for cut in self.local_relays + self.remote_relays:
-            await cut.stop()
+        for relay in self.local_relays + self.remote_relays:
+            await relay.stop()
 
     def restart(self, number: int) -> Member:
-        """End a member and start its successor at the same place."""
+        """Stop a member and start a new one at the same address."""
         self.members[number].stop()
         host, port = self.local_relays[number].upstream.rsplit(":", 1)
-        socks = tornado.netutil.bind_sockets(int(port), host)
+        sockets = tornado.netutil.bind_sockets(int(port), host)
         peers = self.peers_of(self.data_centres[number])
-        made = Member(f"r{number}", peers, socks, self.config)
+        made = Member(f"r{number}", peers, sockets, self.config)
         self.members[number] = made
         made.start()
         return made
 
-    def isolate(self, place: str) -> None:
-        """Part data centre `place` from all others."""
-        for number, there in enumerate(self.data_centres):
-            if there == place:
+    def isolate(self, data_centre: str) -> None:
+        """Isolate data centre `data_centre` from all others."""
+        for number, other in enumerate(self.data_centres):
+            if other == data_centre:
                 self.remote_relays[number].block()
-        for member, there in zip(self.members, self.data_centres, strict=True):
-            # What this place dialled itself lies behind the others' cuts.
+        for member, other in zip(self.members, self.data_centres, strict=True):
+            # Links dialled from `data_centre` pass the relays of the others.
             for peer in member.mesh.peers.values():
-                crosses = place in (there, peer.data_centre)
-                if crosses and peer.data_centre != there:
+                crosses = data_centre in (other, peer.data_centre)
+                if crosses and peer.data_centre != other:
                     self.remote_relays[int(peer.name[1:])].block()
 
     def heal(self) -> None:
-        """End every cut."""
-        for cut in self.local_relays + self.remote_relays:
-            cut.heal()
+        """Unblock every relay."""
+        for relay in self.local_relays + self.remote_relays:
+            relay.heal()
 
     def renew(self, one: records.Target, numbers: list[int]) -> None:
-        """Announce a target and renew it at the first member that lives."""
+        """Announce a target and renew it at member `numbers[0]`."""
         self.renewals[one.name] = asyncio.ensure_future(
             self._renew(one, numbers)
         )
 
     def stop_renewing(self, name: str) -> None:
-        """Stop renewing: the target died."""
+        """Stop renewing a target, as if it had died."""
         self.renewals.pop(name).cancel()
 
     async def _renew(self, one: records.Target, numbers: list[int]) -> None:
--- a/amaranthring/testing/plan_keepers.py
+++ b/amaranthring/testing/plan_keepers.py
@@ -1,4 +1,4 @@
-"""Keepers of a routing plan and their followers, in this process."""
+"""Plan keepers and their subscribers, in one process."""
 
 import asyncio
 import errno
@@ -32,9 +32,9 @@
     Attributes
     ----------
     running : dict of str to PlanKeeper
-        By address.
-    full : set of str
-        Addresses of keepers whose disks refuse every write.
+        Running keepers by address.
+    full_disks : set of str
+        Addresses of keepers whose writes fail with ENOSPC.
     snapshot_entries, kept_entries : int
         As in :class:`options.Options`, for keepers that start.
     """
@@ -50,7 +50,7 @@
         self.kept_entries = 2
 
     def new_address(self) -> str:
-        """Return an address that is bound already."""
+        """Bind a free port; return its address."""
         made = tornado.netutil.bind_sockets(
             0, "127.0.0.1", family=socket.AF_INET
         )
@@ -60,8 +60,8 @@
         return address
 
     def start(self, address: str, first: bool = False) -> keepers.PlanKeeper:
-        """Start the keeper at `address`; its folder may hold its state."""
-        place = keepers.Config(
+        """Start the keeper at `address`; its folder may hold a state."""
+        config = keepers.Config(
             address,
             "here",
             list(self.seeds),
@@ -80,7 +80,7 @@
         )
         files = disk.FileOps(write=functools.partial(self._write, address))
         made = keepers.PlanKeeper(
-            place, KEYS, metrics.Metrics(), timing, files
+            config, KEYS, metrics.Metrics(), timing, files
         )
         made.start(self.sockets.pop(address, None) or _bind(address))
         self.running[address] = made
@@ -106,11 +106,11 @@
             await self.stop(address)
 
     def wipe(self, address: str) -> None:
-        """Lose the disk of a keeper that does not run."""
+        """Delete the folder of a stopped keeper."""
         shutil.rmtree(self.folder / address.replace(":", "-"))
 
     def leader(self) -> keepers.PlanKeeper | None:
-        """Return the keeper that leads, if one does."""
+        """Return the leader, if there is one."""
         for one in self.running.values():
             if one.group.has_lease() and one.group.leadership_announced:
                 return one
@@ -123,14 +123,14 @@
         return {member.name for member in members}
 
     async def put(self, version: int, document: bytes, at: str = "") -> int:
-        """Put a plan in force as an operator would: again until it is."""
-        return await retry(lambda: self._any(at).hub.put(version, document))
+        """Put a plan in force, with retries."""
+        return await retry(lambda: self._keeper(at).hub.put(version, document))
 
     async def read(self, at: str = "") -> t.Any:
-        """Read the newest plan, again until a keeper is sure of it."""
-        return await retry(lambda: self._any(at).hub.read())
+        """Read the newest plan, with retries."""
+        return await retry(lambda: self._keeper(at).hub.read())
 
-    def _any(self, at: str) -> keepers.PlanKeeper:
+    def _keeper(self, at: str) -> keepers.PlanKeeper:
         return self.running[at] if at else next(iter(self.running.values()))
 
 
@@ -140,17 +140,17 @@
 
 
 def make_subscriber(
-    name: str, seeds: list[str], taken: list[bytes]
+    name: str, seeds: list[str], plans: list[bytes]
 ) -> subscriber.Subscriber:
-    """Return a router's subscriber that adds each plan to `taken`."""
+    """Return a router's subscriber that adds each plan to `plans`."""
     identity = links.Identity(name, messages.ROUTER_ROLE, "here", 1)
-    made = subscriber.Subscriber(identity, KEYS, taken.append)
+    made = subscriber.Subscriber(identity, KEYS, plans.append)
     made.use_seeds(seeds)
     return made
 
 
 async def retry(call: t.Callable, seconds: float = 10.0) -> t.Any:
-    """Return what `call` returns once it does not fail."""
+    """Return what `call` returns, retried on transient errors."""
     async with asyncio.timeout(seconds):
         while True:
             try:
@@ -162,7 +162,7 @@
 
 
 async def wait_until(condition: t.Callable[[], t.Any], seconds: float = 10.0):
-    """Return what `condition` returns once it holds."""
+    """Return what `condition` returns once that is true."""
     async with asyncio.timeout(seconds):
         while not (found := condition()):  # noqa: ASYNC110
             await asyncio.sleep(POLL_SECONDS)
