--- a/amaranthring/testing/demo.py
+++ b/amaranthring/testing/demo.py
@@ -1,10 +1,10 @@
-"""``make demo``: a whole fleet on loopback, with failures, in a minute.
+"""``make demo``: a whole fleet on loopback, under failures.
 
-Three keepers, six routers in three data centres, five engine stand-ins and
-three booking replicas run as separate processes. Callers hold returning
-chats and book through all routers while a router and an engine are killed,
-another engine is drained and the preset is switched. Every answer is
-checked; the demo exits 0 only if everything that it shows held.
+Three keepers, six routers in three data centres, five stand-in engines and
+three stand-in booking replicas run as separate processes. Callers chat and
+book through all routers while an engine and a router are killed, another
+engine is drained and the preset is switched. Every answer is checked; the
+exit code is 0 only if every check passed.
 """
 
 import asyncio
@@ -25,21 +25,21 @@
 FOLDER = pathlib.Path("run/demo")
 ENGINES = 5
 REPLICAS = 3
-IN_FORCE_SECONDS = 3.0
+CHANGE_TIMEOUT_SECONDS = 3.0
 POLL_SECONDS = 0.02
 
 
 @dataclasses.dataclass
 class Check:
-    """One line of the closing table."""
+    """One row of the result table."""
 
-    what: str
-    shown: str
-    held: bool
+    title: str
+    value: str
+    passed: bool
 
 
 class Demo:
-    """The fleet, its callers, and what was seen."""
+    """The fleet, its callers and the results of the checks."""
 
     def __init__(self):
         shutil.rmtree(FOLDER, ignore_errors=True)
@@ -53,41 +53,45 @@
         self.operator = text.split()[1]
         self.checks: list[Check] = []
 
-    def check(self, what: str, shown: object, held: bool) -> None:
-        """Add a line to the table."""
-        self.checks.append(Check(what, str(shown), held))
+    def check(self, title: str, value: object, passed: bool) -> None:
+        """Add a row to the result table."""
+        self.checks.append(Check(title, str(value), passed))
 
     def start(self) -> None:
-        """Start every process and wait until requests can be served."""
+        """Start every process and wait until all targets are known."""
         began = time.monotonic()
         for name in [*self.fleet.names("keeper"), *self.routers]:
             self.fleet.start(name)
         self.fleet.wait_ready(self.routers)
-        places = local_fleet.DATA_CENTRES
+        data_centres = local_fleet.DATA_CENTRES
         for number in range(ENGINES):
-            place = places[number % len(places)]
-            self._target("engine", number, place, "--token-seconds", "0.01")
+            data_centre = data_centres[number % len(data_centres)]
+            self._start_target(
+                "engine", number, data_centre, "--token-seconds", "0.01"
+            )
         for number in range(REPLICAS):
-            self._target("booking", number, places[number])
+            self._start_target("booking", number, data_centres[number])
         self.fleet.wait_targets(ENGINES + REPLICAS, self.routers)
         seconds = time.monotonic() - began
         self.check("fleet ready", f"{seconds:.1f} s", True)
 
-    def _target(self, kind, number, place, *options) -> None:
+    def _start_target(self, kind, number, data_centre, *options) -> None:
         name = f"{kind}-{number + 1}"
-        self.fleet.start_target(kind, name, "--data-centre", place, *options)
+        self.fleet.start_target(
+            kind, name, "--data-centre", data_centre, *options
+        )
 
     async def run(self) -> None:
-        """Show each promise in turn."""
-        await self.calm()
+        """Run each scenario in turn."""
+        await self.steady_state()
         await self.bookings()
         await self.engine_killed()
         await self.router_killed()
         await self.engine_drained()
         await self.preset_switched()
 
-    async def calm(self) -> None:
-        """Hold returning chats through all routers."""
+    async def steady_state(self) -> None:
+        """Chat through all routers, without failures."""
         chats = [self.callers.chat() for _ in range(30)]
         await load.run_all(*chats)
         tally = self.callers.tally
@@ -97,13 +101,13 @@
         self.check("routers that served", through, through == 6)
 
     async def bookings(self) -> None:
-        """Book under a key, and send each again through another router."""
+        """Book under idempotency keys, then resend through other routers."""
         keys = [uuid.uuid4().hex for _ in range(20)]
         first = [self.callers.book(f"slot {key}", key) for key in keys]
         answers = await asyncio.gather(*first)
         again = [self.callers.book(f"slot {key}", key) for key in keys]
         answers += await asyncio.gather(*again)
-        ran = self.ran_keys()
+        ran = self.booked_keys()
         once = all(ran.count(key) == 1 for key in keys)
         told = all(outcome == "ran" for outcome, _ in answers)
         self.check("bookings run once", f"{len(ran)} of 20", once and told)
@@ -113,8 +117,8 @@
         )
         self.check("resent bookings: same answer", same, same)
 
-    def ran_keys(self) -> list[str]:
-        """Return the key of every run that the replicas recorded."""
+    def booked_keys(self) -> list[str]:
+        """Return the key of every booking that the replicas ran."""
         keys = []
         for address in self.addresses("booking"):
             _, body = local_fleet.http_get(f"http://{address}/control/ran")
@@ -122,7 +126,7 @@
         return keys
 
     def addresses(self, kind: str) -> list[str]:
-        """Return addresses of running stand-ins."""
+        """Return the addresses of running stand-ins."""
         found = []
         for name, process in self.fleet.processes.items():
             if name.startswith(kind):
@@ -138,27 +142,29 @@
         )
 
     async def router_killed(self) -> None:
-        """Kill a router under load; the balancer leaves it out."""
+        """Kill a router under load; the balancer removes it."""
 
         def kill():
             self.callers.remove_router(self.fleet.callers_url("router-6"))
             self.fleet.processes.pop("router-6").kill()
             self.routers.remove("router-6")
 
-        await self._under_load("router killed under load", kill, lost=True)
+        await self._under_load(
+            "router killed under load", kill, connections_lost=True
+        )
 
     async def engine_drained(self) -> None:
-        """Drain an engine by command; it gets no new work."""
+        """Drain an engine by command; it gets no new requests."""
         path = "/operators/targets/engine-4/drain"
         await self._changed_under_load(
             "engine drained under load", path, {"reason": "demo"}
         )
-        before = self.started("engine-4")
+        before = self.run_count("engine-4")
         await load.run_all(*[self.callers.chat(1) for _ in range(20)])
-        after = self.started("engine-4")
+        after = self.run_count("engine-4")
         self.check("new work after the drain", after - before, after == before)
 
-    def started(self, engine: str) -> int:
+    def run_count(self, engine: str) -> int:
         """Return how many runs `engine` recorded."""
         process = self.fleet.processes[engine]
         address = process.log.read_text().split()[1]
@@ -166,39 +172,41 @@
         return len(json.loads(body)["ran"])
 
     async def preset_switched(self) -> None:
-        """Switch the preset under load; it is in force everywhere."""
+        """Switch the preset under load; every router applies it."""
         await self._changed_under_load(
             "preset switched under load",
             "/operators/switch",
             {"preset": "peak"},
         )
 
-    async def _changed_under_load(self, what, path, body) -> None:
+    async def _changed_under_load(self, title, path, body) -> None:
         seen: list[float] = []
 
         def change():
             began = time.monotonic()
-            revision = self.operate("POST", path, body)
-            while time.monotonic() < began + IN_FORCE_SECONDS:
-                if all(self.runs(name, revision) for name in self.routers):
+            revision = self.send_change("POST", path, body)
+            while time.monotonic() < began + CHANGE_TIMEOUT_SECONDS:
+                if all(
+                    self.has_applied(name, revision) for name in self.routers
+                ):
                     seen.append(time.monotonic() - began)
                     return
                 time.sleep(POLL_SECONDS)
 
-        await self._under_load(what, change)
-        shown = f"{seen[0] * 1e3:.0f} ms" if seen else "not in time"
-        self.check("  in force on all routers", shown, bool(seen))
+        await self._under_load(title, change)
+        value = f"{seen[0] * 1e3:.0f} ms" if seen else "not in time"
+        self.check("  in force on all routers", value, bool(seen))
 
-    def runs(self, router: str, revision: int) -> bool:
-        """Return whether `router` runs at least `revision`."""
+    def has_applied(self, router: str, revision: int) -> bool:
+        """Return whether `router` has applied at least `revision`."""
         _, body = local_fleet.http_get(
             self.fleet.internal_url(router) + "/metrics"
         )
         gauges = json.loads(body or b'{"gauges": {}}')["gauges"]
         return gauges.get("revisions.revision", 0) >= revision
 
-    def operate(self, method: str, path: str, body: dict) -> int:
-        """Send an operator's change and return its revision."""
+    def send_change(self, method: str, path: str, body: dict) -> int:
+        """Send an operator's change and return the new revision."""
         headers = {"Authorization": f"Bearer {self.operator}"}
         base = self.fleet.internal_url("router-1")
         _, status = local_fleet.http_get(base + "/operators/status", headers)
@@ -209,10 +217,10 @@
             method, base + path, headers, json.dumps(body).encode()
         )
         if code != 200:
-            raise errors.InternalError(f"{path}: {code} {answer!r}")
+            raise errors.InternalError(f"{path} returned {code}: {answer!r}")
         return json.loads(answer)["revision"]
 
-    async def _under_load(self, what, act, lost=False) -> None:
+    async def _under_load(self, title, act, connections_lost=False) -> None:
         tally = self.callers.tally
         before = tally.complete
         chats = [self.callers.chat() for _ in range(20)]
@@ -223,48 +231,48 @@
         whole = tally.complete - before
         bad = tally.mismatched + tally.truncated
         refused = dict(tally.refused)
-        # A caller whose own router dies loses its connection and asks
-        # again elsewhere; that one loss is the platform's, not an answer.
-        if lost:
+        # Callers of the killed router lose their connections, which is
+        # expected: no answer is wrong.
+        if connections_lost:
             refused.pop("connection-lost", None)
-        shown = f"{whole} whole, {bad} bad, refused {refused}"
-        self.check(what, shown, not bad and not refused)
+        value = f"{whole} whole, {bad} bad, refused {refused}"
+        self.check(title, value, not bad and not refused)
         tally.refused.clear()
         tally.mismatched = 0
         tally.truncated = 0
 
     def finish(self) -> None:
-        """End what was started, by pid, and check the exit codes."""
+        """Stop every process and check the exit codes."""
         codes = self.fleet.stop_all()
         bad = {name: code for name, code in codes.items() if code}
         self.check("processes ended with 0", bad or len(codes), not bad)
 
     def table(self) -> str:
-        """Return the closing table."""
-        width = max(len(check.what) for check in self.checks)
+        """Return the result table."""
+        width = max(len(check.title) for check in self.checks)
         lines = []
         for check in self.checks:
-            mark = "held" if check.held else "FAILED"
-            lines.append(f"{check.what:<{width}}  {mark:<6}  {check.shown}")
+            mark = "held" if check.passed else "FAILED"
+            lines.append(f"{check.title:<{width}}  {mark:<6}  {check.value}")
         return "\n".join(lines)
 
 
 def serve() -> int:
-    """Keep the fleet up until SIGTERM or SIGINT; return the exit code."""
+    """Run the fleet until SIGTERM or SIGINT; return the exit code."""
     demo = Demo()
     try:
         demo.start()
         print("the fleet runs; end it with Ctrl-C", flush=True)
-        asyncio.run(_stopped())
+        asyncio.run(_wait_for_stop_signal())
     except errors.AmaranthringError as error:
         demo.check("fleet", error, False)
     finally:
         demo.finish()
     print(demo.table())
-    return 0 if all(check.held for check in demo.checks) else 1
+    return 0 if all(check.passed for check in demo.checks) else 1
 
 
-async def _stopped() -> None:
+async def _wait_for_stop_signal() -> None:
     await signals.stop_event().wait()
 
 
@@ -279,7 +287,7 @@
     finally:
         demo.finish()
     print(demo.table())
-    return 0 if all(check.held for check in demo.checks) else 1
+    return 0 if all(check.passed for check in demo.checks) else 1
 
 
 if __name__ == "__main__":
--- a/amaranthring/testing/in_process_callers.py
+++ b/amaranthring/testing/in_process_callers.py
@@ -1,4 +1,4 @@
-"""Routers' ways and stand-ins in one process, for tests of the way."""
+"""Callers' servers of routers and stand-ins, in one process."""
 
 import asyncio
 import contextlib
@@ -20,12 +20,12 @@
 from amaranthring.testing import standin
 
 WAIT_SECONDS = 10.0
-LOOK_SECONDS = 0.005
+POLL_SECONDS = 0.005
 
 
 @dataclasses.dataclass
 class Event:
-    """One event as a caller reads it."""
+    """A server-sent event as a caller reads it."""
 
     id: str
     kind: str
@@ -38,7 +38,7 @@
 
 
 def parse_events(body: bytes) -> list[Event]:
-    """Return the whole events in `body`."""
+    """Return the complete events in `body`."""
     found = []
     for block in body.decode().split("\n\n")[:-1]:
         fields = dict(line.split(": ", 1) for line in block.split("\n"))
@@ -48,7 +48,7 @@
 
 
 def join_text(events: list[Event]) -> str:
-    """Return the text that the events of a chat carry."""
+    """Return the text of the events of a chat."""
     parts = []
     for event in events:
         if event.kind == "message" and event.data != engine.END_MARKER:
@@ -65,26 +65,28 @@
     AssertionError
         If it never does.
     """
-    for _ in range(int(WAIT_SECONDS / LOOK_SECONDS)):
+    for _ in range(int(WAIT_SECONDS / POLL_SECONDS)):
         if condition():
             return
-        await asyncio.sleep(LOOK_SECONDS)
-    raise AssertionError("the condition never held")
+        await asyncio.sleep(POLL_SECONDS)
+    raise AssertionError("condition not met in time")
 
 
 class Harness:
-    """Stand-ins with as many routers' ways as a test asks for.
+    """Stand-ins, and as many routers as a test adds.
 
     Attributes
     ----------
+    section : CallersSection
+        Settings of all routers.
     ledger : Ledger
         Shared by all routers.
     engines, bookings : dict
         Stand-ins by name.
     """
 
-    def __init__(self, **bounds: t.Any):
-        self.section = settings_models.CallersSection(**bounds)
+    def __init__(self, **settings: t.Any):
+        self.section = settings_models.CallersSection(**settings)
         self.ledger = fakes.Ledger()
         self.engines: dict[str, engine.Engine] = {}
         self.bookings: dict[str, booking.Booking] = {}
@@ -92,18 +94,20 @@
         self.servers: dict[str, t.Any] = {}
         self.client = tornado.httpclient.AsyncHTTPClient(force_instance=True)
 
-    def add_engine(self, name: str = "e1", **given: t.Any) -> engine.Engine:
+    def add_engine(self, name: str = "e1", **options: t.Any) -> engine.Engine:
         """Start an engine."""
-        made = engine.Engine(name, ["m1"], **given)
+        made = engine.Engine(name, ["m1"], **options)
         self.engines[name] = made
         kind = records.TargetKind.ENGINE
         self._listen(name, made.app(), kind, ("m1",))
         made.on_crash = self.servers[name].stop
         return made
 
-    def add_booking(self, name: str = "b1", **given: t.Any) -> booking.Booking:
+    def add_booking(
+        self, name: str = "b1", **options: t.Any
+    ) -> booking.Booking:
         """Start a replica of the booking service."""
-        made = booking.Booking(name, **given)
+        made = booking.Booking(name, **options)
         self.bookings[name] = made
         kind = records.TargetKind.SERVICE
         fields = {"honours_keys": made.honours_keys}
@@ -119,53 +123,55 @@
         self.targets.append(made)
 
     def add_router(self) -> "Router":
-        """Start a router's way before the stand-ins of now."""
+        """Start a router that knows the stand-ins added so far."""
         return Router(self)
 
     async def stop(self, name: str) -> None:
-        """Let a stand-in vanish: its port refuses, its connections break."""
+        """Stop a stand-in abruptly, and close its connections."""
         self.servers[name].stop()
         await self.servers[name].close_all_connections()
 
     async def close(self) -> None:
         """Stop everything."""
-        for one in self.servers.values():
-            one.stop()
+        for running_server in self.servers.values():
+            running_server.stop()
         self.client.close()
         await asyncio.sleep(0)
 
 
 class Router:
-    """One router's way, over HTTP.
+    """The callers' server of one router.
 
     Attributes
     ----------
     fakes : Fakes
-        What it needs from other packages.
+        Fakes of what it needs from other packages.
     """
 
-    def __init__(self, local: Harness):
-        self.fakes = fakes.Fakes(*local.targets, ledger=local.ledger)
-        self.client = local.client
-        app = server.make_app(self.fakes.needs, local.section)
+    def __init__(self, harness: Harness):
+        self.fakes = fakes.Fakes(*harness.targets, ledger=harness.ledger)
+        self.client = harness.client
+        app = server.make_app(self.fakes.needs, harness.section)
         sockets = tornado.netutil.bind_sockets(0, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
-        self.server = server.listen(app, sockets, local.section)
-        local.servers[f"router {self.port}"] = self.server
+        self.server = server.listen(app, sockets, harness.section)
+        harness.servers[f"router {self.port}"] = self.server
 
     async def post(
         self, path: str, body: t.Any, token: str = fakes.TOKEN, **headers: str
     ) -> tornado.httpclient.HTTPResponse:
-        """Post JSON (or bytes) and return the answer, errors too."""
+        """Post JSON or bytes; return the response, whatever its status."""
         if not isinstance(body, bytes):
             body = json.dumps(body).encode()
-        told = {"Authorization": f"Bearer {token}"}
-        told |= {name.replace("_", "-"): v for name, v in headers.items()}
+        sent_headers = {"Authorization": f"Bearer {token}"}
+        sent_headers |= {
+            name.replace("_", "-"): v for name, v in headers.items()
+        }
         return await self.client.fetch(
             f"http://127.0.0.1:{self.port}{path}",
             method="POST",
             body=body,
-            headers=told,
+            headers=sent_headers,
             raise_error=False,
             request_timeout=WAIT_SECONDS * 3,
         )
@@ -175,16 +181,16 @@
         return await self.post("/v1/chat/completions", body, **headers)
 
     async def book(self, slot: str, key: str = "", **more: t.Any):
-        """Book `slot`; `more` is for the stand-in."""
+        """Book `slot`; `more` are options of the stand-in."""
         headers = {"Idempotency-Key": key} if key else {}
         body = {"slot": slot, "stand_in": more}
         return await self.post("/services/booking/bookings", body, **headers)
 
     @contextlib.asynccontextmanager
     async def raw(self, data: bytes):
-        """Send raw bytes; give the stream to read and to close."""
-        dial = tornado.tcpclient.TCPClient()
-        stream = await dial.connect("127.0.0.1", self.port)
+        """Send raw bytes; yield the stream and close it afterwards."""
+        connector = tornado.tcpclient.TCPClient()
+        stream = await connector.connect("127.0.0.1", self.port)
         await stream.write(data)
         try:
             yield stream
@@ -200,7 +206,7 @@
 
 
 def raw_chat_request(body: dict, token: str = fakes.TOKEN) -> bytes:
-    """Return the bytes of a whole HTTP request of a chat."""
+    """Return the bytes of an HTTP request for a chat completion."""
     data = json.dumps(body).encode()
     head = (
         "POST /v1/chat/completions HTTP/1.1\r\nHost: router\r\n"
--- a/amaranthring/testing/load.py
+++ b/amaranthring/testing/load.py
@@ -1,8 +1,7 @@
-"""Callers of a fleet: returning chats and keyed bookings, checked whole.
+"""Callers of a fleet: chats of several turns, and idempotent bookings.
 
-Every answer is compared with the one the stand-in engine must give to that
-request, and every booking that a caller was told about is counted, so that
-what callers heard can be held against what ran.
+Every answer is compared with the one that the stand-in engine must give. The
+outcome of every booking is recorded, for comparison with what ran.
 """
 
 import asyncio
@@ -26,18 +25,20 @@
 
 @dataclasses.dataclass
 class Tally:
-    """What callers were told.
+    """Outcomes that callers received.
 
     Attributes
     ----------
-    whole, wrong, cut : int
-        Chats with the right answer, another's answer, or no end.
+    complete, mismatched, truncated : int
+        Number of correct answers, of wrong ones and of ones with no end.
     refused : dict
-        Typed refusals by code.
+        Number of error responses by code.
     first_token : list of float
-        Seconds to the first event of each chat.
+        Seconds to the first bytes of each answer.
     bookings : dict
-        Idempotency key to the outcome told last.
+        Last outcome by idempotency key.
+    routers : set of str
+        Base URLs of routers that gave a correct answer.
     """
 
     complete: int = 0
@@ -49,18 +50,18 @@
     routers: set[str] = dataclasses.field(default_factory=set)
 
     def refuse(self, code: str) -> None:
-        """Count a typed refusal."""
+        """Count an error response."""
         self.refused[code] = self.refused.get(code, 0) + 1
 
 
 class Callers:
-    """Callers behind a balancer that leaves out routers that fail.
+    """Callers behind a load balancer that skips unhealthy routers.
 
     Parameters
     ----------
     urls : list of str
-        Base URLs of routers; :meth:`drop` takes one out, as the balancer
-        does when a health check fails.
+        Base URLs of routers; :meth:`remove_router` takes one out, as the
+        balancer does when a health check fails.
     """
 
     def __init__(self, urls: list[str], token: str, model: str = "m1"):
@@ -74,18 +75,18 @@
         )
 
     def remove_router(self, url: str) -> None:
-        """Send nothing more to `url`."""
+        """Stop sending to `url`."""
         self.urls = [known for known in self.urls if known != url]
 
     async def run_health_checks(self) -> None:
-        """Ask the health checks, as the balancer does, until cancelled."""
+        """Poll the health checks, as the balancer does, until cancelled."""
         known = list(self.urls)
         while True:
             checks = [self._healthy(url) for url in known]
             healthy = await asyncio.gather(*checks)
             pairs = zip(known, healthy, strict=True)
-            # A balancer that finds nobody healthy sends to all: on a busy
-            # machine every check of one round may come too late.
+            # If none is healthy, the balancer sends to all: on a busy
+            # machine every check of a round may time out.
             self.urls = [url for url, good in pairs if good] or known
             await asyncio.sleep(HEALTH_SECONDS)
 
@@ -104,12 +105,12 @@
         return self.urls[next(self.turn) % len(self.urls)]
 
     async def chat(self, turns: int = 3, max_tokens: int = 12) -> None:
-        """Hold one chat that returns `turns` times, through any router."""
+        """Hold a chat of `turns` turns, each through the next router."""
         name = uuid.uuid4().hex
         messages = []
         for number in range(turns):
-            said = f"{name} turn {number}"
-            messages.append({"role": "user", "content": said})
+            prompt = f"{name} turn {number}"
+            messages.append({"role": "user", "content": prompt})
             body = {
                 "model": self.model,
                 "messages": list(messages),
@@ -123,13 +124,13 @@
             messages.append({"role": "assistant", "content": text})
 
     async def ask(self, body: dict) -> str | None:
-        """Ask once and return the checked text, or None if refused."""
-        began = time.monotonic()
+        """Send a chat completion; return its text, or None on failure."""
+        started_at = time.monotonic()
         parts: list[bytes] = []
 
         def received(data: bytes) -> None:
             if not parts:
-                self.tally.first_token.append(time.monotonic() - began)
+                self.tally.first_token.append(time.monotonic() - started_at)
             parts.append(data)
 
         url = self.next_url()
@@ -152,19 +153,19 @@
         return text
 
     async def book(self, slot: str, key: str, **extra) -> tuple[str, bytes]:
-        """Book `slot` under `key`; return the outcome told and the body."""
+        """Book `slot` under `key`; return the outcome and the body."""
         parts: list[bytes] = []
         headers = {"Idempotency-Key": key}
         if key not in self.tally.bookings:
-            # Only the caller knows that nothing can have run under the key
-            # yet; a router without the ledger would have to say "unknown".
+            # Only the caller knows that nothing ran under the key yet; a
+            # router that cannot reach the ledger would answer "unknown".
             headers[codec.FIRST_SEND_HEADER] = "1"
-        outcome: list[str] = []
+        outcomes: list[str] = []
 
         def header(line: str) -> None:
             name, _, value = line.partition(":")
             if name.lower() == "amaranthring-outcome":
-                outcome.append(value.strip())
+                outcomes.append(value.strip())
 
         status = await self._post(
             self.next_url() + "/services/booking/bookings",
@@ -174,27 +175,27 @@
             header,
         )
         data = b"".join(parts)
-        told = outcome[-1] if outcome else "unknown"
+        outcome = outcomes[-1] if outcomes else "unknown"
         if status >= 400 or status == 0:
             self.tally.refuse(_code(status, data))
-        self.tally.bookings[key] = told
-        return told, data
+        self.tally.bookings[key] = outcome
+        return outcome, data
 
     async def book_until_final(
         self, slot: str, key: str, seconds: float = 30.0
     ) -> tuple[str, bytes]:
-        """Book and send again under the key, as a caller does.
+        """Book, and resend under the same key until the outcome is final.
 
-        A caller asks again when its connection broke, when it is told that
-        the call is in progress or was not run; it stops when it is told
-        ``ran``, or ``unknown`` in a final answer.
+        Final are the outcome ``ran`` and the error that the claim is
+        unknown. After any other result, such as a lost connection, it
+        resends until `seconds` have passed.
         """
-        until = time.monotonic() + seconds
-        told, data = await self.book(slot, key)
-        while time.monotonic() < until and not _final(told, data):
+        deadline = time.monotonic() + seconds
+        outcome, data = await self.book(slot, key)
+        while time.monotonic() < deadline and not _is_final(outcome, data):
             await asyncio.sleep(RESEND_SECONDS)
-            told, data = await self.book(slot, key)
-        return told, data
+            outcome, data = await self.book(slot, key)
+        return outcome, data
 
     async def _post(self, url, body, headers, received, header=None) -> int:
         request = tornado.httpclient.HTTPRequest(
@@ -219,7 +220,7 @@
 
 
 def parse_stream(data: bytes) -> tuple[str, bool]:
-    """Return the text of a stream of events, and whether its end came."""
+    """Return the text of a stream, and whether its end marker came."""
     text = []
     ended = False
     for line in data.decode().splitlines():
@@ -234,8 +235,8 @@
     return "".join(text), ended
 
 
-def _final(told: str, data: bytes) -> bool:
-    if told == str(errors.Outcome.RAN):
+def _is_final(outcome: str, data: bytes) -> bool:
+    if outcome == str(errors.Outcome.RAN):
         return True
     return _code(-1, data) == errors.ClaimUnknownError.code
 
@@ -250,14 +251,14 @@
 
 
 async def run_all(*calls) -> None:
-    """Run `calls` at once and raise the first fault of the load itself.
+    """Run `calls` concurrently; raise if one of them fails.
 
     Raises
     ------
-    errors.AmaranthringError
-        Or whatever a call raised; refusals are counted, not raised.
+    errors.InternalError
+        If a call raised; error responses are counted, not raised.
     """
     results = await asyncio.gather(*calls, return_exceptions=True)
     for result in results:
         if isinstance(result, BaseException):
-            raise errors.InternalError("load failed") from result
+            raise errors.InternalError("a call of the load failed") from result
--- a/amaranthring/testing/local_fleet.py
+++ b/amaranthring/testing/local_fleet.py
@@ -2,7 +2,7 @@
 
 :func:`write_settings` makes a folder of INI files with free ports; the
 folder ``examples/fleet`` is such a folder with fixed ones. A
-:class:`LocalFleet` starts the processes of a folder and ends them by pid.
+:class:`LocalFleet` starts and stops the processes of a folder.
 """
 
 import collections.abc
@@ -35,7 +35,7 @@
 OPERATOR = "operator"
 
 
-# Data centre that asks, data centre and address of the process asked.
+# Data centre of the source; data centre and address of the destination.
 AddressMapper = collections.abc.Callable[[str, str, str], str]
 
 
@@ -46,12 +46,12 @@
 
 
 class Process:
-    """One started process, ended by its pid.
+    """A child process.
 
     Attributes
     ----------
     log : pathlib.Path
-        Its error output.
+        File of its output.
     """
 
     def __init__(self, name: str, command: list[str], log: pathlib.Path):
@@ -69,22 +69,22 @@
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process abruptly."""
+        """Kill the process."""
         self.signal(signal.SIGKILL)
         self.popen.wait(STOP_SECONDS)
 
     def pause(self) -> None:
-        """Freeze the process."""
+        """Suspend the process."""
         self.signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume the suspended process."""
         self.signal(signal.SIGCONT)
 
     def stop(self, seconds: float = STOP_SECONDS) -> int:
-        """Ask the process to end and return its exit code.
+        """Terminate the process and return its exit code.
 
-        One that does not end in time is killed, which its code shows.
+        It is killed if it does not end in time, which its code shows.
         """
         self.signal(signal.SIGTERM)
         try:
@@ -97,10 +97,9 @@
 def free_ports(count: int) -> list[int]:
     """Return `count` ports that are free now.
 
-    They lie below the range of outgoing connections, so that none is taken
-    by a connection between the choice and the listening. A locked file hands
-    them out in turn: fleets that start at one instant in several processes
-    would else now and then choose the same port.
+    They lie below the ephemeral range, so that no outgoing connection takes
+    one before it is bound. A locked file holds the last port given out, so
+    that fleets that start concurrently do not choose the same one.
     """
     found: list[int] = []
     path = pathlib.Path(tempfile.gettempdir()) / PORTS_FILE
@@ -128,7 +127,7 @@
 
 
 def write_secrets(folder: pathlib.Path) -> None:
-    """Write keys of the fleet and of targets, and one operator's token."""
+    """Write keys of the fleet and of the targets, and an operator's token."""
     folder.mkdir(parents=True, exist_ok=True)
     token = secrets.token_hex(16)
     texts = {
@@ -151,7 +150,7 @@
     initial: dict | None = None,
     through: AddressMapper | None = None,
 ) -> None:
-    """Write INI files of a fleet over three data centres into `folder`.
+    """Write INI files of a fleet in three data centres to `folder`.
 
     Parameters
     ----------
@@ -161,9 +160,9 @@
     initial : dict, optional
         First configuration; that of ``examples/fleet`` by default.
     through : callable, optional
-        Returns the address at which the processes of one data centre reach
-        a process of another, given that data centre, the process's own and
-        its address; such as a relay that can be cut.
+        Returns the address, such as that of a relay, at which processes of
+        one data centre reach a process of another, given the first data
+        centre, the second and the address of the process.
     """
     write_secrets(folder)
     if initial is None:
@@ -192,11 +191,11 @@
             if role == "router":
                 internal.append(text.rsplit(" ", 1)[1].strip())
                 text += f"callers = 127.0.0.1:{next(ports)}\n"
-            seen = [
-                _seen(lines, data_centre, through)
+            mapped = [
+                _map_addresses(lines, data_centre, through)
                 for lines in (keeper_lines, router_lines)
             ]
-            text += _fleet_section(folder, *seen)
+            text += _fleet_section(folder, *mapped)
             if role == "keeper":
                 text += f"[keeper]\ninitial_file = {folder}/initial.json\n"
             (folder / f"{name}.ini").write_text(text + extra)
@@ -207,15 +206,19 @@
     )
 
 
-def _seen(lines, place: str, through: AddressMapper | None) -> list:
-    """Return `lines` with the addresses at which `place` reaches them."""
+def _map_addresses(
+    lines, data_centre: str, through: AddressMapper | None
+) -> list:
+    """Return `lines` with the addresses as reached from `data_centre`."""
     if through is None:
         return lines
     return [
         (
             name,
             other,
-            address if other == place else through(place, other, address),
+            address
+            if other == data_centre
+            else through(data_centre, other, address),
         )
         for name, other, address in lines
     ]
@@ -242,7 +245,7 @@
 
 
 class LocalFleet:
-    """Processes of the INI files in a folder, with stand-ins beside them.
+    """Processes of the INI files in a folder, and stand-ins.
 
     Attributes
     ----------
@@ -263,32 +266,34 @@
         self.processes: dict[str, Process] = {}
 
     def names(self, role: str) -> list[str]:
-        """Return names of all routers or keepers."""
+        """Return the names of all routers or keepers."""
         return [name for name in self.settings if name.startswith(role)]
 
     def start(self, name: str) -> Process:
         """Start one router or keeper."""
         role = name.split("-")[0]
         path = str(self.folder / f"{name}.ini")
-        return self._started(name, ["amaranthring", role, "--settings", path])
+        return self._start_process(
+            name, ["amaranthring", role, "--settings", path]
+        )
 
     def start_target(self, kind: str, name: str, *options: str) -> Process:
-        """Start a stand-in ``engine`` or ``booking`` that announces itself.
+        """Start a stand-in ``engine`` or ``booking``.
 
-        It knows the routers of its own data centre, as targets do.
+        It announces itself to the routers of its own data centre.
         """
-        place = options[options.index("--data-centre") + 1]
+        data_centre = options[options.index("--data-centre") + 1]
         command = [f"amaranthring.testing.{kind}", "--name", name]
         for router in self.names("router"):
-            if self.settings[router].process.data_centre == place:
+            if self.settings[router].process.data_centre == data_centre:
                 command += ["--announce", self.internal_url(router)]
         any_settings = next(iter(self.settings.values()))
         key_file = any_settings.fleet.targets_key_file
         command += ["--key-file", key_file, "--region", REGION, *options]
-        return self._started(name, command)
+        return self._start_process(name, command)
 
     def callers_url(self, router: str) -> str:
-        """Return the base URL for callers of a router."""
+        """Return the base URL of a router's listener for callers."""
         return f"http://{self.settings[router].listen.callers}"
 
     def internal_url(self, router: str) -> str:
@@ -296,12 +301,12 @@
         return f"http://{self.settings[router].listen.internal}"
 
     def wait_ready(self, routers: list[str], seconds=START_SECONDS) -> None:
-        """Wait until `routers` pass the balancer's health check.
+        """Wait until `routers` pass the health check.
 
         Raises
         ------
         StartError
-            If one does not in time; names its log.
+            If one does not in time; the message names its log.
         """
         for name in routers:
             process = self.processes[name]
@@ -316,18 +321,20 @@
         Raises
         ------
         StartError
-            If it does not in time, or `process` ended meanwhile.
+            If it does not hold in time, or `process` ends before.
         """
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             if process and process.popen.poll() is not None:
-                # Checked first: another process may answer in its place.
-                raise StartError(f"{what} ended, see {process.log}")
+                # Checked first: another process may answer on its port.
+                raise StartError(f"{what} exited, see {process.log}")
             if condition():
                 return
             time.sleep(POLL_SECONDS)
         log = f", see {process.log}" if process else ""
-        raise StartError(f"{what} not within {seconds} s{log}")
+        raise StartError(
+            f"timed out waiting for {what} after {seconds} s{log}"
+        )
 
     def wait_targets(self, count: int, routers: list[str]) -> None:
         """Wait until every one of `routers` knows `count` ready targets."""
@@ -344,26 +351,26 @@
             self.wait(known, f"{count} targets at {name}")
 
     def stop_all(self) -> dict[str, int]:
-        """End everything that was started; return the exit codes."""
+        """Stop all processes; return their exit codes."""
         order = ("engine", "booking", "router", "keeper")
         codes = {}
         for kind in order:
-            ending = [n for n in self.processes if n.startswith(kind)]
-            for name in ending:
+            stopping = [n for n in self.processes if n.startswith(kind)]
+            for name in stopping:
                 self.processes[name].signal(signal.SIGCONT)
                 self.processes[name].signal(signal.SIGTERM)
-            for name in ending:
+            for name in stopping:
                 codes[name] = self.processes.pop(name).stop()
         return codes
 
-    def _started(self, name: str, command: list[str]) -> Process:
+    def _start_process(self, name: str, command: list[str]) -> Process:
         process = Process(name, command, self.logs / f"{name}.log")
         self.processes[name] = process
         return process
 
 
 def http_get(url: str, headers: dict | None = None) -> tuple[int, bytes]:
-    """Return status and body of a GET; status 0 when nothing answers."""
+    """Return status and body of a GET; status 0 without a response."""
     return http_request("GET", url, headers)
 
 
@@ -374,7 +381,7 @@
     body: bytes | None = None,
     seconds: float = 10.0,
 ) -> tuple[int, bytes]:
-    """Return status and body of a request; status 0 when nothing answers."""
+    """Return status and body of a request; status 0 without a response."""
     request = urllib.request.Request(
         url, data=body, headers=headers or {}, method=method
     )
--- a/amaranthring/testing/mesh_members.py
+++ b/amaranthring/testing/mesh_members.py
@@ -228,6 +228,6 @@
     began = time.monotonic()
     while not condition():
         if time.monotonic() - began > seconds:
-            raise AssertionError(f"not within {seconds} s")
+            raise AssertionError(f"condition not met within {seconds} s")
         await asyncio.sleep(0.01)
     return time.monotonic() - began
