--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, one module a subject."""
+"""Tests, one module per subject."""
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -39,15 +39,15 @@
         for name in [*self.fleet.names("keeper"), *self.names]:
             self.fleet.start(name)
         self.fleet.wait_ready(self.names)
-        places = local_fleet.DATA_CENTRES
+        data_centres = local_fleet.DATA_CENTRES
         self.targets = []
         for kind, count in (("engine", 3), ("booking", 3)):
             for number in range(count):
-                self.start_target(kind, number, places[number])
+                self.start_target(kind, number, data_centres[number])
         self.fleet.wait_targets(6, self.names)
 
-    def start_target(self, kind, number, place):
-        options = ["--data-centre", place]
+    def start_target(self, kind, number, data_centre):
+        options = ["--data-centre", data_centre]
         if kind == "engine":
             options += ["--token-seconds", "0.01"]
         name = f"{kind}-{number + 1}"
@@ -55,17 +55,17 @@
         self.targets.append(name)
 
     async def chat_until_stopped(self, max_tokens):
-        """Let eight callers chat until `chatting` is false."""
+        """Run eight callers that chat until `chatting` is false."""
         self.chatting = True
 
-        async def one():
+        async def chat_loop():
             while self.chatting:
                 await self.callers.chat(turns=2, max_tokens=max_tokens)
 
-        await load.run_all(*[one() for _ in range(8)])
+        await load.run_all(*[chat_loop() for _ in range(8)])
 
     def recorded_runs(self, kind):
-        """Return the records of every run of the stand-ins of a kind."""
+        """Return the records of all runs of the stand-ins of a kind."""
         found = []
         for name, process in self.fleet.processes.items():
             if not name.startswith(kind):
@@ -76,10 +76,10 @@
             found += answer["runs" if kind == "booking" else "ran"]
         return found
 
-    def assert_run_at_most_once(self, told):
-        """Compare outcomes told last, by key, with what really ran."""
+    def assert_run_at_most_once(self, outcomes):
+        """Compare the last outcomes, by key, with what the replicas ran."""
         keys = [run["key"] for run in self.recorded_runs("booking")]
-        for key, outcome in told.items():
+        for key, outcome in outcomes.items():
             count = keys.count(key)
             self.assertLessEqual(count, 1, f"{key} ran {count} times")
             if outcome == "ran":
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
-"""The whole fleet as separate processes, under failure.
+"""A whole fleet as separate processes, under failure.
 
-What callers were told is compared with what the stand-ins really ran.
+Outcomes that callers received are compared with what the stand-ins ran.
 """
 
 import asyncio
@@ -18,15 +18,13 @@
 
 
 class TestRollingRestart(fleet_case.FleetCase):
-    """A planned stop of every router, one after the other."""
+    """A graceful restart of every router, one after the other."""
 
-    async def test_nothing_is_lost_or_cut(self):
-        """Operators replace all routers under load.
+    async def test_no_request_fails_or_is_truncated(self):
+        """Stopping a router must not truncate the answers that it streams.
 
-        A learner whose chat runs through a router that stops would see its
-        answer end in the middle. The health check fails first, requests in
-        progress end whole, then the process ends with 0; a second SIGTERM
-        changes nothing.
+        Requests in flight complete before the process exits with 0, also
+        after a second SIGTERM.
         """
         balancer = asyncio.ensure_future(self.callers.run_health_checks())
         chats = asyncio.ensure_future(self.chat_until_stopped(max_tokens=20))
@@ -49,19 +47,17 @@
 
 
 class TestBookingsUnderFailure(fleet_case.FleetCase):
-    """Routers and keepers die and freeze while callers book."""
+    """Routers and keepers are killed and suspended during bookings."""
 
-    async def test_no_booking_is_lost_or_doubled(self):
-        """Callers resend through other routers while processes fail.
+    async def test_bookings_are_not_lost_or_repeated(self):
+        """A booking resent through other routers must run at most once.
 
-        A learner books; the router dies, freezes or loses the keepers'
-        leader before, between or after claim, call and settlement. The
-        resend goes through another router. Two learners would sit in one
-        car if the frozen router woke and sent its call again.
+        Routers and keepers are killed or suspended at any point of claim,
+        call and settlement. A router that resumes must not repeat its call.
         """
-        chance = random.Random(SEED)
+        rng = random.Random(SEED)
         balancer = asyncio.ensure_future(self.callers.run_health_checks())
-        faults = asyncio.ensure_future(self.fail(chance))
+        faults = asyncio.ensure_future(self.inject_faults(rng))
         told = {}
 
         async def book(number):
@@ -79,47 +75,46 @@
         self.assertGreater(outcomes.count("ran"), 150, outcomes)
         self.assertEqual(outcomes.count("not-run"), 0)
 
-    async def fail(self, chance):
-        frozen = []
+    async def inject_faults(self, rng):
+        suspended = []
         for _ in range(6):
             await asyncio.sleep(0.5)
-            name = chance.choice([*self.names, "keeper-1", "keeper-2"])
+            name = rng.choice([*self.names, "keeper-1", "keeper-2"])
             process = self.fleet.processes[name]
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 process.pause()
-                frozen.append(process)
+                suspended.append(process)
             else:
                 await self.blocking(process.kill)
                 await self.blocking(self.fleet.start, name)
-            if len(frozen) > 1:
-                frozen.pop(0).resume()
-        for process in frozen:
+            if len(suspended) > 1:
+                suspended.pop(0).resume()
+        for process in suspended:
             process.resume()
 
 
 class TestCrashingRequest(fleet_case.FleetCase):
-    """One request crashes each engine that runs it."""
+    """A request that crashes each engine that runs it."""
 
     routers = 3
 
-    async def test_it_is_refused_and_the_innocent_are_not(self):
-        """A caller sends the same request again after each crash.
+    async def test_it_is_quarantined_and_other_chats_complete(self):
+        """Without quarantine, a resent request would crash every engine.
 
-        Without an end to it every engine would go, one after the other.
-        Two engines die; then the request is refused for good, through every
-        router. Chats that ran beside it end whole and are never refused.
+        After at most two crashes every router refuses the request. Chats
+        that run beside it complete.
         """
         running = [self.callers.chat(3, 30) for _ in range(12)]
         chats = asyncio.ensure_future(load.run_all(*running))
         await asyncio.sleep(0.1)
-        bad = {
+        crashing = {
             "model": "m1",
             "messages": [{"role": "user", "content": "crash"}],
             "stand_in": {"fault": "crash", "at": 2},
         }
         other = load.Callers(list(self.callers.urls), self.callers.token)
         for _ in range(4):
-            await other.ask(bad)
+            await other.ask(crashing)
             if "quarantined" in other.tally.refused:
                 break
         await chats
@@ -133,7 +128,7 @@
         ]
         self.assertLessEqual(len(dead), 2, dead)
         for url in list(other.urls):
-            await self.assert_quarantined(url, bad)
+            await self.assert_quarantined(url, crashing)
 
     async def assert_quarantined(self, url, body):
         callers = load.Callers([url], self.callers.token)
@@ -144,68 +139,67 @@
 
 
 class TestDataCentreCut(fleet_case.FleetCase):
-    """One data centre is cut off from the other two."""
+    """A network partition isolates one data centre from the others."""
 
     map_addresses = True
 
     async def asyncSetUp(self):
-        self.cuts = {}
+        self.relays = {}
         self.waiting = []
         await super().asyncSetUp()
 
-    def reach(self, place, other, address):
-        """Return a relay's address for one way between data centres."""
-        key = (place, other, address)
-        if key not in self.cuts:
-            cut = tcp_relay.Relay(address)
-            cut.port = local_fleet.free_ports(1)[0]
-            self.cuts[key] = cut
-        return self.cuts[key].address
+    def reach(self, data_centre, other, address):
+        """Return the address of a relay between two data centres."""
+        key = (data_centre, other, address)
+        if key not in self.relays:
+            relay = tcp_relay.Relay(address)
+            relay.port = local_fleet.free_ports(1)[0]
+            self.relays[key] = relay
+        return self.relays[key].address
 
     def start_processes(self):
-        loop_calls = [self.listen(cut) for cut in self.cuts.values()]
-        for call in loop_calls:
+        starts = [self.listen(relay) for relay in self.relays.values()]
+        for call in starts:
             asyncio.run_coroutine_threadsafe(call, self.loop).result(5)
         super().start_processes()
 
-    async def listen(self, cut):
-        await cut.start()
-        self.addAsyncCleanup(cut.stop)
+    async def listen(self, relay):
+        await relay.start()
+        self.addAsyncCleanup(relay.stop)
 
     async def blocking(self, call, *arguments):
         self.loop = asyncio.get_running_loop()
         return await super().blocking(call, *arguments)
 
-    async def test_each_side_serves_what_it_can(self):
-        """The network between viana and the others fails, then heals.
+    async def test_side_without_quorum_refuses_bookings(self):
+        """Both sides of a partition serve chats with their own engines.
 
-        Chats go on on both sides, each with its own engines. Bookings on
-        the side without a quorum are refused as not run, with when to come
-        back; the other side books on. After the healing an operator's
-        change made meanwhile is in force on every router.
+        The side without a quorum refuses bookings as not run, with a retry
+        delay; the other side accepts them. After the partition heals, it
+        accepts them too, and no booking has run twice.
         """
-        for (place, other, _), cut in self.cuts.items():
-            if "viana" in (place, other):
-                cut.block()
+        for (data_centre, other, _), relay in self.relays.items():
+            if "viana" in (data_centre, other):
+                relay.block()
         await asyncio.sleep(5.0)
-        inside = self.side("viana")
-        outside = self.side("porto", "braga")
+        inside = self.callers_in("viana")
+        outside = self.callers_in("porto", "braga")
         for callers in (inside, outside):
             await load.run_all(*[callers.chat(2) for _ in range(5)])
             self.assertEqual(callers.tally.refused, {})
             self.assertEqual(callers.tally.complete, 10)
-        await self.refused_without_quorum(inside)
+        await self.assert_refused_without_quorum(inside)
         told, _ = await outside.book_until_final("s", "with-quorum")
         self.assertEqual(told, "ran")
-        for cut in self.cuts.values():
-            cut.heal()
+        for relay in self.relays.values():
+            relay.heal()
         told, _ = await inside.book_until_final("s", "cut-off")
         self.assertEqual(told, "ran")
         keys = {"cut-off": "ran", "with-quorum": "ran"}
         await self.blocking(self.assert_run_at_most_once, keys)
 
-    async def refused_without_quorum(self, callers):
-        """Book until the router knows the cut; then it refuses at once."""
+    async def assert_refused_without_quorum(self, callers):
+        """Book until the router refuses at once for lack of a quorum."""
         loop = asyncio.get_running_loop()
         told, body = await callers.book("s", "cut-off")
         self.assertNotEqual(told, "ran")
@@ -220,10 +214,10 @@
         self.assertLess(loop.time() - began, 3.0)
         self.assertGreater(json.loads(body)["error"]["retry_after"], 0)
 
-    def side(self, *places):
+    def callers_in(self, *data_centres):
         urls = [
             self.fleet.callers_url(name)
             for name in self.names
-            if self.fleet.settings[name].process.data_centre in places
+            if self.fleet.settings[name].process.data_centre in data_centres
         ]
         return load.Callers(urls, local_fleet.ACCOUNTS["vanua"])
--- a/tests/test_linearizable.py
+++ b/tests/test_linearizable.py
@@ -1,4 +1,4 @@
-"""The check that judges the histories of the failure tests."""
+"""The linearizability check that the failure tests use."""
 
 import math
 import unittest
@@ -10,10 +10,10 @@
     return linearizable.Call(began, ended, kind, value, expected)
 
 
-class TestExplainable(unittest.TestCase):
-    """Histories that could and could not have happened."""
+class TestIsLinearizable(unittest.TestCase):
+    """Histories with and without a linearization."""
 
-    def test_stale_read_is_found(self):
+    def test_stale_read_is_rejected(self):
         calls = [
             call(0, 1, "write", "a"),
             call(2, 3, "write", "b"),
@@ -23,23 +23,23 @@
         calls[2].began = 2.5
         self.assertTrue(linearizable.is_linearizable(calls))
 
-    def test_lost_write_is_found(self):
+    def test_lost_write_is_rejected(self):
         calls = [call(0, 1, "write", "a"), call(2, 3, "read", "")]
         self.assertFalse(linearizable.is_linearizable(calls))
 
-    def test_write_of_unknown_fate_may_come_late_or_never(self):
+    def test_unknown_write_may_apply_late_or_never(self):
         unknown = call(0, math.inf, "write", "a")
         for value in ("", "a"):
             calls = [unknown, call(5, 6, "read", value)]
             self.assertTrue(linearizable.is_linearizable(calls))
-        flicker = [
+        applied_then_undone = [
             unknown,
             call(5, 6, "read", "a"),
             call(7, 8, "read", ""),
         ]
-        self.assertFalse(linearizable.is_linearizable(flicker))
+        self.assertFalse(linearizable.is_linearizable(applied_then_undone))
 
-    def test_two_swaps_cannot_both_win(self):
+    def test_two_swaps_cannot_both_succeed(self):
         calls = [
             call(0, 9, "swap", "a", ""),
             call(0, 9, "swap", "b", ""),
@@ -48,6 +48,6 @@
         calls[1].expected = "a"
         self.assertTrue(linearizable.is_linearizable(calls))
 
-    def test_refused_swap_saw_what_was_held(self):
+    def test_failed_swap_must_see_the_held_value(self):
         calls = [call(0, 1, "write", "a"), call(2, 3, "held", "b")]
         self.assertFalse(linearizable.is_linearizable(calls))
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -23,9 +23,9 @@
     extra = ""
 
     def setUp(self):
-        held = tempfile.TemporaryDirectory()
-        self.addCleanup(held.cleanup)
-        folder = pathlib.Path(held.name)
+        temporary = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary.cleanup)
+        folder = pathlib.Path(temporary.name)
         local_fleet.write_settings(folder, routers=3)
         for path in folder.glob("keeper-*.ini"):
             # The section [keeper] is the last of these files.
@@ -50,13 +50,13 @@
         return status, json.loads(answer or b"{}")
 
     def switch(self, name, revision, command_id):
-        """Switch, resending through any router until it is answered."""
+        """Switch the preset; resend through any router until answered."""
         headers = {
             "If-Match": str(revision),
             "Amaranthring-Command-Id": command_id,
         }
-        ends = time.monotonic() + SECONDS
-        while time.monotonic() < ends:
+        deadline = time.monotonic() + SECONDS
+        while time.monotonic() < deadline:
             status, answer = self.ask(
                 "POST", "switch", headers, {"preset": name}
             )
@@ -73,23 +73,21 @@
 
 
 class TestKeepersFail(FleetCase):
-    """Operators switch presets meanwhile."""
-
-    def test_accepted_changes_stay_through_kills_and_freezes(self):
-        # Operators switch presets while the leading keeper is killed or
-        # frozen, and resend through other routers whatever got no answer.
-        # A change lost with its leader, applied twice by a resend, or put
-        # back by a leader that wakes late would show as a revision with
-        # another preset or as a router that goes back.
+    """Presets are switched while keepers are killed and suspended."""
+
+    def test_accepted_changes_survive_leader_failures(self):
+        # Guards against changes that are lost with the leader, applied
+        # twice by a resend, or undone by a leader that resumes: a revision
+        # would have another preset, or a router would go back.
         accepted = {}
-        frozen = ""
+        suspended = ""
         revision = 1
         for number in range(CHANGES):
             if number % 6 == 2:
                 self.fleet.processes[self.leader()].kill()
             if number % 6 == 4:
-                frozen = self.leader()
-                self.fleet.processes[frozen].pause()
+                suspended = self.leader()
+                self.fleet.processes[suspended].pause()
             name = PRESETS[number % 3]
             status, answer = self.switch(name, revision, f"command-{number}")
             self.assertEqual(status, 200, answer)
@@ -99,9 +97,9 @@
             accepted[revision] = name
             if number % 6 == 3:
                 self.restart_killed()
-            if frozen:
-                self.fleet.processes[frozen].signal(signal.SIGCONT)
-                frozen = ""
+            if suspended:
+                self.fleet.processes[suspended].signal(signal.SIGCONT)
+                suspended = ""
         self.check_routers(accepted)
         self.check_resends(accepted)
 
@@ -130,49 +128,48 @@
         return [(int(r), preset) for r, preset in IN_FORCE.findall(text)]
 
     def check_resends(self, accepted):
-        """Every command, sent again, gets its first answer."""
+        """Check that a command that is sent again gets its first reply."""
         revision = 1
-        for number, (then, name) in enumerate(accepted.items()):
+        for number, (expected, name) in enumerate(accepted.items()):
             status, answer = self.switch(name, revision, f"command-{number}")
-            self.assertEqual((status, answer["revision"]), (200, then))
-            revision = then
+            self.assertEqual((status, answer["revision"]), (200, expected))
+            revision = expected
         _, answer = self.ask("GET", "status")
         self.assertEqual(answer["revision"], max(accepted))
 
 
 class TestOrders(FleetCase):
-    """Engines that check fencing numbers, beside the fleet."""
+    """Orders to engines that check fencing numbers."""
 
     extra = (
         "order_seconds = 5\norder_listen_seconds = 2\n"
         "order_patience_seconds = 0.5\n"
     )
 
-    def test_models_are_loaded_and_numbers_grow_over_leaders(self):
-        # An operator wants a model on both engines; the leader is killed,
-        # and then one more is wanted. The new leader must go on from the
-        # log: no order twice, and no number below one that was used.
-        places = local_fleet.DATA_CENTRES
+    def test_fencing_numbers_grow_across_leaders(self):
+        # A new leader must continue from the log: it may neither repeat an
+        # order nor reuse a fencing number.
+        data_centres = local_fleet.DATA_CENTRES
         for number in range(2):
             self.fleet.start_target(
                 "engine",
                 f"engine-{number}",
                 "--data-centre",
-                places[number],
+                data_centres[number],
                 "--fencing",
             )
         self.fleet.wait_targets(2, self.routers)
-        self.want({"m2": 2}, 1, "command-1")
+        self.request_models({"m2": 2}, 1, "command-1")
         self.wait_done(2)
         self.fleet.processes[self.leader()].kill()
-        self.want({"m2": 2, "m3": 1}, 2, "command-2")
+        self.request_models({"m2": 2, "m3": 1}, 2, "command-2")
         self.wait_done(3)
         orders = self.orders()
         self.assertEqual([o["fencing"] for o in orders], [3, 2, 1])
         actions = sorted(o["action"] for o in orders)
         self.assertEqual(actions, ["load m2", "load m2", "load m3"])
 
-    def want(self, models, revision, command_id):
+    def request_models(self, models, revision, command_id):
         headers = {
             "If-Match": str(revision),
             "Amaranthring-Command-Id": command_id,
