--- a/amaranthring/testing/announcements.py
+++ b/amaranthring/testing/announcements.py
@@ -112,7 +112,7 @@
         self.task = asyncio.ensure_future(self._run())
 
     def refresh_serves(self) -> bool:
-        """Update the names that the target serves; return if they changed."""
+        """Update the names that the target serves; return whether they did."""
         serves = tuple(self.serves()) if self.serves else self.target.serves
         if serves == self.target.serves:
             return False
--- a/amaranthring/testing/demo.py
+++ b/amaranthring/testing/demo.py
@@ -97,8 +97,8 @@
         tally = self.callers.tally
         good = tally.complete == 90 and not tally.refused
         self.check("whole answers, calm", f"{tally.complete} of 90", good)
-        through = len(tally.routers)
-        self.check("routers that served", through, through == 6)
+        router_count = len(tally.routers)
+        self.check("routers that served", router_count, router_count == 6)
 
     async def bookings(self) -> None:
         """Book under idempotency keys, then resend through other routers."""
@@ -109,8 +109,8 @@
         answers += await asyncio.gather(*again)
         ran = self.booked_keys()
         once = all(ran.count(key) == 1 for key in keys)
-        told = all(outcome == "ran" for outcome, _ in answers)
-        self.check("bookings run once", f"{len(ran)} of 20", once and told)
+        all_ran = all(outcome == "ran" for outcome, _ in answers)
+        self.check("bookings run once", f"{len(ran)} of 20", once and all_ran)
         same = all(
             a[1] == b[1]
             for a, b in zip(answers[:20], answers[20:], strict=True)
@@ -228,14 +228,13 @@
         await asyncio.sleep(0.15)
         await asyncio.get_running_loop().run_in_executor(None, act)
         await running
-        whole = tally.complete - before
+        complete = tally.complete - before
         bad = tally.mismatched + tally.truncated
         refused = dict(tally.refused)
-        # Callers of the killed router lose their connections, which is
-        # expected: no answer is wrong.
+        # Callers of a killed router lose their connections, as expected.
         if connections_lost:
             refused.pop("connection-lost", None)
-        value = f"{whole} whole, {bad} bad, refused {refused}"
+        value = f"{complete} whole, {bad} bad, refused {refused}"
         self.check(title, value, not bad and not refused)
         tally.refused.clear()
         tally.mismatched = 0
--- a/amaranthring/testing/engine.py
+++ b/amaranthring/testing/engine.py
@@ -369,7 +369,7 @@
     async def _apply_fault(
         self, stream: Stream, kind: str, number: int
     ) -> bool:
-        """Apply fault `kind` at token `number`; return if the answer ends."""
+        """Apply fault `kind` at token `number`; return whether it is final."""
         if kind == "crash":
             self.engine.streams.pop(stream.name, None)
             self.crash()
--- a/amaranthring/testing/fake_dependencies.py
+++ b/amaranthring/testing/fake_dependencies.py
@@ -80,7 +80,7 @@
 
 
 class Fakes:
-    """Fakes behind one :class:`way.Needs`, with the knobs of the tests.
+    """Fakes behind :class:`execution.Dependencies`, set by tests.
 
     Attributes
     ----------
--- a/amaranthring/testing/fake_state.py
+++ b/amaranthring/testing/fake_state.py
@@ -86,7 +86,7 @@
     routers : dict
         Mesh of each live router, by name.
     allowed : callable
-        Returns whether two routers, given by name, can connect.
+        Returns whether two routers, given by name, are connected.
     """
 
     def __init__(self, name, data_centre, routers, allowed=None):
--- a/amaranthring/testing/in_process_callers.py
+++ b/amaranthring/testing/in_process_callers.py
@@ -1,4 +1,4 @@
-"""Callers' servers of routers and stand-ins, in one process."""
+"""Routers' servers for callers, and stand-ins, in one process."""
 
 import asyncio
 import contextlib
@@ -140,7 +140,7 @@
 
 
 class Router:
-    """The callers' server of one router.
+    """The server for callers of one router.
 
     Attributes
     ----------
--- a/amaranthring/testing/keeper_processes.py
+++ b/amaranthring/testing/keeper_processes.py
@@ -125,7 +125,7 @@
     Parameters
     ----------
     folder : path
-        For settings and data.
+        Folder for settings and data.
     count : int
         Number of keepers, named k1, k2, ...
     options : dict, optional
--- a/amaranthring/testing/linearizable.py
+++ b/amaranthring/testing/linearizable.py
@@ -34,7 +34,7 @@
 
     @property
     def completed(self) -> bool:
-        """Return whether the client received the outcome."""
+        """Return whether the outcome is known."""
         return self.ended < math.inf
 
 
--- a/amaranthring/testing/load.py
+++ b/amaranthring/testing/load.py
@@ -251,7 +251,7 @@
 
 
 async def run_all(*calls) -> None:
-    """Run `calls` concurrently; raise if one of them fails.
+    """Run `calls` concurrently; raise the first exception, wrapped.
 
     Raises
     ------
--- a/amaranthring/testing/local_fleet.py
+++ b/amaranthring/testing/local_fleet.py
@@ -84,7 +84,7 @@
     def stop(self, seconds: float = STOP_SECONDS) -> int:
         """Terminate the process and return its exit code.
 
-        It is killed if it does not end in time, which its code shows.
+        It is killed if it does not end in time, which the code shows.
         """
         self.signal(signal.SIGTERM)
         try:
--- a/amaranthring/testing/mesh_members.py
+++ b/amaranthring/testing/mesh_members.py
@@ -85,7 +85,7 @@
         self.target_sync.start()
 
     def stop(self) -> None:
-        """Stop as a killed process does, without leaving."""
+        """Stop as a killed process does, without announcing it."""
         self.target_sync.stop()
         self.table.stop()
         self.mesh.stop()
@@ -208,10 +208,10 @@
             report = records.LoadReport(
                 one.name, one.incarnation, sequence, 1, 0
             )
-            at = self.members[numbers[0]].table
-            if at.get(one.name) != one:
-                at.announce(one)
-            at.update_report(report)
+            target_table = self.members[numbers[0]].table
+            if target_table.get(one.name) != one:
+                target_table.announce(one)
+            target_table.update_report(report)
             await asyncio.sleep(0.5)
 
 
--- a/amaranthring/testing/scripted_target.py
+++ b/amaranthring/testing/scripted_target.py
@@ -126,7 +126,7 @@
     requests : list of Seen
         Requests that it received completely.
     aborted : int
-        Connections that the router closed while the script still ran.
+        Number of connections that the router closed while the script ran.
     keep_alive : bool
         Whether a connection serves one request after another.
     connections : int
--- a/amaranthring/testing/standin.py
+++ b/amaranthring/testing/standin.py
@@ -69,7 +69,7 @@
     load: t.Callable[[], tuple[int, int, float]],
     serves: t.Callable[[], list[str]] | None = None,
 ) -> None:
-    """Announce until SIGTERM or SIGINT, then leave and drain requests."""
+    """Announce until SIGTERM or SIGINT, then leave and drain."""
     print(f"listening {announced_target.address}", flush=True)
     stopping = signals.stop_event()
     announcer = None
--- a/tests/fleet_case.py
+++ b/tests/fleet_case.py
@@ -1,4 +1,4 @@
-"""Base of the tests that run a whole fleet as separate processes."""
+"""Base of tests that run a whole fleet as separate processes."""
 
 import asyncio
 import json
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -58,20 +58,20 @@
         rng = random.Random(SEED)
         balancer = asyncio.ensure_future(self.callers.run_health_checks())
         faults = asyncio.ensure_future(self.inject_faults(rng))
-        told = {}
+        outcome_by_key = {}
 
         async def book(number):
             await asyncio.sleep(number * 0.02)
             key = f"key-{number}-of-{SEED}"
             outcome, _ = await self.callers.book_until_final("s", key)
-            told[key] = outcome
+            outcome_by_key[key] = outcome
 
         await load.run_all(*[book(number) for number in range(200)])
         await faults
         balancer.cancel()
-        self.assertEqual(len(told), 200)
-        await self.blocking(self.assert_run_at_most_once, told)
-        outcomes = list(told.values())
+        self.assertEqual(len(outcome_by_key), 200)
+        await self.blocking(self.assert_run_at_most_once, outcome_by_key)
+        outcomes = list(outcome_by_key.values())
         self.assertGreater(outcomes.count("ran"), 150, outcomes)
         self.assertEqual(outcomes.count("not-run"), 0)
 
@@ -149,7 +149,7 @@
         await super().asyncSetUp()
 
     def reach(self, data_centre, other, address):
-        """Return the address of a relay between two data centres."""
+        """Return the address of a relay to `address`."""
         key = (data_centre, other, address)
         if key not in self.relays:
             relay = tcp_relay.Relay(address)
@@ -189,28 +189,28 @@
             self.assertEqual(callers.tally.refused, {})
             self.assertEqual(callers.tally.complete, 10)
         await self.assert_refused_without_quorum(inside)
-        told, _ = await outside.book_until_final("s", "with-quorum")
-        self.assertEqual(told, "ran")
+        outcome, _ = await outside.book_until_final("s", "with-quorum")
+        self.assertEqual(outcome, "ran")
         for relay in self.relays.values():
             relay.heal()
-        told, _ = await inside.book_until_final("s", "cut-off")
-        self.assertEqual(told, "ran")
+        outcome, _ = await inside.book_until_final("s", "cut-off")
+        self.assertEqual(outcome, "ran")
         keys = {"cut-off": "ran", "with-quorum": "ran"}
         await self.blocking(self.assert_run_at_most_once, keys)
 
     async def assert_refused_without_quorum(self, callers):
         """Book until the router refuses at once for lack of a quorum."""
         loop = asyncio.get_running_loop()
-        told, body = await callers.book("s", "cut-off")
-        self.assertNotEqual(told, "ran")
+        outcome, body = await callers.book("s", "cut-off")
+        self.assertNotEqual(outcome, "ran")
         for number in itertools.count():
             began = loop.time()
-            told, body = await callers.book("s", f"never-sent-{number}")
+            outcome, body = await callers.book("s", f"never-sent-{number}")
             code = json.loads(body)["error"]["code"]
             if code == "no-quorum":
                 break
-            self.assertEqual(told, "unknown")
-        self.assertEqual(told, "not-run")
+            self.assertEqual(outcome, "unknown")
+        self.assertEqual(outcome, "not-run")
         self.assertLess(loop.time() - began, 3.0)
         self.assertGreater(json.loads(body)["error"]["retry_after"], 0)
 
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -78,7 +78,7 @@
     def test_accepted_changes_survive_leader_failures(self):
         # Guards against changes that are lost with the leader, applied
         # twice by a resend, or undone by a leader that resumes: a revision
-        # would have another preset, or a router would go back.
+        # would have another preset, or a router an older revision.
         accepted = {}
         suspended = ""
         revision = 1
