--- a/amaranthring/bench/cache.py
+++ b/amaranthring/bench/cache.py
@@ -103,11 +103,11 @@
         self.best_hits = 0
         self.imported = 0
         self.returning = 0
-        self.names = len(fleet.targets)
+        self.engines_created = len(fleet.targets)
         self.running: dict[str, set] = {}
 
     def churn(self, every: float) -> None:
-        """Replace one engine every `every` seconds after the warm-up."""
+        """Replace an engine every `every` seconds, from the warm-up's end."""
 
         def replace_engine():
             self._remove_engine()
@@ -117,7 +117,7 @@
         self.call_at(WARMUP_SECONDS, replace_engine)
 
     async def send(self, router: str, chat: str):
-        """Send one request, and again if its engine was removed."""
+        """Send one request; retry while it is placed on a removed engine."""
         excluded = set()
         while True:
             grant = await self._place(router, chat, excluded)
@@ -226,8 +226,8 @@
         )
 
     def _add_engine(self) -> None:
-        target = fakes.target(f"e{self.names}", "dc1", capacity=512)
-        self.names += 1
+        target = fakes.target(f"e{self.engines_created}", "dc1", capacity=512)
+        self.engines_created += 1
         self.fleet.add(target)
 
 
@@ -276,14 +276,14 @@
         product = asyncio.run(simulate(seed, **case, **sizes))
         baseline = asyncio.run(simulate(seed, **case, baseline=True, **sizes))
         hit_rate = product.hits / product.returning
-        best_hits = product.best_hits / product.returning
+        best_rate = product.best_hits / product.returning
         baseline_rate = baseline.hits / baseline.returning
         results.add(f"{name}: hit rate", hit_rate, least=baseline_rate)
-        results.add(f"{name}: best any placement could get", best_hits)
+        results.add(f"{name}: best any placement could get", best_rate)
         results.add(f"{name}: baseline", baseline_rate)
         results.add(
             f"{name}: of the best",
-            hit_rate / best_hits,
+            hit_rate / best_rate,
             least=MIN_SHARE_OF_BEST,
         )
         results.add(f"{name}: imported", product.imported)
--- a/amaranthring/bench/control.py
+++ b/amaranthring/bench/control.py
@@ -28,7 +28,7 @@
 MAX_PROCESSOR_PERCENT = 1.8
 CONVERGENCE_SECONDS = 30.0
 READ_SECONDS = 20.0
-REBROADCAST_SECONDS = 5.0
+REPEAT_SECONDS = 5.0
 
 
 @dataclasses.dataclass
@@ -50,7 +50,8 @@
     Attributes
     ----------
     streams, http : float
-        Bytes per second, both directions together.
+        Bytes per second on links and on HTTP connections, both
+        directions together.
     processor : float
         Percent of one core.
     messages : float
@@ -197,8 +198,8 @@
     try:
         await workers.start()
         await workers.wait_converged()
-        # Changes are repeated in several batches: not yet the steady state.
-        await asyncio.sleep(REBROADCAST_SECONDS)
+        # The first changes are still repeated in batches for some time.
+        await asyncio.sleep(REPEAT_SECONDS)
         before = await workers.figures()
         await asyncio.sleep(seconds)
         after = await workers.figures()
--- a/amaranthring/bench/fairness.py
+++ b/amaranthring/bench/fairness.py
@@ -36,8 +36,8 @@
     Attributes
     ----------
     waits : list of float
-        Seconds that each request waited, for grants in the last two thirds
-        of the simulated time, when the surge runs.
+        Seconds in the queue of each request that was granted in the last
+        two thirds of the simulated time, when the surge runs.
     refused : int
         Requests refused at once or evicted from the queue.
     expired : int
--- a/tests/test_bench_cache.py
+++ b/tests/test_bench_cache.py
@@ -17,7 +17,7 @@
 class TestCacheReuse(unittest.TestCase):
     """Five engines, one of which is replaced every 20 s."""
 
-    def rate(self, **case):
+    def hit_rates(self, **case):
         simulation = asyncio.run(
             cache.simulate(3, every=20.0, **case, **SMALL)
         )
@@ -30,12 +30,12 @@
 
     def test_hit_rate_is_near_the_bound_and_above_the_baseline(self):
         # A removal must not cost other chats their cached prefixes.
-        rate, best_hits = self.rate()
-        baseline, _ = self.rate_of_baseline()
-        self.assertGreaterEqual(rate, cache.MIN_SHARE_OF_BEST * best_hits)
+        rate, best_rate = self.hit_rates()
+        baseline, _ = self.baseline_hit_rates()
+        self.assertGreaterEqual(rate, cache.MIN_SHARE_OF_BEST * best_rate)
         self.assertGreaterEqual(rate, baseline)
 
-    def rate_of_baseline(self):
+    def baseline_hit_rates(self):
         simulation = asyncio.run(
             cache.simulate(3, every=20.0, baseline=True, **SMALL)
         )
@@ -45,7 +45,7 @@
         )
 
     def test_graceful_removal_has_a_higher_hit_rate(self):
-        abrupt, _ = self.rate()
-        orderly, best_hits = self.rate(orderly=True)
+        abrupt, _ = self.hit_rates()
+        orderly, best_rate = self.hit_rates(orderly=True)
         self.assertGreater(orderly, abrupt)
-        self.assertGreaterEqual(orderly, cache.MIN_SHARE_OF_BEST * best_hits)
+        self.assertGreaterEqual(orderly, cache.MIN_SHARE_OF_BEST * best_rate)
--- a/tests/test_bench_control.py
+++ b/tests/test_bench_control.py
@@ -8,7 +8,7 @@
 from amaranthring.bench import control
 
 
-class TestArithmetic(unittest.TestCase):
+class TestExtrapolation(unittest.TestCase):
     """Extrapolation to full size."""
 
     def test_extrapolates_linearly(self):
@@ -41,20 +41,20 @@
         try:
             await workers.start()
             await workers.wait_converged()
-            frozen = workers.processes[0].pid
-            os.kill(frozen, signal.SIGSTOP)
+            paused = workers.processes[0].pid
+            os.kill(paused, signal.SIGSTOP)
             try:
                 await asyncio.sleep(5.0)
                 others = control.Workers(workers.layout)
                 others.processes = workers.processes[1:]
-                seen = await others.figures()
+                other_figures = await others.figures()
             finally:
-                os.kill(frozen, signal.SIGCONT)
+                os.kill(paused, signal.SIGCONT)
             await workers.wait_converged()
-            found = await workers.figures()
+            figures = await workers.figures()
         finally:
             await workers.stop()
-        self.assertEqual([one["live"] for one in seen], [2, 2])
-        counters = found[0]["counters"]
+        self.assertEqual([one["live"] for one in other_figures], [2, 2])
+        counters = figures[0]["counters"]
         self.assertEqual(counters["targets.own_pauses"], 1)
         self.assertEqual(counters.get("targets.lost", 0), 0)
