--- a/amaranthring/bench/model.py
+++ b/amaranthring/bench/model.py
@@ -105,7 +105,8 @@
     in_flight : Counter
         Requests in flight by engine.
     bound_ratios : list of float
-        For each grant, load of the engine relative to its load bound.
+        For each grant after the warm-up to an eligible engine, the load of
+        the engine relative to its load bound.
     factor : float
         Multiplier of the arrival rate.
     """
--- a/amaranthring/bench/revisions.py
+++ b/amaranthring/bench/revisions.py
@@ -94,18 +94,18 @@
         delta = machine.config_since(since)
         return len(wire.encode(wire.ONE_WAY, 0, delta))
 
-    found = {"whole": delta_bytes(-1)}
+    sizes = {"whole": delta_bytes(-1)}
     execute(commands.SwitchPreset, "peak")
-    found["switch"] = delta_bytes(1)
+    sizes["switch"] = delta_bytes(1)
     accounts_held = list(presets[1].accounts)
     for number in range(BURST_CHANGES):
         name = accounts_held[number % len(accounts_held)]
         presets[1].accounts[name] = fleet.AccountPolicy(3.0, 1.0 + number)
         execute(commands.PutPreset, presets[1])
         if number == 0:
-            found["adjust"] = delta_bytes(2)
-    found["burst"] = delta_bytes(2)
-    return found
+            sizes["adjust"] = delta_bytes(2)
+    sizes["burst"] = delta_bytes(2)
+    return sizes
 
 
 def control_traffic(
@@ -265,15 +265,15 @@
 
 
 def _add_sizes(results: report.Report, accounts: int) -> None:
-    found = encoded_sizes(accounts)
-    results.add("whole configuration", found["whole"], "bytes")
-    results.add("delta of a switch", found["switch"], "bytes", most=300)
-    results.add("delta of one adjusted account", found["adjust"], "bytes", 400)
+    sizes = encoded_sizes(accounts)
+    results.add("whole configuration", sizes["whole"], "bytes")
+    results.add("delta of a switch", sizes["switch"], "bytes", most=300)
+    results.add("delta of one adjusted account", sizes["adjust"], "bytes", 400)
     results.add(
-        f"delta of {BURST_CHANGES} adjusted accounts", found["burst"], "bytes"
+        f"delta of {BURST_CHANGES} adjusted accounts", sizes["burst"], "bytes"
     )
     # At full size a relay sends each change to its data centre.
-    sent = found["adjust"] * (ROUTERS_PER_DATA_CENTRE - 1) * CHANGES_A_DAY
+    sent = sizes["adjust"] * (ROUTERS_PER_DATA_CENTRE - 1) * CHANGES_A_DAY
     results.add(
         "relay's traffic for a day's changes, whole fleet",
         sent / DAY_SECONDS,
