--- a/amaranthring/keepers/commands.py
+++ b/amaranthring/keepers/commands.py
@@ -239,7 +239,7 @@
     view: t.Any
 
 
-# -- orders to targets -----------------------------------------------------
+# -- orders to targets -------------------------------------------------------
 
 
 class OrderKind(enum.StrEnum):
--- a/amaranthring/keepers/consensus.py
+++ b/amaranthring/keepers/consensus.py
@@ -91,7 +91,7 @@
     pre_vote_grant : election.PreVoteGrant, optional
         Candidate that holds this keeper's pre-vote.
     members_changed_at : float
-        Monotonic time of the last change of members; silence before it does
+        Monotonic time of the last membership change; silence before it does
         not count against a new member.
 
     Raises
@@ -257,7 +257,7 @@
         return member.name if member else ""
 
     def has_lease(self) -> bool:
-        """Return whether this keeper leads and no other one can now."""
+        """Return whether this keeper leads and no other keeper can."""
         now = self.clocks.monotonic()
         return self.leading and now < election.lease_until(self)
 
@@ -280,7 +280,8 @@
         errors.NotLeaderError, errors.NoQuorumError
             If the command was not accepted.
         errors.TooLargeError, errors.QueueFullError
-            If the command was not accepted.
+            If the command is too large, or too many are pending; it was not
+            accepted.
         errors.CommitUnknownError
             If the command may or may not be committed, now or later.
         errors.AmaranthringError
@@ -416,8 +417,8 @@
     def _task_ended(self, task: asyncio.Task) -> None:
         if task.cancelled() or task.exception() is None:
             return
-        # Without one of its tasks a leader could keep its role and still
-        # not do its work, so it leaves the group to the others.
+        # A leader could otherwise keep its role although, for example, it
+        # no longer applies entries.
         error = errors.StorageError(f"task failed: {task.exception()!r}")
         roles.fail(self, error)
 
--- a/amaranthring/keepers/disk.py
+++ b/amaranthring/keepers/disk.py
@@ -122,10 +122,10 @@
     return body
 
 
-def damage_error(path: pathlib.Path, what: str) -> errors.StorageError:
+def damage_error(path: pathlib.Path, problem: str) -> errors.StorageError:
     """Return the error for a corrupt file, with instructions to recover."""
     return errors.StorageError(
-        f"{path}: {what}",
+        f"{path}: {problem}",
         given="a damaged file",
         expected="an intact file; empty the folder and start again: the "
         "keeper then rejoins as a learner and is promoted to voter",
@@ -191,16 +191,16 @@
             self.save(state)
             return state
         data = wire.decode_value(verify_checksum(path.read_bytes(), path))
-        found = validation.validator(HardState)(data)
-        if (found.group, found.keeper) != (group, keeper):
+        stored = validation.validator(HardState)(data)
+        if (stored.group, stored.keeper) != (group, keeper):
             # That disk may have voted under the other name and could vote a
             # second time in the same term here.
             raise errors.StorageError(
                 f"{self.folder}: belongs to another keeper",
-                given=f"{found.keeper} of group {found.group}",
+                given=f"{stored.keeper} of group {stored.group}",
                 expected=f"{keeper} of group {group}, or an empty folder",
             )
-        return found
+        return stored
 
     def save(self, state: HardState) -> None:
         """Write `state` durably."""
--- a/amaranthring/keepers/election.py
+++ b/amaranthring/keepers/election.py
@@ -21,7 +21,7 @@
 
 log = logbook.Logger(__name__)
 
-# Shares of the election time.
+# Shares of the election timeout.
 LEASE_SHARE = 0.9
 # Average wait of a candidate without a majority before it retries.
 RETRY_SHARE = 0.3
@@ -52,7 +52,7 @@
     ----------
     rank : tuple
         The candidate with the lower rank is preferred: the one with the
-        more complete log, then the one with the lower disk.
+        more complete log, then the one with the lower disk identity.
     until : float
         Monotonic time in seconds until which the grant holds.
     """
@@ -64,7 +64,7 @@
 async def run(group) -> None:
     """Campaign when no leader is live; step down when the quorum is lost."""
     options = group.options
-    shortest = options.heartbeat_seconds / 2
+    min_sleep = options.heartbeat_seconds / 2
     while True:
         now = group.clocks.monotonic()
         if group.leading:
@@ -78,7 +78,7 @@
             due = group.election_deadline
             if now >= due and may_campaign(group):
                 await _campaign(group)
-        await asyncio.sleep(max(shortest, due - now))
+        await asyncio.sleep(max(min_sleep, due - now))
 
 
 def may_campaign(group) -> bool:
@@ -89,7 +89,7 @@
 
 
 def reset_election_timer(group) -> None:
-    """Postpone the next campaign by one to two election times."""
+    """Postpone the next campaign by one to two election timeouts."""
     wait = group.options.election_seconds * group.random.uniform(1, 2)
     group.election_deadline = group.clocks.monotonic() + wait
 
@@ -124,10 +124,10 @@
 def lease_until(group) -> float:
     """Return the monotonic time until which no other leader can exist.
 
-    A follower refuses its vote for an election time after it received a
+    A follower refuses its vote for an election timeout after it received a
     message of the leader, so at least that long after the message was sent;
-    a restarted keeper refuses as long from its start. `LEASE_SHARE` allows
-    for clocks that run at different rates.
+    a restarted keeper does so after its start. `LEASE_SHARE` allows for
+    clocks that run at different rates.
     """
     share = group.options.election_seconds * LEASE_SHARE
     return quorum_acked_at(group) + share
@@ -155,7 +155,7 @@
 
 
 def is_live(group, member: messages.Member) -> bool:
-    """Return whether `member` answered within two election times."""
+    """Return whether `member` answered within two election timeouts."""
     since = group.clocks.monotonic() - acked_at(group, member)
     return since < 2 * group.options.election_seconds
 
@@ -176,7 +176,7 @@
         return
     if group.term + 1 != term:
         # The pre-vote was for an older term: this keeper has voted for another
-        # candidate meanwhile, and would depose it by campaigning on.
+        # candidate meanwhile, and would depose it by campaigning further.
         return
     if group.pre_vote_grant.rank != rank:
         # A better candidate got this keeper's pre-vote meanwhile. If only a
@@ -204,8 +204,8 @@
     the other's pre-vote, votes for itself and refuses the other.
     """
     now = group.clocks.monotonic()
-    held = group.pre_vote_grant
-    if held is not None and now < held.until and held.rank < rank:
+    grant = group.pre_vote_grant
+    if grant is not None and now < grant.until and grant.rank < rank:
         return False
     until = now + PRE_VOTE_GRANT_SHARE * group.options.election_seconds
     group.pre_vote_grant = PreVoteGrant(rank, until)
@@ -284,15 +284,15 @@
 
 
 def hears_leader(group) -> bool:
-    """Return whether a leader was heard from within the election time."""
+    """Return whether a leader was heard from within the election timeout."""
     since = group.clocks.monotonic() - group.heard_at
     return since < group.options.election_seconds
 
 
 def _must_refuse(group, message: messages.Vote) -> bool:
     if message.to_disk != group.disk_id:
-        # The disk that the candidate means was replaced, and its votes are
-        # not known here.
+        # The request is for a disk that was replaced. Which votes that disk
+        # gave is not known here.
         return True
     if group.leading and group.clocks.monotonic() < lease_until(group):
         return True
--- a/amaranthring/keepers/fleet_service.py
+++ b/amaranthring/keepers/fleet_service.py
@@ -93,10 +93,10 @@
         """Propose the initial configuration until there is one."""
         while self.machine.book.parts.revision == 0:
             try:
-                done = await self.group.propose(
+                accepted = await self.group.propose(
                     self.bootstrap, BOOTSTRAP_SECONDS
                 )
-                logs.event(log, "state.bootstrap", revision=done.revision)
+                logs.event(log, "state.bootstrap", revision=accepted.revision)
             except errors.AmaranthringError as error:
                 log.debug("state.bootstrap-failed fault={}", error)
             await asyncio.sleep(BOOTSTRAP_PAUSE_SECONDS)
--- a/amaranthring/keepers/genesis.py
+++ b/amaranthring/keepers/genesis.py
@@ -3,9 +3,9 @@
 A group is formed once, when every keeper in the settings is up with an empty
 disk: the first keeper by name records all their disks as the initial voters,
 and the others adopt that configuration. Once any keeper knows a group, an
-empty disk that is not a voter gets no vote until the leader adds it as a
-learner. So a keeper that lost its disk can neither form a second group nor
-vote twice under its old name.
+empty disk that is not a voter has no vote until the leader has added it as a
+learner and promoted it. So a keeper that lost its disk can neither form a
+second group nor vote twice under its old name.
 """
 
 import asyncio
@@ -79,12 +79,11 @@
 
 def _may_bootstrap(group, replies) -> bool:
     if not group.options.may_bootstrap:
-        # A group exists or existed: a later disk must not form an empty one
-        # beside it.
+        # A group exists or existed; a new disk must not form a second one.
         return False
     everyone = {peer.name for peer in group.configured_peers}
     first = min(everyone | {group.keeper.name})
-    # Other keepers that already found this one answer too; they join later.
+    # Keepers that are not in the settings may answer too; they join later.
     return everyone <= set(replies) and first == group.keeper.name
 
 
--- a/amaranthring/keepers/ledger.py
+++ b/amaranthring/keepers/ledger.py
@@ -43,7 +43,10 @@
 
 
 class ClaimRecord(t.NamedTuple):
-    """An unpacked claim; the first fields are those of the header."""
+    """An unpacked claim; the first fields are those of the header.
+
+    `until` is the log timestamp of the deadline, in seconds.
+    """
 
     state: int
     until: float
@@ -144,7 +147,7 @@
         Larger answers are not stored; a resend learns only that the call
         ran.
     max_bytes : int
-        Memory use above which no new claim is granted.
+        Estimated memory use at which new claims are refused.
 
     Attributes
     ----------
@@ -153,7 +156,7 @@
     marks : dict
         Marks by bucket number.
     bytes : int
-        Estimated memory use.
+        Estimated memory use in bytes.
     """
 
     def __init__(
@@ -183,7 +186,7 @@
         self.expire(stamp)
         key = digest_texts(command.account, command.key)
         attempt = digest_texts(command.attempt)
-        digest = digest_bytes(command.body_digest)
+        digest = _parse_digest(command.body_digest)
         bucket, record = self._find(key)
         if record is None:
             past_claim = self._claim_from_marks(key)
@@ -389,8 +392,8 @@
     return len(data) + CLAIM_OVERHEAD_BYTES
 
 
-def digest_bytes(text: str) -> bytes:
-    """Return a body digest as 16 bytes, hashed if it has another form."""
+def _parse_digest(text: str) -> bytes:
+    """Return the 16 bytes of a hex digest; other texts are hashed."""
     try:
         data = bytes.fromhex(text)
     except ValueError:
--- a/amaranthring/keepers/log.py
+++ b/amaranthring/keepers/log.py
@@ -1,9 +1,9 @@
 """The replicated log: entries in memory and segment files on disk.
 
 A record is a header of three big-endian 4-byte integers (length of the
-payload, its checksum, checksum of both) and the payload. A crash can leave
-the last record of the last file short or zero-filled; such a torn tail was
-never acknowledged and is truncated. Any other invalid record is corruption
+payload, its checksum, checksum of these two) and the payload. A crash can
+leave the last record of the last file short or zero-filled; such a torn tail
+was never acknowledged and is truncated. Any other invalid record is corruption
 of data that may have been acknowledged, and the keeper refuses to start.
 """
 
@@ -178,7 +178,7 @@
 
 
 class Segments:
-    """Segment files of the log; after `load`, for the disk thread only."""
+    """Segment files of the log; after `load`, used only by the disk thread."""
 
     def __init__(self, folder: pathlib.Path, files: disk.FileOps):
         self.folder = folder
@@ -198,14 +198,14 @@
         entries: list[Entry] = []
         paths = sorted(self.folder.glob(PREFIX + "*"))
         for path in paths:
-            segment, found = _read_segment(
+            segment, added = _read_segment(
                 path, torn_allowed=path == paths[-1]
             )
-            if entries and found and found[0].index != entries[-1].index + 1:
+            if entries and added and added[0].index != entries[-1].index + 1:
                 raise disk.damage_error(
                     path, "does not follow the file before it"
                 )
-            entries.extend(found)
+            entries.extend(added)
             self.segments.append(segment)
         if self.segments:
             self._open(self.segments[-1])
@@ -294,8 +294,8 @@
     """Return the record that holds `payload`."""
     length = len(payload)
     checksum = zlib.crc32(payload)
-    both = zlib.crc32(struct.pack(">II", length, checksum))
-    return HEADER.pack(length, checksum, both) + payload
+    header_checksum = zlib.crc32(struct.pack(">II", length, checksum))
+    return HEADER.pack(length, checksum, header_checksum) + payload
 
 
 def _read_segment(path, torn_allowed: bool) -> tuple[Segment, list[Entry]]:
@@ -322,9 +322,9 @@
 
 
 def _read_header(data: bytes, offset: int) -> tuple[int, int] | None:
-    length, checksum, both = HEADER.unpack_from(data, offset)
+    length, checksum, header_checksum = HEADER.unpack_from(data, offset)
     if (
-        zlib.crc32(data[offset : offset + 8]) != both
+        zlib.crc32(data[offset : offset + 8]) != header_checksum
         or length > MAX_ENTRY_BYTES * 2
     ):
         return None
--- a/amaranthring/keepers/membership.py
+++ b/amaranthring/keepers/membership.py
@@ -1,8 +1,8 @@
 """Membership of a group, and changes to it one disk at a time.
 
 Source: D. Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapter 4
-(single-server changes; the change of a leader only after an entry of its own
-term is committed).
+(single-server changes, which a leader may propose only after an entry of its
+own term is committed).
 
 A member is identified by its disk, not by its name. A keeper that lost its
 disk returns under the same name with a new disk: the leader adds the new disk
@@ -114,18 +114,18 @@
         if _is_silent(group, voter):
             return _without_lost_voter(group, voter)
     ready = sum(_is_caught_up(group, other) for other in members.learners)
-    votes = len(members.voters)
+    voter_count = len(members.voters)
     # An even number of voters tolerates no more losses than one fewer; the
     # spare learner can replace a lost voter at once.
-    wanted = min(group.options.max_voters, (votes + ready - 1) | 1)
-    return promoted(members, learner.disk) if votes < wanted else None
+    wanted = min(group.options.max_voters, (voter_count + ready - 1) | 1)
+    return promoted(members, learner.disk) if voter_count < wanted else None
 
 
 def _without_silent_learner(group) -> messages.Members | None:
     for learner in group.members.learners:
         peer = group.peers.get(learner.name)
-        moved = peer is None or peer.disk not in ("", learner.disk)
-        if moved or _is_silent(group, learner):
+        replaced = peer is None or peer.disk not in ("", learner.disk)
+        if replaced or _is_silent(group, learner):
             if peer is not None:
                 # Added again only after it has answered again.
                 peer.disk = ""
@@ -174,7 +174,7 @@
 
 
 def may_change(group) -> bool:
-    """Return whether a change of members may be proposed.
+    """Return whether a membership change may be proposed.
 
     The previous change and an entry of the leader's own term must be
     committed: otherwise two leaders, each with an uncommitted change, could
@@ -223,12 +223,12 @@
     await group.read_barrier(message.timeout)
     if not may_change(group):
         raise errors.RefusedError(
-            "another change of members is in progress", retry_after=1.0
+            "another membership change is in progress", retry_after=1.0
         )
     known = message.name in names(group.members)
     if known == message.add:
         raise errors.BadRequestError(
-            "change of members",
+            "membership change",
             given=message.name,
             expected="a new keeper" if message.add else "a member",
         )
@@ -240,7 +240,7 @@
 async def _add(group, message) -> messages.Members:
     if not message.address:
         raise errors.BadRequestError(
-            "change of members", given="no address", expected="host:port"
+            "membership change", given="no address", expected="host:port"
         )
     peer = group.add_peer(message.name, message.address, message.data_centre)
     loop = asyncio.get_running_loop()
@@ -278,7 +278,7 @@
             )
         members = remaining
     else:
-        gone = [m for m in members.learners if m.name == message.name]
-        members = without(members, gone[0].disk)
+        learners = [m for m in members.learners if m.name == message.name]
+        members = without(members, learners[0].disk)
     await group.propose(members, message.timeout)
     return members
--- a/amaranthring/keepers/messages.py
+++ b/amaranthring/keepers/messages.py
@@ -35,7 +35,7 @@
 
 @wire.message("keeper-members")
 class Members:
-    """Configuration of a group; also the first entry of each leader."""
+    """Configuration of a group; also a new leader's first log entry."""
 
     voters: list[Member] = dataclasses.field(default_factory=list)
     learners: list[Member] = dataclasses.field(default_factory=list)
@@ -43,7 +43,7 @@
 
 @wire.message("keeper-greet")
 class Greet:
-    """Asks a keeper for its disk and for the group it knows.
+    """Asks a keeper for its disk and the members that it knows.
 
     Attributes
     ----------
--- a/amaranthring/keepers/plans.py
+++ b/amaranthring/keepers/plans.py
@@ -129,7 +129,7 @@
         try:
             document = deltas.apply(self.document, command.delta)
         except errors.FrameError as error:
-            # Deterministic: all keepers hold the same document.
+            # All keepers have the same document, so all skip this command.
             log.error(
                 "plan.delta-refused version={} fault={}",
                 command.version,
--- a/amaranthring/keepers/presets.py
+++ b/amaranthring/keepers/presets.py
@@ -33,7 +33,7 @@
     revision : int
         Revision created by the change.
     stamp : float
-        Wall time of the leader, in seconds.
+        Log timestamp in seconds.
     operator, action, subject : str
         Operator, kind of the change, and the name of what was changed.
     content : bytes
@@ -53,7 +53,7 @@
 
     Attributes
     ----------
-    parts : parts.Parts
+    parts : config_parts.Parts
         The current configuration.
     base_presets : dict
         Contents of presets before the oldest history entry.
--- a/amaranthring/keepers/quarantine.py
+++ b/amaranthring/keepers/quarantine.py
@@ -13,8 +13,8 @@
 def entries(book) -> dict[str, float]:
     """Return the expiry time of each quarantined fingerprint."""
     items = book.parts.items
-    found = {p: v for p, v in items.items() if p.startswith(PREFIX)}
-    return {part.removeprefix(PREFIX): until for part, until in found.items()}
+    parts = {p: v for p, v in items.items() if p.startswith(PREFIX)}
+    return {part.removeprefix(PREFIX): until for part, until in parts.items()}
 
 
 def add(book, stamp: float, command) -> None:
--- a/amaranthring/keepers/recovery.py
+++ b/amaranthring/keepers/recovery.py
@@ -1,9 +1,9 @@
 """Recovery of a keeper after a disk failure, without a process restart.
 
 After a failed write or sync the contents of the disk are unknown, so the
-keeper stops participating at once. Its folder is then reopened, as at a
-start, until that works; otherwise the quorum would be lost when a second
-keeper's disk fills up, even long after the first one was freed.
+keeper stops participating at once. It then tries to reopen its folder, as at
+a start, until that succeeds. Without this, a second full disk would cost the
+group its quorum, even long after the first disk was freed.
 
 Entries not known to be synced before the failure are dropped: the page cache
 may still return them although they were never written. They were never
--- a/amaranthring/keepers/replication.py
+++ b/amaranthring/keepers/replication.py
@@ -27,7 +27,7 @@
 # Long enough for a follower with a slow disk.
 CHUNK_TIMEOUT_SECONDS = 4.0
 GREET_TIMEOUT_SECONDS = 0.25
-# Replies that take longer than this many heartbeats are logged.
+# Replies that take longer than this many heartbeat intervals are logged.
 SLOW_HEARTBEATS = 2
 # Wait before a snapshot is sent again to a peer that refused it, for example
 # because its disk is full. Immediate retries would saturate a slow link and
@@ -63,7 +63,8 @@
     slow_logged_at : float
         Monotonic time at which a slow reply was last logged.
     wall_offset : float
-        The peer's wall clock minus our monotonic clock, in seconds.
+        The peer's wall clock minus this keeper's monotonic clock, in
+        seconds.
     """
 
     def __init__(self, name, address, data_centre, dialler):
@@ -155,7 +156,7 @@
 
 
 def _is_catching_up(group, peer: Peer) -> bool:
-    """Return whether the next entry for `peer` is already committed."""
+    """Return whether `peer` lacks committed entries, which are paced."""
     return group.pacer is not None and peer.next_index <= group.commit_index
 
 
--- a/amaranthring/keepers/roles.py
+++ b/amaranthring/keepers/roles.py
@@ -76,8 +76,7 @@
 def record_leader(group, term: int, leader_disk: str) -> None:
     """Record the leader while this keeper's disk has failed.
 
-    Such a keeper still forwards commands and reads of operators to the
-    leader.
+    Such a keeper still forwards operators' commands and reads to the leader.
     """
     if term >= group.term:
         group.leader_disk = leader_disk
--- a/amaranthring/keepers/server.py
+++ b/amaranthring/keepers/server.py
@@ -22,10 +22,10 @@
     ----------
     settings : settings.Settings
         Settings of this process.
-    machine : options.Machine
+    machine : options.StateMachine
         State machine of the group named in the settings.
-    clocks, files : optional
-        Replaced in tests.
+    clocks, files, metrics : optional
+        Time sources, system calls and counters.
 
     Attributes
     ----------
--- a/amaranthring/keepers/snapshots.py
+++ b/amaranthring/keepers/snapshots.py
@@ -16,8 +16,8 @@
 
 PREFIX = "snapshot-"
 INCOMING_FILE = "incoming-snapshot.tmp"
-# 0.04 s on the slowest links (6 Mbit/s), so that a heartbeat queued behind a
-# chunk is not late.
+# Sent in 0.04 s on the slowest links (6 Mbit/s), so that a heartbeat queued
+# behind a chunk is not late.
 CHUNK_BYTES = 32 * 1024
 
 
@@ -115,7 +115,7 @@
 class Receiver:
     """A snapshot file that is being received, in order.
 
-    For the snapshot thread only, which serializes writes: a chunk of an
+    Used only by the snapshot thread, which serializes writes: a chunk of an
     abandoned transfer may still be pending when a new transfer begins.
     """
 
--- a/amaranthring/keepers/state_machine.py
+++ b/amaranthring/keepers/state_machine.py
@@ -75,7 +75,7 @@
         index : int
             Index of the log entry.
         stamp : float
-            Wall time of the leader at the proposal, in seconds.
+            Timestamp of the log entry, in seconds.
         command : object
             A message of :mod:`amaranthring.keepers.commands`.
 
--- a/amaranthring/keepers/store.py
+++ b/amaranthring/keepers/store.py
@@ -211,14 +211,14 @@
         self._truncate_member_history(first)
 
     def _truncate_member_history(self, index: int) -> bool:
-        kept = [known for known in self.member_history if known[0] < index]
-        changed = len(kept) != len(self.member_history)
-        self.member_history = kept
+        remaining = [at for at in self.member_history if at[0] < index]
+        changed = len(remaining) != len(self.member_history)
+        self.member_history = remaining
         return changed
 
     def prune_member_history(self, applied: int) -> None:
         """Drop configurations that no truncation can restore."""
-        old = [known for known in self.member_history if known[0] <= applied]
+        old = [at for at in self.member_history if at[0] <= applied]
         if len(old) > 1:
             del self.member_history[: len(old) - 1]
 
--- a/amaranthring/plan_keeper.py
+++ b/amaranthring/plan_keeper.py
@@ -29,8 +29,8 @@
     """A keeper with the platform's control API on its control address.
 
     Imports the HTTP server in the background while the keeper already takes
-    part in the consensus: the import takes 0.15 s on a quarter of a core, by
-    which it would delay the election of a leader after a power failure.
+    part in the consensus: the import takes 0.15 s on a quarter of a core, and
+    would delay the election of a leader after a power failure.
 
     Parameters
     ----------
