--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -31,12 +31,12 @@
         asyncio.get_running_loop().set_debug(False)
         folder = tempfile.TemporaryDirectory(dir=keepers_case.MEMORY)
         self.addCleanup(folder.cleanup)
-        made = keeper_processes.KeeperFleet(
+        fleet = keeper_processes.KeeperFleet(
             folder.name, options=FAST | options
         )
-        self.addAsyncCleanup(made.stop)
-        await made.start()
-        return made
+        self.addAsyncCleanup(fleet.stop)
+        await fleet.start()
+        return fleet
 
     async def set(self, key, value, timeout=15):
         return await self.fleet.client.propose(keeper.Set(key, value), timeout)
@@ -45,24 +45,28 @@
         return (await self.fleet.client.query(keeper.Get(key), 15)).value
 
     async def add(self, begin, end):
-        """Propose `Add` for c`begin` up to but not c`end`, 64 at a time."""
+        """Propose `Add` for c`begin` to c`end - 1`, 64 at a time."""
         semaphore = asyncio.Semaphore(64)
 
-        async def one(number):
+        async def propose(number):
             async with semaphore:
                 await self.fleet.client.propose(keeper.Add(f"c{number}"), 15)
 
-        await asyncio.gather(*(one(number) for number in range(begin, end)))
+        await asyncio.gather(
+            *(propose(number) for number in range(begin, end))
+        )
 
     async def status_where(self, condition, name=None, what="status"):
         """Return the status of `name`, or the leader, once it matches."""
 
-        async def look():
-            asked = name or await self.fleet.leader()
-            status = await self.fleet.status(asked) if asked else None
+        async def check():
+            keeper_name = name or await self.fleet.leader()
+            status = (
+                await self.fleet.status(keeper_name) if keeper_name else None
+            )
             return status if status and condition(status) else None
 
-        return await keeper_processes.wait_until(look, what=what)
+        return await keeper_processes.wait_until(check, what=what)
 
     async def exit_code(self, name):
         process = self.fleet.keepers[name].process
@@ -101,11 +105,11 @@
             faults.pause_and_resume,
             faults.isolate_and_heal,
         ]
-        found = await asyncio.gather(
+        contradictions = await asyncio.gather(
             self.check(3, 8, [faults.kill_and_restart]),
             self.check(11, 8, kinds),
         )
-        self.assertEqual(found, [[], []])
+        self.assertEqual(contradictions, [[], []])
 
 
 class TestLeader(FleetCase):
@@ -151,7 +155,7 @@
         await self.status_where(lambda s: s.role == "follower", old)
         self.assertEqual(await self.fleet.leader(), new)
 
-    async def test_cut_data_centre_is_refused_in_time_and_catches_up(self):
+    async def test_isolated_data_centre_is_refused_and_catches_up(self):
         # The leader's data centre is partitioned. A router in it is refused
         # within its timeout; the others elect a leader and go on.
         old = await self.begin()
@@ -174,8 +178,8 @@
         self.assertEqual(await self.get("a"), "2")
 
     async def test_return_of_an_isolated_keeper_deposes_nobody(self):
-        # A keeper that is partitioned for many election times must not raise
-        # its term, or it deposes the leader when it returns.
+        # A keeper that is partitioned for many election timeouts must not
+        # raise its term, or it deposes the leader when it returns.
         leader = await self.begin()
         before = await self.fleet.status(leader)
         lost = self.others(leader)[0]
@@ -209,12 +213,12 @@
         def voted(status):
             voters = [m.disk for m in status.members if m.voter]
             names = [m.name for m in status.members if m.voter]
-            whole = old_disk not in voters and lost in names
-            seen.append((whole, status.safe_losses))
-            return whole and status.safe_losses == 1
+            repaired = old_disk not in voters and lost in names
+            seen.append((repaired, status.safe_losses))
+            return repaired and status.safe_losses == 1
 
         await self.status_where(voted, what="repair")
-        early = [losses for whole, losses in seen if not whole]
+        early = [losses for repaired, losses in seen if not repaired]
         self.assertTrue(all(losses < 1 for losses in early), seen)
         self.fleet.keepers[other].kill()
         await self.add(200, 210)
@@ -246,20 +250,20 @@
         # A keeper that voted with another keeper's disk could vote twice in
         # one term.
         leader = await self.begin()
-        one, two = self.others(leader)
-        for name in (one, two):
+        first, second = self.others(leader)
+        for name in (first, second):
             self.fleet.keepers[name].kill()
-        swapped = self.fleet.keepers[two].data
-        swapped.rename(self.fleet.keepers[one].folder / "swapped")
-        self.fleet.keepers[one].remove_data()
-        (self.fleet.keepers[one].folder / "swapped").rename(
-            self.fleet.keepers[one].data
+        swapped = self.fleet.keepers[second].data
+        swapped.rename(self.fleet.keepers[first].folder / "swapped")
+        self.fleet.keepers[first].remove_data()
+        (self.fleet.keepers[first].folder / "swapped").rename(
+            self.fleet.keepers[first].data
         )
-        self.fleet.keepers[one].start()
-        self.assertEqual(await self.exit_code(one), 1)
-        said = self.fleet.keepers[one].errors
-        self.assertIn("belongs to another keeper", said)
-        self.assertNotIn("Traceback", said)
+        self.fleet.keepers[first].start()
+        self.assertEqual(await self.exit_code(first), 1)
+        output = self.fleet.keepers[first].errors
+        self.assertIn("belongs to another keeper", output)
+        self.assertNotIn("Traceback", output)
 
     async def test_flipped_byte_refuses_to_start_and_says_what_to_do(self):
         # Truncating the log at a corrupt record would silently drop
@@ -324,7 +328,7 @@
 
     async def test_jumping_clock_of_the_leader_moves_no_stamp(self):
         # Claims expire by the entries' timestamps: if these followed a clock
-        # that jumps ahead, claims would be dropped and bookings could rerun.
+        # that jumps ahead, claims would be dropped and calls could run twice.
         leader = await self.begin()
         first = (await self.set("a", "1")).stamp
         clock = self.fleet.keepers[leader].control / "clock"
@@ -361,8 +365,8 @@
             self.assertEqual(len(dump.seen), changes)
             self.assertEqual(set(dump.seen.values()), set(range(changes)))
         status = await self.fleet.status(await self.fleet.wait_leader())
-        held = status.last_index - status.first_index
-        self.assertLess(held, 4000)
+        kept_entries = status.last_index - status.first_index
+        self.assertLess(kept_entries, 4000)
         for process in self.fleet.keepers.values():
             files = process.data.glob("keepers/fleet/log-*")
             size = sum(path.stat().st_size for path in files)
@@ -383,12 +387,12 @@
             return [m.name for m in status.members if m.voter][3:] == ["k4"]
 
         await self.status_where(voted)
-        gone = self.others(leader)[0]
-        self.fleet.keepers[gone].kill()
+        stopped = self.others(leader)[0]
+        self.fleet.keepers[stopped].kill()
         self.fleet.keepers[leader].kill()
         with self.assertRaises(errors.NoQuorumError):
             await self.fleet.client.query(keeper.Get("a"), 1)
-        await self.fleet.restart(gone)
+        await self.fleet.restart(stopped)
         self.assertEqual(len((await self.fleet.dump()).seen), 1200)
 
     async def test_removed_keeper_is_no_member(self):
@@ -396,11 +400,11 @@
         # The leader refuses until the remaining keepers have replied to it,
         # which takes a moment on a busy machine.
         await self.status_where(lambda s: all(m.live for m in s.members))
-        gone = self.others(leader)[0]
-        remove = messages.Change("fleet", False, gone)
+        removed = self.others(leader)[0]
+        remove = messages.Change("fleet", False, removed)
         await self.fleet.client.change_members(remove)
         status = await self.status_where(lambda s: len(s.members) == 2)
-        self.assertNotIn(gone, [member.name for member in status.members])
+        self.assertNotIn(removed, [member.name for member in status.members])
         with self.assertRaises(errors.BadRequestError):
             await self.fleet.client.change_members(remove)
         await self.set("a", "1")
@@ -412,14 +416,14 @@
     NOW = 100.0
 
     def group(self, started_at):
-        made = mock.Mock()
-        made.options = options.Options(
+        group = mock.Mock()
+        group.options = options.Options(
             election_seconds=0.45, process_started_at=started_at
         )
-        made.clocks.monotonic.return_value = self.NOW
-        made.heard_at = started_at or self.NOW
-        made.random = random.Random(1)
-        return made
+        group.clocks.monotonic.return_value = self.NOW
+        group.heard_at = started_at or self.NOW
+        group.random = random.Random(1)
+        return group
 
     def due(self, started_at):
         group = self.group(started_at)
@@ -427,10 +431,10 @@
         return group.election_deadline - self.NOW
 
     def test_all_keepers_lost_power_and_took_long_to_start(self):
-        """Keepers that start slowly must not wait a full election time."""
+        """Keepers that start slowly must not wait a full election timeout."""
         self.assertLessEqual(self.due(self.NOW - 0.85), 0.45 / 2)
 
-    def test_promise_of_the_process_before_is_kept(self):
+    def test_vote_promise_of_the_previous_process_is_kept(self):
         """A restarted keeper must not vote while the leader's lease holds."""
         for started_at in (self.NOW - 0.2, None):
             with self.subTest(started_at=started_at):
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -18,9 +18,9 @@
         await self.keepers.put(1, b"one")
         others = [k for k in self.keepers.running.values() if k is not leader]
         self.group, self.other = others[0].group, others[1].group
-        for one in (self.group, self.other):
+        for group in (self.group, self.other):
             # Only campaigns that the test starts.
-            one.election_deadline = float("inf")
+            group.election_deadline = float("inf")
         await self.keepers.stop(leader.config.address)
 
     async def test_candidate_that_voted_for_another_does_not_campaign(self):
@@ -38,20 +38,20 @@
             self.group.log.last_term,
             pre=False,
         )
-        asked = []
+        ballots = []
 
         async def ballot(group, term, pre):
-            asked.append((term, pre))
+            ballots.append((term, pre))
             group.heard_at = 0.0
             if pre:
-                given = await election.on_vote(group, rival)
-                self.assertTrue(given.granted)
+                reply = await election.on_vote(group, rival)
+                self.assertTrue(reply.granted)
             return pre
 
         self.group.heard_at = 0.0
         with mock.patch.object(election, "_ballot", ballot):
             await election._campaign(self.group)
-        self.assertEqual([(rival.term, True)], asked)
+        self.assertEqual([(rival.term, True)], ballots)
         self.assertEqual(rival.term, self.group.term)
         self.assertEqual(self.other.disk_id, self.group.vote)
 
--- a/tests/test_initial.py
+++ b/tests/test_initial.py
@@ -33,20 +33,20 @@
             return initial_config.load(str(path))
 
     def test_ini(self):
-        made = self.load(INI % ("ab" * 32))
-        preset = made.presets[0]
-        self.assertEqual((made.in_force, preset.load_bound), ("peak", 1.15))
+        config = self.load(INI % ("ab" * 32))
+        preset = config.presets[0]
+        self.assertEqual((config.in_force, preset.load_bound), ("peak", 1.15))
         self.assertEqual(preset.accounts["shop.one"].weight, 3.0)
         self.assertEqual(preset.desired_models, {"Org/Model@2": 4})
         methods = preset.services["booking"].idempotent_methods
         self.assertEqual(methods, ["GET", "HEAD"])
-        self.assertEqual(made.accounts[0].token_hashes, ["ab" * 32])
+        self.assertEqual(config.accounts[0].token_hashes, ["ab" * 32])
 
     def test_example_file(self):
         root = pathlib.Path(__file__).resolve().parent.parent
         path = root / "examples" / "fleet" / "initial.json"
-        made = initial_config.load(str(path))
-        self.assertEqual(made.in_force, "ordinary")
+        config = initial_config.load(str(path))
+        self.assertEqual(config.in_force, "ordinary")
 
     def test_errors_name_the_file(self):
         cases = {
--- a/tests/test_keeper_dispatch.py
+++ b/tests/test_keeper_dispatch.py
@@ -255,8 +255,8 @@
         self.groups = {}
         self.servers = {}
         names = ("k1", "k2", "k3")
-        found = [tornado.testing.bind_unused_port() for _ in names]
-        peers = [peer(name, found[i][1]) for i, name in enumerate(names)]
+        sockets = [tornado.testing.bind_unused_port() for _ in names]
+        peers = [peer(name, sockets[i][1]) for i, name in enumerate(names)]
         for i, name in enumerate(names):
             folder = tempfile.TemporaryDirectory()
             self.addCleanup(folder.cleanup)
@@ -276,7 +276,7 @@
                 clocks=options.Clocks(monotonic=self.clock),
             )
             self.servers[name] = links.LinkServer(identity, KEYS, handlers)
-            self.servers[name].add_sockets([found[i][0]])
+            self.servers[name].add_sockets([sockets[i][0]])
             groups["g"].start()
             self.addAsyncCleanup(groups["g"].stop)
 
@@ -335,18 +335,19 @@
         recorded = bytearray()
 
         async def relay(reader, writer):
-            there = await asyncio.open_connection("127.0.0.1", self.port)
+            upstream = await asyncio.open_connection("127.0.0.1", self.port)
 
-            async def copy(source, sink, note):
+            async def copy(source, sink, recording):
                 while data := await source.read(4096):
-                    if note:
+                    if recording:
                         recorded.extend(data)
                     sink.write(data)
 
-            ways = asyncio.gather(
-                copy(reader, there[1], True), copy(there[0], writer, False)
+            copies = asyncio.gather(
+                copy(reader, upstream[1], True),
+                copy(upstream[0], writer, False),
             )
-            tasks.append(ways)
+            tasks.append(copies)
 
         tasks = []
         server = await asyncio.start_server(relay, "127.0.0.1", 0)
--- a/tests/test_keeper_start.py
+++ b/tests/test_keeper_start.py
@@ -36,34 +36,34 @@
 
     Attributes
     ----------
-    worst : float
+    max_delay : float
         Longest queueing delay in seconds.
     """
 
     def __init__(self, rate):
         self.rate = rate
-        self.waiting = 0.0
-        self.at = time.monotonic()
-        self.worst = 0.0
+        self.queued_bytes = 0.0
+        self.updated_at = time.monotonic()
+        self.max_delay = 0.0
 
-    def carry(self, size):
+    def enqueue(self, size):
         """Queue `size` bytes."""
         now = time.monotonic()
-        gone = (now - self.at) * self.rate
-        self.waiting = max(0.0, self.waiting - gone) + size
-        self.at = now
-        self.worst = max(self.worst, self.waiting / self.rate)
+        sent_bytes = (now - self.updated_at) * self.rate
+        self.queued_bytes = max(0.0, self.queued_bytes - sent_bytes) + size
+        self.updated_at = now
+        self.max_delay = max(self.max_delay, self.queued_bytes / self.rate)
 
 
 class ModelStream:
     """A stream that writes to a :class:`LinkModel`."""
 
-    def __init__(self, wire):
-        self.wire = wire
+    def __init__(self, link_model):
+        self.link_model = link_model
 
     def write(self, data):
         """Send `data`."""
-        self.wire.carry(len(data))
+        self.link_model.enqueue(len(data))
 
     def writing(self):
         """Return whether bytes are buffered in the process."""
@@ -73,16 +73,16 @@
         """Do nothing."""
 
 
-def sending_over(wire, handlers):
-    """Patch links with `handlers` to send over `wire` as well."""
+def sending_over(link_model, handlers):
+    """Patch links with `handlers` to send over `link_model` as well."""
     write = links.Link._write
 
-    def carried(link, data, tag):
+    def write_and_model(link, data, tag):
         if link.handlers is handlers:
-            wire.carry(len(data))
+            link_model.enqueue(len(data))
         write(link, data, tag)
 
-    return mock.patch.object(links.Link, "_write", carried)
+    return mock.patch.object(links.Link, "_write", write_and_model)
 
 
 class TestReconnectOfAllRouters(unittest.IsolatedAsyncioTestCase):
@@ -94,7 +94,7 @@
 
     async def asyncSetUp(self):
         asyncio.get_running_loop().set_debug(False)
-        self.wire = LinkModel(LINK_RATE)
+        self.link_model = LinkModel(LINK_RATE)
         self.handlers = links.Handlers()
         self.machine = plans.PlanStateMachine()
         self.group = types.SimpleNamespace(
@@ -121,7 +121,9 @@
 
     def link(self, name, role):
         identity = links.Identity(name, role, "here")
-        return links.Link(ModelStream(self.wire), identity, self.handlers)
+        return links.Link(
+            ModelStream(self.link_model), identity, self.handlers
+        )
 
     def add_keeper(self, address):
         identity = links.Identity("k0:1", "keeper", "here")
@@ -154,8 +156,10 @@
 
     def assert_votes_in_time(self):
         # A message and its reply each queue on such a link; both must arrive
-        # within an election time.
-        self.assertLess(self.wire.worst, keepers.ELECTION_SECONDS / 2)
+        # within an election timeout.
+        self.assertLess(
+            self.link_model.max_delay, keepers.ELECTION_SECONDS / 2
+        )
 
     async def test_known_locations_leave_room_for_votes(self):
         """The keeper has stored prompt locations and targets."""
@@ -200,8 +204,8 @@
             await asyncio.sleep(0.5 / TARGETS)
         await asyncio.sleep(OBSERVED_SECONDS)
         self.assert_votes_in_time()
-        told = self.hub.table.records()
-        self.assertEqual(TARGETS, len(told))
+        records = self.hub.table.records()
+        self.assertEqual(TARGETS, len(records))
 
     async def test_plans_from_the_log_are_announced_once(self):
         """A follower applies a dozen plans from its log at once."""
@@ -215,17 +219,17 @@
             for callback in self.group.on_applied:
                 callback(version + 1)
         await asyncio.sleep(0.1)
-        told = self.handlers.sent - before
+        sent = self.handlers.sent - before
         tag = "registry-plan-notice"
-        self.assertLess(told[tag], 2 * ROUTERS * 50)
-        self.assertGreater(told[tag], 0)
+        self.assertLess(sent[tag], 2 * ROUTERS * 50)
+        self.assertGreater(sent[tag], 0)
 
 
 class TestLaggingKeeper(keepers_case.KeepersCase):
     """A keeper that returns and lacks several large plans.
 
     Sent at once, they would delay the leader's heartbeats to the voters for
-    longer than an election time, and it would lose its quorum.
+    longer than an election timeout, and it would lose its quorum.
     """
 
     snapshot_entries = 100
@@ -236,11 +240,13 @@
         for version in range(1, 13):
             await self.keepers.put(version, os.urandom(40_000), self.address())
         await asyncio.sleep(0.5)
-        wire = LinkModel(LINK_RATE)
-        with sending_over(wire, self.leader.handlers):
-            back = self.keepers.start(lost)
-            await plan_keepers.wait_until(lambda: back.machine.version == 12)
-        self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
+        link_model = LinkModel(LINK_RATE)
+        with sending_over(link_model, self.leader.handlers):
+            restarted = self.keepers.start(lost)
+            await plan_keepers.wait_until(
+                lambda: restarted.machine.version == 12
+            )
+        self.assertLess(link_model.max_delay, keepers.ELECTION_SECONDS / 2)
 
     def address(self):
         return self.leader.config.address
@@ -271,19 +277,19 @@
         follower = next(a for a in self.keepers.running if a != address)
         await self.keepers.put(1, self.document(1), address)
         await asyncio.sleep(0.5)
-        wire = LinkModel(LINK_RATE)
-        with sending_over(wire, self.leader.handlers):
+        link_model = LinkModel(LINK_RATE)
+        with sending_over(link_model, self.leader.handlers):
             for version in range(2, 14):
                 at = address if version % 2 else follower
                 newest = self.document(version)
                 await self.keepers.put(version, newest, at)
-        self.assertLess(wire.worst, keepers.ELECTION_SECONDS / 2)
-        for one in self.keepers.running.values():
+        self.assertLess(link_model.max_delay, keepers.ELECTION_SECONDS / 2)
+        for keeper in self.keepers.running.values():
             await plan_keepers.wait_until(
-                lambda k=one: k.machine.version == 13
+                lambda k=keeper: k.machine.version == 13
             )
-            found = plans.decompress(one.machine.body)
-            self.assertEqual(newest, found)
+            document = plans.decompress(keeper.machine.body)
+            self.assertEqual(newest, document)
 
 
 class TestPlansInTurn(unittest.IsolatedAsyncioTestCase):
@@ -298,52 +304,58 @@
         machine.apply(1, 0.0, plans.PutPlan(7, plans.compress(b"plan")))
         sent = collections.Counter()
         pacer = pacing.Pacer(sent, time.monotonic, LINK_RATE)
-        made = plan_source.PlanSource(machine, pacer)
+        source = plan_source.PlanSource(machine, pacer)
         router, other = object(), object()
         sent["others"] += int(LINK_RATE * 0.15)
-        waiting = [
-            asyncio.ensure_future(made.fetch(-1, r)) for r in (router, other)
+        fetches = [
+            asyncio.ensure_future(source.fetch(-1, r)) for r in (router, other)
         ]
         await asyncio.sleep(0.02)
-        made.note_held(router, 7)
-        first, second = await asyncio.gather(*waiting)
+        source.note_held(router, 7)
+        first, second = await asyncio.gather(*fetches)
         self.assertEqual((7, b""), (first.version, first.body))
         self.assertEqual(b"plan", plans.decompress(second.body))
 
     async def test_keeper_is_asked_once_while_it_has_not_answered(self):
         """Repeated offers of a plan must not start new requests for it."""
-        asked = [FakeKeeper(f"k{n}") for n in range(3)]
+        fake_keepers = [FakeKeeper(f"k{n}") for n in range(3)]
         fetcher = fetching.PlanFetcher(
-            "router", lambda: -1, lambda: -1, lambda: asked, lambda plan: None
+            "router",
+            lambda: -1,
+            lambda: -1,
+            lambda: fake_keepers,
+            lambda plan: None,
         )
         with mock.patch.object(fetching, "HEDGE_SECONDS", 0.01):
             for _ in range(4):
-                for link in asked:
+                for link in fake_keepers:
                     fetcher.offer(link, 7)
                 await asyncio.sleep(0.1)
         fetcher.stop()
-        self.assertEqual([1, 1, 1], [link.calls for link in asked])
+        self.assertEqual([1, 1, 1], [link.calls for link in fake_keepers])
 
     async def test_router_reports_its_plan_to_all_keepers_asked(self):
-        held = []
-        asked = [FakeKeeper(f"k{n}") for n in range(3)]
+        versions = []
+        fake_keepers = [FakeKeeper(f"k{n}") for n in range(3)]
         fetcher = fetching.PlanFetcher(
             "router",
-            lambda: held[-1] if held else -1,
+            lambda: versions[-1] if versions else -1,
             lambda: -1,
-            lambda: asked,
-            lambda plan: held.append(plan.version),
+            lambda: fake_keepers,
+            lambda plan: versions.append(plan.version),
         )
         with mock.patch.object(fetching, "HEDGE_SECONDS", 0.02):
-            for link in asked:
+            for link in fake_keepers:
                 fetcher.offer(link, 7)
             await asyncio.sleep(0.2)
-            asked[1].answer.set_result(messages.PlanBody(7, b"plan"))
+            fake_keepers[1].answer.set_result(messages.PlanBody(7, b"plan"))
             await asyncio.sleep(0.02)
         fetcher.stop()
-        self.assertEqual([7], held)
-        told = [messages.PlanTaken(7)]
-        self.assertEqual([told, [], told], [link.sent for link in asked])
+        self.assertEqual([7], versions)
+        reported = [messages.PlanTaken(7)]
+        self.assertEqual(
+            [reported, [], reported], [link.sent for link in fake_keepers]
+        )
 
 
 class FakeKeeper:
--- a/tests/test_keeper_store.py
+++ b/tests/test_keeper_store.py
@@ -36,17 +36,17 @@
         segments = log.Segments(self.folder, disk.FileOps())
         segments.load()
         segments.start_segment(first)
-        made = entries(first, first + count)
-        segments.append([entry.payload for entry in made])
+        records = entries(first, first + count)
+        segments.append([entry.payload for entry in records])
         segments.sync()
         segments.close()
         return segments.segments[-1].path
 
     def read(self):
         segments = log.Segments(self.folder, disk.FileOps())
-        found = segments.load()
+        loaded = segments.load()
         segments.close()
-        return [entry.index for entry in found]
+        return [entry.index for entry in loaded]
 
 
 class TestTornTail(FolderCase):
@@ -130,8 +130,8 @@
     def test_truncate_spans_files(self):
         segments = self.open()
         segments.truncate(3)
-        made = entries(3, 5, term=2)
-        segments.append([entry.payload for entry in made])
+        records = entries(3, 5, term=2)
+        segments.append([entry.payload for entry in records])
         segments.sync()
         self.assertEqual(self.read(), [1, 2, 3, 4])
 
@@ -148,7 +148,7 @@
     """State of the folder when a keeper starts."""
 
     def open(self, keeper="k", group="g", files=None):
-        made = store.Store(
+        opened = store.Store(
             self.folder,
             group,
             keeper,
@@ -156,30 +156,30 @@
             on_durable=lambda: None,
             on_fault=lambda error: None,
         )
-        self.addCleanup(made.close)
-        return made
+        self.addCleanup(opened.close)
+        return opened
 
-    def run_writer(self, made, work):
+    def run_writer(self, opened, work):
         async def run():
-            task = asyncio.ensure_future(made.writer.run())
+            task = asyncio.ensure_future(opened.writer.run())
             try:
                 await work()
-                await made.writer.flush()
+                await opened.writer.flush()
             finally:
                 task.cancel()
 
         asyncio.run(run())
 
     def test_term_vote_and_entries_survive(self):
-        made = self.open()
+        opened = self.open()
 
         async def work():
-            made.save_hard_state(term=4, vote="d")
-            made.append(entries(1, 4))
+            opened.save_hard_state(term=4, vote="d")
+            opened.append(entries(1, 4))
 
-        self.run_writer(made, work)
-        self.assertEqual(made.durable_index, 3)
-        made.close()
+        self.run_writer(opened, work)
+        self.assertEqual(opened.durable_index, 3)
+        opened.close()
         again = self.open()
         self.assertEqual(
             (again.hard_state.term, again.hard_state.vote), (4, "d")
@@ -187,10 +187,10 @@
         self.assertEqual(again.log.last_index, 3)
 
     def test_folder_of_another_keeper_group_or_process_refuses(self):
-        made = self.open()
+        opened = self.open()
         with self.assertRaises(errors.StorageError):
             self.open()
-        made.close()
+        opened.close()
         for names in ({"keeper": "other"}, {"group": "other"}):
             with self.assertRaises(errors.StorageError) as caught:
                 self.open(**names)
@@ -216,13 +216,13 @@
         # After a crash between the rename of a received snapshot and the
         # removal of the older log, that log must not be taken for the entries
         # that follow the snapshot.
-        made = self.open()
+        opened = self.open()
 
         async def work():
-            made.append(entries(1, 4))
+            opened.append(entries(1, 4))
 
-        self.run_writer(made, work)
-        made.close()
+        self.run_writer(opened, work)
+        opened.close()
         snapshot = snapshots.Snapshot(9, 2, 5.0, MEMBERS, b"state")
         snapshots.save(self.folder, snapshot, disk.FileOps())
         again = self.open()
@@ -255,19 +255,19 @@
             self.open()
 
     def test_truncation_restores_members(self):
-        made = self.open()
+        opened = self.open()
         tag = wire.tag_of(messages.Members)
         body = wire.encode_value(MEMBERS)
 
         async def work():
-            made.append([log.make_entry(1, 1, 0.0, tag, body)])
+            opened.append([log.make_entry(1, 1, 0.0, tag, body)])
             other = wire.encode_value(messages.Members())
-            made.append([log.make_entry(2, 1, 0.0, tag, other)])
-            self.assertEqual(made.members, messages.Members())
-            self.assertTrue(made.truncate(2))
-            self.assertEqual(made.members, MEMBERS)
+            opened.append([log.make_entry(2, 1, 0.0, tag, other)])
+            self.assertEqual(opened.members, messages.Members())
+            self.assertTrue(opened.truncate(2))
+            self.assertEqual(opened.members, MEMBERS)
 
-        self.run_writer(made, work)
+        self.run_writer(opened, work)
 
     def test_nothing_is_acknowledged_after_a_failed_write(self):
         # After a failed write, a later one that succeeds leaves a gap in the
@@ -280,23 +280,23 @@
                 raise OSError(errno.ENOSPC, "No space left on device")
             return os.write(fd, data)
 
-        made = self.open(files=disk.FileOps(write=write))
+        opened = self.open(files=disk.FileOps(write=write))
 
         async def run():
-            task = asyncio.ensure_future(made.writer.run())
-            made.append(entries(1, 2))
-            await made.writer.flush()
+            task = asyncio.ensure_future(opened.writer.run())
+            opened.append(entries(1, 2))
+            await opened.writer.flush()
             full.append(True)
-            made.append(entries(2, 3))
+            opened.append(entries(2, 3))
             with self.assertRaises(errors.StorageError):
-                await made.writer.flush()
-            made.append(entries(3, 4))
+                await opened.writer.flush()
+            opened.append(entries(3, 4))
             with self.assertRaises(errors.StorageError):
-                await made.writer.flush()
+                await opened.writer.flush()
             await task
 
         asyncio.run(run())
-        self.assertEqual(made.durable_index, 1)
+        self.assertEqual(opened.durable_index, 1)
 
     def test_unsynced_entries_are_dropped_after_a_disk_failure(self):
         """Entries read from the page cache after a failed sync are dropped.
@@ -311,23 +311,23 @@
                 raise OSError(errno.EIO, "Input/output error")
             os.fdatasync(fd)
 
-        made = self.open(files=disk.FileOps(sync=sync))
+        opened = self.open(files=disk.FileOps(sync=sync))
 
         async def run():
-            task = asyncio.ensure_future(made.writer.run())
-            made.append(entries(1, 2))
-            await made.writer.flush()
+            task = asyncio.ensure_future(opened.writer.run())
+            opened.append(entries(1, 2))
+            await opened.writer.flush()
             failing.append(True)
-            made.append(entries(2, 3))
+            opened.append(entries(2, 3))
             with self.assertRaises(errors.StorageError):
-                await made.writer.flush()
+                await opened.writer.flush()
             await task
 
         asyncio.run(run())
-        made.close()
+        opened.close()
         again = self.open()
         self.assertEqual(2, again.log.last_index)
-        again.drop_after(made.durable_index)
+        again.drop_after(opened.durable_index)
         self.assertEqual((1, 1), (again.log.last_index, again.durable_index))
         with self.assertRaises(errors.StorageError):
             again.drop_after(5)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -47,18 +47,18 @@
         # attempt, nor after a restart of the keepers.
         self.assertEqual(self.claim("a").state, STATES.GRANTED)
         self.restart()
-        found = self.claim("b")
+        claim = self.claim("b")
         self.assertEqual(
-            (found.state, found.target), (STATES.IN_PROGRESS, "b1")
+            (claim.state, claim.target), (STATES.IN_PROGRESS, "b1")
         )
         self.stamp += 31
         self.assertEqual(self.claim("b").state, STATES.UNKNOWN)
         self.restart()
         self.settle("a", "ran", ANSWER)
         self.restart()
-        found = self.claim("b")
-        self.assertEqual((found.state, found.answer), (STATES.SETTLED, ANSWER))
-        self.assertEqual(found.outcome, errors.Outcome.RAN)
+        claim = self.claim("b")
+        self.assertEqual((claim.state, claim.answer), (STATES.SETTLED, ANSWER))
+        self.assertEqual(claim.outcome, errors.Outcome.RAN)
 
     def test_repeated_claim_of_holder_is_granted(self):
         self.claim("a")
@@ -75,9 +75,9 @@
         # A duplicate that arrives after the release must not lock the key.
         self.claim("a")
         self.settle("a", "not-run")
-        found = self.claim("a")
-        self.assertEqual(found.state, STATES.SETTLED)
-        self.assertEqual(found.outcome, errors.Outcome.NOT_RUN)
+        claim = self.claim("a")
+        self.assertEqual(claim.state, STATES.SETTLED)
+        self.assertEqual(claim.outcome, errors.Outcome.NOT_RUN)
         self.assertEqual(self.claim("b").state, STATES.GRANTED)
 
     def test_claim_arriving_after_its_release(self):
@@ -125,15 +125,15 @@
                     self.settle("a", second, ANSWER, key)
                 continue
             self.settle("a", second, ANSWER, key)
-            found = self.claim("b", key)
+            claim = self.claim("b", key)
             self.assertEqual(
-                (found.state, found.outcome), expected, (first, second)
+                (claim.state, claim.outcome), expected, (first, second)
             )
 
     def test_key_reuse_with_different_body_is_rejected(self):
         self.claim("a")
-        found = self.claim("b", body="cd" * 16)
-        self.assertEqual(found.state, STATES.KEY_REUSED)
+        claim = self.claim("b", body="cd" * 16)
+        self.assertEqual(claim.state, STATES.KEY_REUSED)
         self.assertEqual(self.claim("b").state, STATES.IN_PROGRESS)
 
     def test_accounts_do_not_share_keys(self):
@@ -145,10 +145,10 @@
         self.claim("a")
         large = b"x" * (ledger.MAX_ANSWER_BYTES + 1)
         self.settle("a", "ran", records.StoredAnswer(200, "text/plain", large))
-        found = self.claim("b")
-        self.assertEqual(found.state, STATES.SETTLED)
-        self.assertEqual(found.answer.status, 200)
-        self.assertFalse(found.answer.kept)
+        claim = self.claim("b")
+        self.assertEqual(claim.state, STATES.SETTLED)
+        self.assertEqual(claim.answer.status, 200)
+        self.assertFalse(claim.answer.kept)
 
     def test_resend_after_retention_gets_outcome(self):
         # Granting the key again after the answer has expired would run the
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -155,8 +155,8 @@
         self.apply(put)
         back = commands.RestorePresets(1101, **fields("back-0001", 1102))
         self.apply(back)
-        held = self.machine.book.parts.config()
-        self.assertEqual(held.presets["peak"].load_bound, 1.5)
+        config = self.machine.book.parts.config()
+        self.assertEqual(config.presets["peak"].load_bound, 1.5)
         early = commands.RestorePresets(1, **fields("back-0002", 1103))
         with self.assertRaises(errors.NotFoundError):
             self.apply(early)
@@ -188,10 +188,10 @@
         self.stamp += 20
         for number in range(1005):
             self.apply(commands.AddQuarantine(f"f{number}", 5000.0 + number))
-        held = self.machine.book.parts.config().quarantined
-        self.assertEqual(len(held), 1000)
-        self.assertNotIn("old", held)
-        self.assertIn("f1004", held)
+        quarantined = self.machine.book.parts.config().quarantined
+        self.assertEqual(len(quarantined), 1000)
+        self.assertNotIn("old", quarantined)
+        self.assertIn("f1004", quarantined)
 
     def test_unsupported_snapshot_changes_nothing(self):
         for data in (b"", b"\xc1", b"\x80", b"\x81\xa7version\x63"):
@@ -252,7 +252,7 @@
             config = new
 
     def apply_random_change(self, rng, revision):
-        given = fields(f"any-{revision:05}", revision)
+        command_fields = fields(f"any-{revision:05}", revision)
         name = rng.choice(("peak", "sale"))
         names = rng.sample("abcdef", 3)
         preset = fleet.Preset(
@@ -262,12 +262,14 @@
             desired_models={n: rng.randrange(3) for n in names},
         )
         kinds = (
-            lambda: commands.PutPreset(preset, **given),
-            lambda: commands.SwitchPreset(name, **given),
-            lambda: commands.RemovePreset(name, **given),
-            lambda: commands.PutAccount(fleet.Account(names[0]), **given),
-            lambda: commands.RemoveAccount(names[0], **given),
-            lambda: commands.DrainTarget(names[0], "r", **given),
+            lambda: commands.PutPreset(preset, **command_fields),
+            lambda: commands.SwitchPreset(name, **command_fields),
+            lambda: commands.RemovePreset(name, **command_fields),
+            lambda: commands.PutAccount(
+                fleet.Account(names[0]), **command_fields
+            ),
+            lambda: commands.RemoveAccount(names[0], **command_fields),
+            lambda: commands.DrainTarget(names[0], "r", **command_fields),
         )
         try:
             self.machine.apply(2, 2.0, rng.choice(kinds)())
@@ -290,7 +292,7 @@
         self.assertFalse(self.copy.apply(whole))
         self.assertEqual(self.copy.revision, 2)
 
-    def test_copy_older_than_journal_gets_whole_map(self):
+    def test_copy_older_than_change_log_gets_all_parts(self):
         for revision in range(1, config_parts.MAX_CHANGE_LOG + 2):
             self.change(revision)
         delta = self.machine.config_since(1)
--- a/tests/test_plan_deltas.py
+++ b/tests/test_plan_deltas.py
@@ -72,13 +72,15 @@
         self.routes[version] = (f"r{version}", 900)
         plan = document(version, self.routes)
         command = (machine or self.machine).put_command(version, plan)
-        self.held = self.machine.apply(version, 0.0, command).version
+        self.applied_version = self.machine.apply(
+            version, 0.0, command
+        ).version
         return plan, command
 
     def test_change_reproduces_document(self):
         plan, command = self.put(2)
         self.assertIsInstance(command, plans.ChangePlan)
-        self.assertEqual((2, 2), (self.held, self.machine.version))
+        self.assertEqual((2, 2), (self.applied_version, self.machine.version))
         self.assertEqual(plan, plans.decompress(self.machine.body))
         other = plans.PlanStateMachine()
         other.restore(self.machine.snapshot())
@@ -91,7 +93,7 @@
         self.put(2)
         before = self.machine.document
         self.put(3, lagging)
-        self.assertEqual((2, 2), (self.held, self.machine.version))
+        self.assertEqual((2, 2), (self.applied_version, self.machine.version))
         self.assertEqual(before, self.machine.document)
 
     def test_change_of_another_document_is_ignored(self):
@@ -101,13 +103,13 @@
         plan = document(5, [("other", 1)] * 200 + [("new", 2)])
         command = other.put_command(5, plan)
         self.assertIsInstance(command, plans.ChangePlan)
-        held = self.machine.apply(2, 0.0, command)
-        self.assertEqual((1, 1), (held.version, self.machine.version))
+        reply = self.machine.apply(2, 0.0, command)
+        self.assertEqual((1, 1), (reply.version, self.machine.version))
 
     def test_older_version_is_ignored(self):
         self.put(3)
         _, command = self.put(2)
-        self.assertEqual((3, 3), (self.held, self.machine.version))
+        self.assertEqual((3, 3), (self.applied_version, self.machine.version))
         self.assertIsInstance(command, plans.PutPlan)
 
 
@@ -140,8 +142,8 @@
         self.put(1)
         for version in range(2, 3 + plan_source.MAX_HISTORY):
             new = self.put(version)
-        for held in (-1, 1, 77, version):
-            body = self.source.body_for(held)
+        for router_version in (-1, 1, 77, version):
+            body = self.source.body_for(router_version)
             self.assertEqual(-1, body.base)
             self.assertEqual(new, plans.decompress(body.body))
 
@@ -165,7 +167,7 @@
         finally:
             asyncio.sleep = original
         rate = LINK_RATE / 2
-        at_once = rate * pacing.BURST_SECONDS
+        burst = rate * pacing.BURST_SECONDS
         took = self.now - began
-        self.assertGreater(took, (13 * size - at_once) / rate)
+        self.assertGreater(took, (13 * size - burst) / rate)
         self.assertLess(took, 13 * size / rate)
--- a/tests/test_plan_keepers.py
+++ b/tests/test_plan_keepers.py
@@ -23,16 +23,18 @@
 class KeepersCase(keepers_case.KeepersCase):
     """Three keepers, with routers that subscribe to them."""
 
-    def follower(self, name="router-1"):
-        taken = []
-        made = plan_keepers.make_subscriber(name, self.keepers.seeds, taken)
-        self.addCleanup(made.stop)
-        return made, taken
+    def make_router(self, name="router-1"):
+        applied = []
+        router = plan_keepers.make_subscriber(
+            name, self.keepers.seeds, applied
+        )
+        self.addCleanup(router.stop)
+        return router, applied
 
     async def until(self, condition, seconds=10.0):
         return await plan_keepers.wait_until(condition, seconds)
 
-    def a_follower_keeper(self):
+    def any_follower(self):
         leader = self.keepers.leader()
         others = [k for k in self.keepers.running.values() if k is not leader]
         return others[0]
@@ -46,9 +48,9 @@
         self.assertEqual(3, await self.keepers.put(3, b"three"))
         self.assertEqual(3, await self.keepers.put(2, b"two"))
         for address in self.keepers.running:
-            found = await self.keepers.read(address)
-            self.assertEqual(3, found.version)
-            self.assertEqual(b"three", plans.decompress(found.body))
+            plan = await self.keepers.read(address)
+            self.assertEqual(3, plan.version)
+            self.assertEqual(b"three", plans.decompress(plan.body))
 
     async def test_two_operators_send_one_version_to_two_keepers(self):
         """Two plans have the same version.
@@ -60,16 +62,16 @@
             self.keepers.put(5, b"of one", addresses[0]),
             self.keepers.put(5, b"of the other", addresses[1]),
         )
-        found = {
+        documents = {
             plans.decompress((await self.keepers.read(address)).body)
             for address in addresses
         }
-        self.assertEqual(1, len(found))
+        self.assertEqual(1, len(documents))
 
     async def test_keeper_without_quorum_answers_no_read(self):
         """A keeper without a quorum must not reply from stale state."""
         await self.keepers.put(1, b"one")
-        last = self.a_follower_keeper()
+        last = self.any_follower()
         for address in list(self.keepers.running):
             if address != last.config.address:
                 await self.keepers.stop(address)
@@ -102,11 +104,11 @@
             await self.until(lambda k=keeper: k.group.fault is None)
         await self.fill(others[1])
         self.assertEqual(9, await self.keepers.put(9, b"nine"))
-        found = await self.keepers.read()
-        self.assertEqual(b"nine", plans.decompress(found.body))
+        plan = await self.keepers.read()
+        self.assertEqual(b"nine", plans.decompress(plan.body))
 
     async def test_recovered_keeper_has_all_acknowledged_plans(self):
-        keeper = self.a_follower_keeper()
+        keeper = self.any_follower()
         await self.keepers.put(1, b"one")
         await self.fill(keeper)
         await self.keepers.put(7, b"seven")
@@ -120,8 +122,8 @@
         address = leader.config.address
         await self.fill(leader)
         self.assertEqual(5, await self.keepers.put(5, b"five", address))
-        found = await self.keepers.read(address)
-        self.assertEqual(b"five", plans.decompress(found.body))
+        plan = await self.keepers.read(address)
+        self.assertEqual(b"five", plans.decompress(plan.body))
         self.assertIsNotNone(leader.group.fault)
 
     async def test_leader_does_not_fill_its_link_with_refused_snapshots(self):
@@ -130,7 +132,7 @@
         Repeated snapshots delay the leader's heartbeats until it loses its
         quorum.
         """
-        keeper = self.a_follower_keeper()
+        keeper = self.any_follower()
         await self.fill(keeper)
         sent = []
         send = replication._send_chunk
@@ -149,7 +151,7 @@
             await self.until(lambda: keeper.machine.version == 29)
 
     async def test_full_disk_is_retried_until_it_is_freed(self):
-        keeper = self.a_follower_keeper()
+        keeper = self.any_follower()
         await self.fill(keeper)
         tries = "keeper.disk-tries"
         await self.until(lambda: keeper.metrics.counters.get(tries, 0) > 1)
@@ -166,29 +168,31 @@
         majority without that plan.
         """
         await self.keepers.put(1, b"one")
-        lost = self.a_follower_keeper().config.address
+        lost = self.any_follower().config.address
         before = self.keepers.running[lost].group.disk_id
         await self.keepers.stop(lost)
         await self.keepers.put(2, b"two")
         self.keepers.wipe(lost)
         back = self.keepers.start(lost)
         self.assertNotEqual(before, back.group.disk_id)
-        await self.until(lambda: lost in self._disks(back.group.disk_id))
+        await self.until(
+            lambda: lost in self._voters_with_disk(back.group.disk_id)
+        )
         self.assertEqual(2, (await self.keepers.read(lost)).version)
 
-    def _disks(self, disk):
+    def _voters_with_disk(self, disk):
         leader = self.keepers.leader()
         voters = leader.group.members.voters if leader else []
         return [member.name for member in voters if member.disk == disk]
 
     async def test_replacement_joins_at_its_new_address(self):
         await self.keepers.put(1, b"one")
-        gone = self.a_follower_keeper().config.address
-        await self.keepers.stop(gone)
+        stopped = self.any_follower().config.address
+        await self.keepers.stop(stopped)
         new = self.keepers.new_address()
         self.keepers.start(new)
         await self.until(lambda: new in self.keepers.voters())
-        self.assertNotIn(gone, self.keepers.voters())
+        self.assertNotIn(stopped, self.keepers.voters())
         self.assertEqual(1, (await self.keepers.read(new)).version)
 
     async def test_fourth_keeper_is_a_spare_and_a_fifth_makes_five(self):
@@ -299,13 +303,13 @@
     """A router's plan and targets, and when it counts as confirmed."""
 
     async def test_router_receives_each_plan_and_is_confirmed(self):
-        follower, taken = self.follower()
+        router, applied = self.make_router()
         await self.keepers.put(1, b"one")
-        await self.until(lambda: follower.version == 1)
-        await self.until(lambda: follower.is_fresh(1.0))
+        await self.until(lambda: router.version == 1)
+        await self.until(lambda: router.is_fresh(1.0))
         await self.keepers.put(2, b"two")
-        await self.until(lambda: follower.version == 2)
-        self.assertEqual([b"one", b"two"], taken)
+        await self.until(lambda: router.version == 2)
+        self.assertEqual([b"one", b"two"], applied)
 
     async def test_new_leader_confirms_at_once(self):
         """A new leader must confirm routers without their next poll.
@@ -313,18 +317,18 @@
         Until they are confirmed, routers refuse every caller.
         """
         with mock.patch.object(subscriber, "RENEW_SECONDS", 30.0):
-            follower, _ = self.follower()
+            router, _ = self.make_router()
             await self.keepers.put(1, b"one")
-            await self.until(lambda: follower.is_fresh(1.0))
+            await self.until(lambda: router.is_fresh(1.0))
             for address in list(self.keepers.running):
                 await self.keepers.stop(address)
             await asyncio.sleep(subscriber.UNCONFIRMED_SECONDS)
             for address in self.keepers.seeds:
                 self.keepers.start(address)
-            await self.until(lambda: len(follower.open_links()) == 3)
-            await self.until(lambda: follower.is_fresh(1.0))
+            await self.until(lambda: len(router.open_links()) == 3)
+            await self.until(lambda: router.is_fresh(1.0))
 
-    async def test_notice_during_a_question_is_not_lost(self):
+    async def test_notice_during_a_request_is_not_lost(self):
         """A notice during a pending request must trigger another request.
 
         The pending one may be answered before the leader can confirm.
@@ -332,26 +336,26 @@
         patched = mock.patch.object(subscriber, "RENEW_SECONDS", 30.0)
         patched.start()
         self.addCleanup(patched.stop)
-        follower, _ = self.follower()
-        await self.until(lambda: len(follower.open_links()) == 3)
+        router, _ = self.make_router()
+        await self.until(lambda: len(router.open_links()) == 3)
         asked = []
 
         async def slow(address, link):
             asked.append(address)
             await asyncio.sleep(0.05)
 
-        follower.confirmed_at = float("-inf")
+        router.confirmed_at = float("-inf")
         with (
-            mock.patch.object(follower, "_renew", slow),
-            mock.patch.object(follower, "is_fresh", lambda _: False),
+            mock.patch.object(router, "_renew", slow),
+            mock.patch.object(router, "is_fresh", lambda _: False),
         ):
             asked.clear()
-            link = follower.open_links()[0]
+            link = router.open_links()[0]
             for _ in range(3):
-                follower._on_notice(link, messages.PlanNotice(1, True))
+                router._on_notice(link, messages.PlanNotice(1, True))
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.15)
-            address = follower._address_of(link)
+            address = router._address_of(link)
         self.assertEqual(2, asked.count(address))
 
     async def test_router_is_not_confirmed_without_a_quorum(self):
@@ -359,41 +363,41 @@
 
         It cannot know of a key that the other keepers have revoked.
         """
-        follower, _ = self.follower()
+        router, _ = self.make_router()
         await self.keepers.put(1, b"one")
-        await self.until(lambda: follower.is_fresh(1.0))
+        await self.until(lambda: router.is_fresh(1.0))
         for address in list(self.keepers.running)[1:]:
             await self.keepers.stop(address)
         await asyncio.sleep(1.5)
-        self.assertFalse(follower.is_fresh(1.0))
+        self.assertFalse(router.is_fresh(1.0))
         # One keeper still replies, so the router itself is not cut off.
-        self.assertFalse(follower.is_cut_off())
+        self.assertFalse(router.is_cut_off())
         await self.keepers.stop(next(iter(self.keepers.running)))
-        await self.until(follower.is_cut_off)
+        await self.until(router.is_cut_off)
 
     async def test_refused_plan_keeps_the_old_one(self):
-        follower, taken = self.follower()
+        router, applied = self.make_router()
         await self.keepers.put(1, b"one")
-        await self.until(lambda: follower.version == 1)
+        await self.until(lambda: router.version == 1)
 
         def refuse(_document):
             raise errors.InvalidPlanError("of a newer kind")
 
-        follower.apply_plan = refuse
+        router.apply_plan = refuse
         await self.keepers.put(2, b"two")
         await asyncio.sleep(0.7)
-        self.assertEqual(1, follower.version)
-        self.assertEqual([b"one"], taken)
+        self.assertEqual(1, router.version)
+        self.assertEqual([b"one"], applied)
 
     async def test_keeper_that_dies_does_not_delay_the_fetch(self):
         """A router must not wait for a keeper that announced a plan and died.
 
         Otherwise it keeps using the replaced plan until the timeout.
         """
-        follower, _ = self.follower()
+        router, _ = self.make_router()
         await self.keepers.put(1, b"one")
-        await self.until(lambda: follower.version == 1)
-        await self.until(lambda: len(follower.open_links()) == 3)
+        await self.until(lambda: router.version == 1)
+        await self.until(lambda: len(router.open_links()) == 3)
         asked = []
 
         async def hang(_link, _message):
@@ -401,13 +405,13 @@
             await asyncio.sleep(60)
 
         first = max(
-            follower.open_links(),
+            router.open_links(),
             key=lambda link: hashing.weight("router-1", link.peer.name),
         )
         dead = self.keepers.running[first.peer.name]
         dead.handlers.by_class[messages.FetchPlan] = hang
         await self.keepers.put(2, b"two")
-        await self.until(lambda: follower.version == 2, 1.5)
+        await self.until(lambda: router.version == 2, 1.5)
         self.assertTrue(asked)
 
     async def test_routers_fetch_from_all_keepers(self):
@@ -428,15 +432,15 @@
             handlers = keeper.handlers.by_class
             answer = handlers[messages.FetchPlan]
             handlers[messages.FetchPlan] = counting(address, answer)
-        followers = [self.follower(f"router-{n}")[0] for n in range(18)]
+        routers = [self.make_router(f"router-{n}")[0] for n in range(18)]
         await self.keepers.put(1, b"one")
-        for one in followers:
-            await self.until(lambda o=one: o.version == 1)
-            await self.until(lambda o=one: len(o.open_links()) == 3)
+        for router in routers:
+            await self.until(lambda r=router: r.version == 1)
+            await self.until(lambda r=router: len(r.open_links()) == 3)
         served.clear()
         await self.keepers.put(2, b"two")
-        for one in followers:
-            await self.until(lambda o=one: o.version == 2)
+        for router in routers:
+            await self.until(lambda r=router: r.version == 2)
         names = [f"router-{n}" for n in range(18)]
         # The addresses, and so the choices, differ from run to run.
         chosen = [hashing.first(name, self.keepers.seeds) for name in names]
@@ -449,10 +453,10 @@
         self.assertLessEqual(max(collections.Counter(chosen).values()), 120)
 
     async def test_router_finds_keepers_that_its_settings_do_not_name(self):
-        follower, _ = self.follower()
+        router, _ = self.make_router()
         new = self.keepers.new_address()
         self.keepers.start(new)
-        await self.until(lambda: new in follower.diallers)
+        await self.until(lambda: new in router.diallers)
 
     async def test_router_reports_in_its_own_data_centre(self):
         """Routers must report to the keeper in their own data centre.
@@ -461,50 +465,50 @@
         other's prompts.
         """
         for name in ("router-1", "router-2", "router-3"):
-            follower, _ = self.follower(name)
-            await self.until(lambda f=follower: len(f.open_links()) == 3)
-            one = sorted(follower.diallers)[1]
-            link = follower.diallers[one].link
+            router, _ = self.make_router(name)
+            await self.until(lambda f=router: len(f.open_links()) == 3)
+            address = sorted(router.diallers)[1]
+            link = router.diallers[address].link
             link.peer = dataclasses.replace(link.peer, data_centre="there")
-            follower.identity = dataclasses.replace(
-                follower.identity, data_centre="there"
+            router.identity = dataclasses.replace(
+                router.identity, data_centre="there"
             )
-            self.assertIs(link, follower.home_link())
+            self.assertIs(link, router.home_link())
             link.close()
-            await self.until(lambda f=follower, k=link: f.home_link() is not k)
-            self.assertIsNotNone(follower.home_link())
+            await self.until(lambda f=router, k=link: f.home_link() is not k)
+            self.assertIsNotNone(router.home_link())
 
     async def test_announcement_at_one_keeper_reaches_every_router(self):
-        one, _ = self.follower("router-1")
-        two, _ = self.follower("router-2")
+        one, _ = self.make_router("router-1")
+        two, _ = self.make_router("router-2")
         await self.until(lambda: one.home_link() and two.home_link())
         record = messages.TargetRecord("a", "s", "v:1", "here", sequence=1)
-        hub = self.a_follower_keeper().hub
+        hub = self.any_follower().hub
         await plan_keepers.retry(lambda: self._announce(hub, record))
-        for follower in (one, two):
-            await self.until(lambda f=follower: "a" in f.table.entries)
+        for router in (one, two):
+            await self.until(lambda f=router: "a" in f.table.entries)
         hub.leave("a")
-        for follower in (one, two):
-            table = follower.table
+        for router in (one, two):
+            table = router.table
             await self.until(lambda t=table: not list(t.active()))
 
     async def _announce(self, hub, record):
         hub.announce(record)
 
     async def test_silent_target_is_marked_everywhere(self):
-        follower, _ = self.follower()
-        await self.until(follower.home_link)
+        router, _ = self.make_router()
+        await self.until(router.home_link)
         record = messages.TargetRecord("a", "s", "v:1", "here", sequence=1)
-        self.a_follower_keeper().hub.announce(record)
-        await self.until(lambda: "a" in follower.table.entries)
-        await self.until(lambda: follower.table.entries["a"].record.silent)
+        self.any_follower().hub.announce(record)
+        await self.until(lambda: "a" in router.table.entries)
+        await self.until(lambda: router.table.entries["a"].record.silent)
 
     async def test_partitioned_keeper_accepts_no_announcement(self):
         """A partitioned keeper must not acknowledge that a target leaves.
 
         The target would shut down while routers still send to it.
         """
-        last = self.a_follower_keeper()
+        last = self.any_follower()
         for address in list(self.keepers.running):
             if address != last.config.address:
                 await self.keepers.stop(address)
--- a/tests/test_plan_process.py
+++ b/tests/test_plan_process.py
@@ -30,7 +30,7 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-def answers(_hub):
+def make_answer(_hub):
     async def answer(_call):
         return endpoints.Response(body=b"here")
 
@@ -44,11 +44,15 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         address = free_address()
-        place = keepers.Config(
+        config = keepers.Config(
             address, "here", [address], True, folder.name, 1.0
         )
         process = plan_keeper.KeeperProcess(
-            place, control, free_address(), plan_keepers.KEYS, lambda: answers
+            config,
+            control,
+            free_address(),
+            plan_keepers.KEYS,
+            lambda: make_answer,
         )
         self.addAsyncCleanup(process.stop)
         return process
@@ -58,8 +62,8 @@
         process = self.make_process(control)
         await process.start()
         url = f"http://{control}/"
-        got = await asyncio.to_thread(urllib.request.urlopen, url)
-        self.assertEqual(b"here", got.read())
+        response = await asyncio.to_thread(urllib.request.urlopen, url)
+        self.assertEqual(b"here", response.read())
 
     async def test_address_in_use_fails(self):
         control = free_address()
