--- a/amaranthring/router_parts.py
+++ b/amaranthring/router_parts.py
@@ -59,7 +59,7 @@
 
     Attributes
     ----------
-    needs : way.Needs
+    needs : execution.Dependencies
         Dependencies of the request pipeline.
     drain : drain.Drain
         Callers' requests in progress.
@@ -86,7 +86,7 @@
         self.handlers = links.Handlers()
         self._make_mesh()
         self._make_admission()
-        self.needs = self._make_needs()
+        self.needs = self._make_dependencies()
 
     # -- wiring --
 
@@ -207,7 +207,7 @@
         ):
             component.add_handlers(self.handlers)
 
-    def _make_needs(self) -> execution.Dependencies:
+    def _make_dependencies(self) -> execution.Dependencies:
         return execution.Dependencies(
             router=self.name,
             keys=self._resume_keys(),
@@ -224,7 +224,7 @@
             when_lost=self.table.when_lost,
             record_decision=self.decisions.record,
             get_target=self.table.get,
-            served_names=self._serves,
+            served_names=self._served_names,
             metrics=self.metrics,
             drain=self.drain,
             may_run=self.attempts.may_run,
@@ -274,8 +274,8 @@
             target,
             left + CLAIM_GRACE_SECONDS,
         )
-        done = await self.keepers.propose(command, CLAIM_SECONDS, False)
-        return done.claim
+        result = await self.keepers.propose(command, CLAIM_SECONDS, False)
+        return result.claim
 
     async def _settle(
         self,
@@ -293,12 +293,12 @@
         command = commands.AddQuarantine(fingerprint, QUARANTINE_SECONDS)
         await self.keepers.propose(command, CLAIM_SECONDS)
 
-    def _serves(self, kind: records.TargetKind) -> set[str]:
-        found: set[str] = set()
+    def _served_names(self, kind: records.TargetKind) -> set[str]:
+        names: set[str] = set()
         for target in self.table.targets():
             if target.kind is kind:
-                found.update(target.serves)
-        return found
+                names.update(target.serves)
+        return names
 
     def _ready_targets(self) -> list[records.Target]:
         return [
@@ -369,17 +369,17 @@
 
     async def _keepers_status(self) -> dict[str, t.Any]:
         names = [keeper.name for keeper in self.settings.keepers()]
-        asked = [self.keepers.status(name) for name in names]
-        answers = await asyncio.gather(*asked, return_exceptions=True)
-        found: dict[str, t.Any] = {}
+        calls = [self.keepers.status(name) for name in names]
+        answers = await asyncio.gather(*calls, return_exceptions=True)
+        statuses: dict[str, t.Any] = {}
         for name, answer in zip(names, answers, strict=True):
             if isinstance(answer, errors.AmaranthringError):
-                found[name] = {"unreachable": str(answer)}
+                statuses[name] = {"unreachable": str(answer)}
             elif isinstance(answer, BaseException):
                 raise answer
             else:
-                found[name] = answer
-        return {"keepers": found}
+                statuses[name] = answer
+        return {"keepers": statuses}
 
     def not_ready_reason(self) -> str:
         """Return why the health check fails, or an empty string."""
@@ -436,9 +436,9 @@
         await internal.close()
         await self.operator_drain.wait_idle(operators_base.COMMAND_SECONDS)
         self.needs.settlements.stop()
-        await self._stop_parts()
+        await self._stop_components()
 
-    async def _stop_parts(self) -> None:
+    async def _stop_components(self) -> None:
         for task in self.tasks:
             task.cancel()
         self.target_sync.stop()
--- a/amaranthring/routers/admission.py
+++ b/amaranthring/routers/admission.py
@@ -168,9 +168,9 @@
         # may have been lost with the previous owner.
         for serial in waiting:
             key = (router, serial)
-            held = cell.counts.held.get(key)
-            if held is not None:
-                answer = messages.Granted(cell.name, serial, held.target)
+            grant = cell.counts.held.get(key)
+            if grant is not None:
+                answer = messages.Granted(cell.name, serial, grant.target)
                 self._send(router, answer)
             elif key not in cell.queue.waiters:
                 self._send(router, messages.Dropped(serial, moved=True))
@@ -206,8 +206,8 @@
         target = self.table.get(name)
         self.owner_by_cell.clear()
         for cell in self.cells.values():
-            inside = target is not None and _scope(cell.name).holds(target)
-            if inside or name in cell.targets:
+            is_member = target is not None and _scope(cell.name).holds(target)
+            if is_member or name in cell.targets:
                 self._refresh(cell)
                 cell.serve(now)
                 self._send_results(cell)
@@ -284,8 +284,9 @@
     def hand_over(self) -> None:
         """Transfer every cell to its next owner on a graceful stop.
 
-        Queued requests are told to ask again. Entry routers report their
-        grants to the new owner anyway; the transfer only closes the gap.
+        Entry routers are told to ask the new owner for their queued
+        requests. They report their grants to it as well; the transfer covers
+        the time until then.
         """
         self.closing = True
         self.owner_by_cell.clear()
@@ -295,7 +296,7 @@
                 self._transfer_cell(self.cells.pop(name), owner)
         logs.event(log, "admission.handed-over")
 
-    # -- inside --
+    # -- internals --
 
     def _transfer_cell(self, cell: admission.Cell, owner: str) -> None:
         self._transfer_grants(cell, owner)
@@ -317,11 +318,11 @@
         for router, serial in cell.counts.held:
             next_serials[router] = max(next_serials.get(router, 0), serial + 1)
         suspects: dict[str, list[int]] = {}
-        for (router, serial), held in cell.counts.held.items():
+        for (router, serial), grant in cell.counts.held.items():
             distance = next_serials[router] - serial
             targets = by_router.setdefault(router, {})
-            targets.setdefault(held.target, []).append(distance)
-            if held.suspect:
+            targets.setdefault(grant.target, []).append(distance)
+            if grant.suspect:
                 suspects.setdefault(router, []).append(distance)
         for router, targets in by_router.items():
             message = messages.GrantReport(
@@ -353,11 +354,11 @@
         cell.refreshed_at = self.clock()
 
     def _members(self, scope: cells.Scope):
-        found = self.table.eligible(scope.kind, scope.serves[0])
+        eligible = self.table.eligible(scope.kind, scope.serves[0])
         drained = self.config().drained
         return [
             target
-            for target in found
+            for target in eligible
             if scope.holds(target) and target.name not in drained
         ]
 
@@ -370,6 +371,7 @@
         )
 
     def _other_owner(self, name: str, scope: cells.Scope) -> str:
+        """Return the owner of cell `name`; empty if it is this router."""
         owner = self.owner_by_cell.get(name)
         if owner is None:
             members = self._members(scope)
@@ -384,14 +386,14 @@
 
     def _sibling_owners(self, name: str) -> dict[str, str]:
         scope = _scope(name)
-        found = {}
+        owner_by_sibling = {}
         for serves in scope.serves:
             eligible = self.table.eligible(scope.kind, serves)
             for other, members in cells.group(eligible).items():
                 if other != name and _are_siblings(_scope(other), scope):
                     order = cells.owners(other, members, self.mesh.live)
-                    found.update({other: order[0]} if order else {})
-        return found
+                    owner_by_sibling.update({other: order[0]} if order else {})
+        return owner_by_sibling
 
     def _send_results(self, cell: admission.Cell) -> None:
         for placed in cell.granted:
--- a/amaranthring/routers/admission_messages.py
+++ b/amaranthring/routers/admission_messages.py
@@ -20,8 +20,8 @@
     wait_seconds : float
         Seconds that the request may still wait.
     suspect : bool
-        Whether it ran at a target that died; it must run apart from other
-        suspects.
+        Whether the request ran at a target that died; it must run apart from
+        other suspects.
     at_once : bool
         Whether to refuse instead of queueing.
     alone : bool
--- a/amaranthring/routers/attempts.py
+++ b/amaranthring/routers/attempts.py
@@ -63,7 +63,7 @@
         return AttemptStatus(running)
 
     async def may_run(self, attempt: str) -> bool:
-        """Return False only if the router of `attempt` reports it ended.
+        """Return False only if the router of `attempt` says that it ended.
 
         If that router cannot be reached, the claim stays in progress until
         it expires.
--- a/amaranthring/routers/directory.py
+++ b/amaranthring/routers/directory.py
@@ -56,11 +56,11 @@
     def holders_of(self, key: str) -> list[str]:
         """Return the router that holds `key`, and its deputy."""
         number = bucket(key)
-        found = self.by_bucket.get(number)
-        if found is None:
-            found = hashing.order(f"shard {number}", self.live())[:2]
-            self.by_bucket[number] = found
-        return found
+        holders = self.by_bucket.get(number)
+        if holders is None:
+            holders = hashing.order(f"shard {number}", self.live())[:2]
+            self.by_bucket[number] = holders
+        return holders
 
 
 class Directory:
@@ -161,13 +161,13 @@
         if targets:
             self.locations.move_to_end(ask.chat)
         self.metrics.count("directory.hit" if targets else "directory.miss")
-        found = messages.LocationsFound(targets)
+        reply = messages.LocationsFound(targets)
         if self.suspicion is not None and ask.fingerprint:
             suspect = self.suspicion.suspect_of(ask.fingerprint)
             if suspect is not None:
-                found.deaths = suspect.deaths
-                found.condemned = suspect.condemned
-        return found
+                reply.deaths = suspect.deaths
+                reply.condemned = suspect.condemned
+        return reply
 
     def on_store(self, _link, message: messages.StoreLocations) -> None:
         """Store locations in this shard."""
@@ -187,7 +187,7 @@
     # -- changes of the router list --
 
     def routers_changed(self) -> None:
-        """Start moving entries whose shard is now another router."""
+        """Start moving entries whose shard another router now holds."""
         self.shards.invalidate()
         self.backoff_until.clear()
         self.keys_to_move = list(self.locations)
--- a/amaranthring/routers/explainer.py
+++ b/amaranthring/routers/explainer.py
@@ -33,14 +33,14 @@
         This router.
     mesh : object
         Links to the other routers.
-    ring : decisions.Decisions
-        Decisions of this router.
+    decision_log : decisions.DecisionLog
+        Decisions recorded by this router.
     """
 
-    def __init__(self, name: str, mesh, ring: decisions.DecisionLog):
+    def __init__(self, name: str, mesh, decision_log: decisions.DecisionLog):
         self.name = name
         self.mesh = mesh
-        self.decisions = ring
+        self.decisions = decision_log
 
     def add_handlers(self, handlers) -> None:
         """Register this module's message handlers."""
@@ -48,8 +48,8 @@
 
     def on_ask(self, _link, ask: DecisionsRequest) -> DecisionsReply:
         """Return this router's decisions about a request."""
-        found = self.decisions.explain(ask.request_id)
-        text = json.dumps(found, default=str) if found else ""
+        explanation = self.decisions.explain(ask.request_id)
+        text = json.dumps(explanation, default=str) if explanation else ""
         return DecisionsReply(text)
 
     async def explain(self, request_id: str) -> dict[str, t.Any]:
--- a/amaranthring/routers/grants.py
+++ b/amaranthring/routers/grants.py
@@ -52,6 +52,13 @@
         Client of the cell owners.
     next_serial : callable
         Returns the next serial to be assigned.
+
+    Attributes
+    ----------
+    by_serial : dict
+        Grants by serial.
+    running : Counter
+        Number of grants by target.
     """
 
     def __init__(
@@ -73,20 +80,20 @@
         handlers.add(messages.NotOwner, self.on_not_owner)
         handlers.add(messages.GrantReportRequest, self.on_grant_report_request)
 
-    def add(self, serial: int, holding: HeldGrant) -> None:
+    def add(self, serial: int, held_grant: HeldGrant) -> None:
         """Add a grant."""
-        self.by_serial[serial] = holding
-        self.running[holding.grant.target.name] += 1
+        self.by_serial[serial] = held_grant
+        self.running[held_grant.grant.target.name] += 1
 
     def remove(self, serial: int) -> HeldGrant | None:
         """Remove and return a grant, or None if it is not held."""
-        holding = self.by_serial.pop(serial, None)
-        if holding is not None:
-            target = holding.grant.target.name
+        held_grant = self.by_serial.pop(serial, None)
+        if held_grant is not None:
+            target = held_grant.grant.target.name
             self.running[target] -= 1
             if not self.running[target]:
                 del self.running[target]
-        return holding
+        return held_grant
 
     async def run(self) -> None:
         """Report grants to their owners periodically, until cancelled."""
@@ -96,8 +103,8 @@
 
     def renew(self) -> None:
         """Report the grants of every cell to its owner."""
-        used = [*self.by_serial.values(), *self.calls.waiting.values()]
-        for cell in {item.cell for item in used}:
+        active = [*self.by_serial.values(), *self.calls.waiting.values()]
+        for cell in {item.cell for item in active}:
             self.renew_cell(cell)
 
     def renew_cell(self, cell: str, forced: bool = False) -> None:
@@ -106,19 +113,21 @@
         if not first:
             return
         owner = first[0]
-        held = {s: h for s, h in self.by_serial.items() if h.cell == cell}
-        report = self._report(cell, held)
-        report.forced = forced or not self.calls.is_natural(cell, owner)
+        grants = {s: h for s, h in self.by_serial.items() if h.cell == cell}
+        report = self._report(cell, grants)
+        report.forced = forced or not self.calls.is_rendezvous_owner(
+            cell, owner
+        )
         for serial, waiting in self.calls.waiting.items():
             if waiting.cell == cell and waiting.owner == owner:
                 report.waiting.append(report.next_serial - serial)
         if not self.calls.mesh.send(owner, report):
             return
-        previous = {holding.owner for holding in held.values()}
-        for holding in held.values():
-            holding.owner = owner
-        for other in previous - {owner, ""}:
-            self._clear_at(cell, other)
+        previous_owners = {held_grant.owner for held_grant in grants.values()}
+        for held_grant in grants.values():
+            held_grant.owner = owner
+        for other in previous_owners - {owner, ""}:
+            self._clear_grants_at(cell, other)
 
     def on_granted(self, link, message: messages.Granted) -> None:
         """Wake the queued request; release the grant if none waits."""
@@ -153,31 +162,33 @@
     ) -> None:
         """Report grants to a deputy without changing their owner."""
         cell = message.cell
-        held = {s: h for s, h in self.by_serial.items() if h.cell == cell}
-        if held:
-            report = self._report(cell, held)
+        grants = {s: h for s, h in self.by_serial.items() if h.cell == cell}
+        if grants:
+            report = self._report(cell, grants)
             report.forced = True
             report.partial = True
             self.calls.mesh.send(message.deputy, report)
 
     def _report(
-        self, cell: str, held: dict[int, HeldGrant]
+        self, cell: str, grants: dict[int, HeldGrant]
     ) -> messages.GrantReport:
         report = messages.GrantReport(cell, self.name, self.next_serial(), {})
-        for serial, holding in held.items():
-            self._add_to_report(report, serial, holding)
+        for serial, held_grant in grants.items():
+            self._add_to_report(report, serial, held_grant)
         return report
 
-    def _clear_at(self, cell: str, owner: str) -> None:
+    def _clear_grants_at(self, cell: str, owner: str) -> None:
         # A grant counted by two owners wastes capacity; an empty report
         # makes the previous owner drop it.
         report = messages.GrantReport(cell, self.name, self.next_serial(), {})
         report.forced = True
         self.calls.mesh.send(owner, report)
 
-    def _add_to_report(self, report, serial: int, holding: HeldGrant) -> None:
+    def _add_to_report(
+        self, report, serial: int, held_grant: HeldGrant
+    ) -> None:
         distance = report.next_serial - serial
-        target = holding.grant.target.name
+        target = held_grant.grant.target.name
         report.held.setdefault(target, []).append(distance)
-        if holding.suspect:
+        if held_grant.suspect:
             report.suspects.append(distance)
--- a/amaranthring/routers/mesh.py
+++ b/amaranthring/routers/mesh.py
@@ -112,11 +112,11 @@
         data_centre : str, optional
             Only routers of this data centre; by default of all.
         """
-        found = self._live.get(data_centre)
-        if found is None:
-            found = sorted(self._find_live(data_centre))
-            self._live[data_centre] = found
-        return list(found)
+        names = self._live.get(data_centre)
+        if names is None:
+            names = sorted(self._find_live(data_centre))
+            self._live[data_centre] = names
+        return list(names)
 
     def data_centre_of(self, name: str) -> str:
         """Return the data centre of the configured router `name`.
@@ -194,7 +194,7 @@
         return accepted
 
     def relays(self, data_centre: str) -> list[str]:
-        """Return the routers of `data_centre` that link it with others.
+        """Return the relays of `data_centre` to this data centre.
 
         For this data centre: its relays to any other. Rendezvous hashing
         over the live routers makes all routers with the same list agree,
@@ -202,11 +202,11 @@
         """
         if data_centre != self.data_centre:
             return self._relays(data_centre, self.data_centre)
-        found = set()
+        names = set()
         for other in self.data_centres():
             if other != data_centre:
-                found.update(self._relays(data_centre, other))
-        return sorted(found)
+                names.update(self._relays(data_centre, other))
+        return sorted(names)
 
     def is_relay_to(self, data_centre: str) -> bool:
         """Return whether this router is a relay to `data_centre`."""
@@ -237,7 +237,7 @@
     # -- links --
 
     def accept(self, link: links.Link) -> None:
-        """Accept a link that a peer dialled; close it if unknown."""
+        """Accept a link that a peer dialled; close one of an unknown peer."""
         if link.peer.role != "router":
             return
         peer = self.peers.get(link.peer.name)
@@ -301,7 +301,7 @@
                 self.send(peer.name, message)
         self._live_changed()
 
-    # -- inside --
+    # -- internals --
 
     def _find_live(self, data_centre: str | None) -> list[str]:
         if data_centre is None:
@@ -483,7 +483,7 @@
         handler = self.handlers.by_class.get(type(message))
         if handler is None:
             raise errors.FrameError(
-                "no handler here",
+                "no handler for this message",
                 given=type(message).__name__,
                 expected="a message for this role",
             )
--- a/amaranthring/routers/owner_client.py
+++ b/amaranthring/routers/owner_client.py
@@ -1,8 +1,8 @@
 """Calls from an entry router to admission owners.
 
-The order of candidates: the router named by a recent redirect, the owner by
-this router's list, its deputy. One that does not answer is skipped for a
-second, so that a frozen owner costs one timeout and not one per request.
+Candidates are asked in this order: the router named by a recent redirect, the
+owner by this router's list, its deputy. One that does not answer is skipped
+for a second, so that a frozen owner costs one timeout and not one per request.
 """
 
 import asyncio
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass
 class PendingAdmission:
-    """An admission request that its owner has not settled yet.
+    """An admission request that is in flight or queued at its owner.
 
     Attributes
     ----------
@@ -110,7 +110,7 @@
             order, key=lambda r: self.backoff_until.get(r, 0.0) > now
         )
 
-    def is_natural(self, cell: str, owner: str) -> bool:
+    def is_rendezvous_owner(self, cell: str, owner: str) -> bool:
         """Return whether `owner` owns `cell` by this router's lists."""
         return self.natural_order(cell)[:1] == [owner]
 
@@ -119,7 +119,7 @@
         owner, until = self.redirects.get(cell, ("", 0.0))
         return owner if until > self.clock() else ""
 
-    def note_redirect(self, cell: str, owner: str) -> None:
+    def record_redirect(self, cell: str, owner: str) -> None:
         """Record a redirect of `cell` to `owner`."""
         if len(self.redirects) >= MAX_CELLS:
             self.redirects.clear()
@@ -164,7 +164,7 @@
         for owner in self.owners_to_ask(ask.cell)[:OWNERS_ASKED]:
             if self.backoff_until.get(owner, 0.0) > now:
                 continue
-            ask.forced = not self.is_natural(ask.cell, owner)
+            ask.forced = not self.is_rendezvous_owner(ask.cell, owner)
             try:
                 return await self._call_with_redirect(owner, ask)
             except errors.LinkError:
@@ -207,7 +207,8 @@
     async def _call_with_redirect(self, owner: str, ask: messages.Admit):
         answer = await self._call(owner, ask)
         if isinstance(answer, messages.NotOwner):
-            # The two may redirect to each other: force the second to decide.
+            # Two routers may redirect to each other: force the second to
+            # decide.
             ask.forced = True
             owner = self.follow_redirect(owner, answer)
             answer = await self._call(owner, ask)
@@ -221,7 +222,7 @@
         """
         if answer.owner not in self.mesh.live():
             return asked
-        self.note_redirect(answer.cell, answer.owner)
+        self.record_redirect(answer.cell, answer.owner)
         return answer.owner
 
     async def _call(self, owner: str, ask: messages.Admit):
--- a/amaranthring/routers/peers.py
+++ b/amaranthring/routers/peers.py
@@ -38,7 +38,7 @@
     sent_at : float
         When data was last sent on the link, in monotonic seconds.
     used_at : float
-        When a message was last sent or called, in monotonic seconds.
+        When a message or call was last sent to it, in monotonic seconds.
     dialled_at : float
         When dialling last began, in monotonic seconds.
     incarnation : int
@@ -69,7 +69,7 @@
 
     @property
     def is_live(self) -> bool:
-        """Return whether it is linked and not leaving."""
+        """Return whether the router is linked and not leaving."""
         return (
             self.link is not None
             and self.leaving_incarnation != self.incarnation
--- a/amaranthring/routers/placement.py
+++ b/amaranthring/routers/placement.py
@@ -1,9 +1,9 @@
 """Entry-router side of admission: choose a cell and ask its owner.
 
-Looks up the chat's prefix-cache locations, ranks the cells and asks the
-owner of the best one, or its deputy if the owner does not answer. If neither
-answers, decides from local load estimates. If the cell is full, cells with
-capacity are asked.
+The router looks up the chat's prefix-cache locations, ranks the cells and
+asks the owner of the best one, or its deputy if the owner does not answer. If
+neither answers, it decides from local load estimates. If the cell is full, it
+asks the owners of cells with capacity.
 """
 
 import collections.abc
@@ -135,7 +135,7 @@
         request : Request
             Request to place; its deadline bounds the wait.
         excluded : set of str
-            Targets that must not be used, such as those that failed it.
+            Targets that must not be used, such as those where it failed.
 
         Raises
         ------
@@ -145,18 +145,18 @@
             If two targets died while the request ran there.
         """
         started = self.clock()
-        found = await self.directory.find(
+        locations = await self.directory.find(
             request.chat or request.body_digest, request.body_digest
         )
-        if found.condemned:
+        if locations.condemned:
             raise errors.QuarantinedError(
                 "targets crashed while this request ran there"
             )
         search = Search(
             request,
-            found.targets,
-            bool(found.deaths),
-            excluded | set(found.deaths),
+            locations.targets,
+            bool(locations.deaths),
+            excluded | set(locations.deaths),
         )
         grant = await self._place(search)
         grant.queued_seconds = self.clock() - started
@@ -165,13 +165,13 @@
     def release(self, grant: records.Grant, end: records.AttemptEnd) -> None:
         """Release `grant` without blocking. Idempotent."""
         serial = int(grant.grant_id.rpartition(":")[2])
-        holding = self.held.remove(serial)
-        if holding is None:
+        held_grant = self.held.remove(serial)
+        if held_grant is None:
             return
-        if holding.owner:
-            self.calls.release(holding.owner, holding.cell, serial, end)
-        request = holding.request
-        if holding.suspect and end == records.AttemptEnd.DONE:
+        if held_grant.owner:
+            self.calls.release(held_grant.owner, held_grant.cell, serial, end)
+        request = held_grant.request
+        if held_grant.suspect and end == records.AttemptEnd.DONE:
             self.suspicion.suspect_finished(request)
 
     def routers_changed(self) -> None:
@@ -218,22 +218,22 @@
     def _cells_of(self, request) -> dict[str, list[records.Target]]:
         """Return the cells of this region that serve `request`."""
         service = (request.kind, request.serves)
-        expires, found = self.cells_by_service.get(service, (0.0, {}))
+        expires, grouped = self.cells_by_service.get(service, (0.0, {}))
         if expires > self.clock():
-            return found
+            return grouped
         eligible = [
             target
             for target in self.table.eligible(*service)
             if target.region == self.region
         ]
-        found = cells.group(eligible)
+        grouped = cells.group(eligible)
         if len(self.cells_by_service) >= MAX_CACHED_SERVICES:
             self.cells_by_service.clear()
         self.cells_by_service[service] = (
             self.clock() + CELLS_CACHE_SECONDS,
-            found,
+            grouped,
         )
-        return found
+        return grouped
 
     def target_changed(self, _name: str) -> None:
         """Clear the cached cells."""
@@ -360,10 +360,10 @@
             import_from=self._import_from(search, target),
             cell=cell,
         )
-        holding = grants.HeldGrant(
+        held_grant = grants.HeldGrant(
             cell, owner, grant, search.request, search.suspect
         )
-        self.held.add(serial, holding)
+        self.held.add(serial, held_grant)
         if search.suspect:
             self.suspicion.suspect_started(search.request, target.name)
         if search.request.chat and not grant.remembered:
--- a/amaranthring/routers/readiness.py
+++ b/amaranthring/routers/readiness.py
@@ -3,7 +3,7 @@
 A router with an empty target table would refuse chats for models that it
 does not know yet; until then the health check fails and the balancer uses
 other routers. After :data:`MAX_WAIT_SECONDS` the router serves with what it
-has: it may be cut off, and all live targets have announced themselves.
+has: it may be cut off, and by then all live targets have announced themselves.
 """
 
 import time
--- a/amaranthring/routers/regions.py
+++ b/amaranthring/routers/regions.py
@@ -30,9 +30,9 @@
     def own(self) -> list[str]:
         """Return live routers of this region.
 
-        A data centre without a known target counts as part of it. With one
-        region this is correct on every router; with several it only spreads
-        shards over more routers.
+        A data centre without a known target counts as part of this region.
+        With one region this is correct on every router; with several it only
+        spreads shards over more routers.
         """
         regions = self._region_by_data_centre()
         return [
@@ -45,12 +45,12 @@
     def others(self) -> list[list[str]]:
         """Return live routers of each other region."""
         regions = self._region_by_data_centre()
-        found: dict[str, list[str]] = {}
+        by_region: dict[str, list[str]] = {}
         for router in self.mesh.live():
             region = regions.get(self.mesh.data_centre_of(router), self.region)
             if region != self.region:
-                found.setdefault(region, []).append(router)
-        return [found[region] for region in sorted(found)]
+                by_region.setdefault(region, []).append(router)
+        return [by_region[region] for region in sorted(by_region)]
 
     def _region_by_data_centre(self) -> dict[str, str]:
         return {target.data_centre: target.region for target in self.targets()}
--- a/amaranthring/routers/revision_file.py
+++ b/amaranthring/routers/revision_file.py
@@ -1,4 +1,4 @@
-"""Stores the last configuration revision on the router's disk, if any.
+"""Stores the last configuration revision on the router's disk, if it has one.
 
 The file is written atomically (temporary file, fsync, rename) and carries a
 checksum. A damaged file is ignored: the keepers and the other routers have
@@ -75,11 +75,11 @@
             )
             return None
 
-    def save(self, held: config_parts.Parts) -> None:
-        """Schedule writing `held`."""
+    def save(self, parts: config_parts.Parts) -> None:
+        """Schedule writing `parts`."""
         if not self.path:
             return
-        self.pending = held.dump()
+        self.pending = parts.dump()
         if self.task is None or self.task.done():
             self.task = asyncio.ensure_future(self._write())
 
@@ -94,8 +94,8 @@
         if data[:start] != MAGIC + _checksum(body):
             raise errors.StorageError(
                 "checksum mismatch in the revision file",
-                given="another",
-                expected="that of its content",
+                given="a different checksum",
+                expected="the checksum of its content",
             )
         return config_parts.Parts.load(wire.decode_value(body))
 
--- a/amaranthring/routers/revisions.py
+++ b/amaranthring/routers/revisions.py
@@ -5,10 +5,10 @@
 its revision with a relay's (anti-entropy), which repairs lost messages. The
 relays report to the keepers which router runs which revision.
 
-A router is ready when the keepers have confirmed the highest revision. If
-they cannot be reached, it takes the highest revision of its data centre. Its
-own file alone is not enough while it has neighbours: they may have advanced
-while it was down.
+A router is ready when the keepers have confirmed that its revision is the
+highest. If they cannot be reached, it takes the highest revision of its data
+centre. Its own file alone is not enough while it has neighbours: they may have
+advanced while it was down.
 """
 
 import asyncio
@@ -154,7 +154,7 @@
     def apply_delta(self, delta: config_parts.Delta, source: str) -> bool:
         """Apply `delta` if it raises the revision; return whether it did."""
         try:
-            moved = self.parts.apply(delta)
+            advanced = self.parts.apply(delta)
         except errors.FrameError as error:
             self.metrics.count("revisions.refused")
             log.warning("revisions.refused source={} fault={}", source, error)
@@ -165,7 +165,7 @@
             else:
                 self._pull(source, -1)
             return False
-        if moved:
+        if advanced:
             self.metrics.count("revisions.applied")
             base = fleet.FleetConfig() if delta.whole else self.current
             self._activate(
@@ -174,7 +174,7 @@
                 )
             )
             self.file.save(self.parts)
-        return moved
+        return advanced
 
     def _activate(self, config: fleet.FleetConfig) -> None:
         self.current = config
@@ -238,7 +238,9 @@
         now = time.monotonic()
         self.revision_by_router[self.name] = (self.parts.revision, now)
         for name in [
-            n for n, h in self.revision_by_router.items() if _is_stale(h, now)
+            name
+            for name, entry in self.revision_by_router.items()
+            if _is_stale(entry, now)
         ]:
             del self.revision_by_router[name]
         routers = {
@@ -248,7 +250,8 @@
         if routers == self.last_report and not due:
             return
         ages = {
-            n: round(now - h[1], 1) for n, h in self.revision_by_router.items()
+            name: round(now - entry[1], 1)
+            for name, entry in self.revision_by_router.items()
         }
         message = commands.RouterRevisions(self.data_centre, routers, ages)
         await self.query(message, PULL_SECONDS)
@@ -276,16 +279,16 @@
         revisions.
         """
         relays = [name for name in self.relays() if name != self.name]
-        found = random.sample(relays, min(1, len(relays)))
-        silent = time.monotonic() - self.confirmed_at
-        if self.is_relay and silent > CUT_OFF_SECONDS:
+        peers = random.sample(relays, min(1, len(relays)))
+        unconfirmed_seconds = time.monotonic() - self.confirmed_at
+        if self.is_relay and unconfirmed_seconds > CUT_OFF_SECONDS:
             remote = [
                 name
                 for name in self.mesh.live()
                 if self.mesh.data_centre_of(name) != self.data_centre
             ]
-            found += random.sample(remote, min(1, len(remote)))
-        return found
+            peers += random.sample(remote, min(1, len(remote)))
+        return peers
 
     async def _compare_with(self, name: str) -> None:
         ours = revision_messages.RunningRevision(
@@ -347,9 +350,9 @@
             )
             if self.ready:
                 return
-            informed = answers[1] > 0 or not self.neighbours
+            neighbours_answered = answers[1] > 0 or not self.neighbours
             cut_off = time.monotonic() - started >= CUT_OFF_SECONDS
-            if cut_off and informed and self.parts.revision > 0:
+            if cut_off and neighbours_answered and self.parts.revision > 0:
                 self._set_ready("neighbours" if self.neighbours else "file")
                 return
             await asyncio.sleep(RETRY_SECONDS)
--- a/amaranthring/routers/suspicion.py
+++ b/amaranthring/routers/suspicion.py
@@ -94,8 +94,8 @@
         expiry = self.config().quarantined.get(body_digest)
         if expiry is not None and expiry > self.wall_clock():
             return True
-        held = self.table.get(body_digest, self.clock())
-        return held is not None and held.condemned
+        suspect = self.table.get(body_digest, self.clock())
+        return suspect is not None and suspect.condemned
 
     async def report_crash(
         self, request: records.Request, target: records.Target
@@ -108,7 +108,7 @@
         apart = self.isolated_runs.pop(request.body_digest, "") == target.name
         if apart:
             # A second crash condemns the request. The loss of a whole rack
-            # shows in the table within this time and clears it.
+            # shows in the table within this time and clears the request.
             await asyncio.sleep(self.confirm_seconds)
         blamed = not self.recent_deaths.correlated(self.clock())
         logs.event(
@@ -173,7 +173,7 @@
     ) -> messages.CrashRecorded:
         """Record a crash; reply whether it condemned the request."""
         before = self.suspect_of(message.fingerprint)
-        already = before is not None and before.condemned
+        was_condemned = before is not None and before.condemned
         suspect = self.table.record_crash(
             message.key,
             message.fingerprint,
@@ -181,7 +181,7 @@
             message.apart,
             self.clock(),
         )
-        return messages.CrashRecorded(suspect.condemned and not already)
+        return messages.CrashRecorded(suspect.condemned and not was_condemned)
 
     def on_cleared(self, _link, message: messages.SuspectCleared) -> None:
         """Remove a suspect that completed."""
@@ -199,27 +199,27 @@
     def routers_changed(self) -> None:
         """Copy entries to their holders by the new list of routers."""
         shards = directory.Shards(self.regions.own)
-        moved: dict[str, list[messages.SuspectEntry]] = {}
+        entries_by_holder: dict[str, list[messages.SuspectEntry]] = {}
         for fingerprint, suspect in self.table.entries.items():
             entry = messages.SuspectEntry(
                 suspect.key, fingerprint, suspect.deaths, suspect.condemned
             )
             for holder in shards.holders_of(suspect.key):
                 if holder != self.name:
-                    moved.setdefault(holder, []).append(entry)
-        for holder, entries in moved.items():
+                    entries_by_holder.setdefault(holder, []).append(entry)
+        for holder, entries in entries_by_holder.items():
             for first in range(0, len(entries), BATCH_ENTRIES):
                 batch = entries[first : first + BATCH_ENTRIES]
                 self.mesh.send(holder, messages.Suspects(batch))
 
-    # -- inside --
+    # -- internals --
 
     def _holders(self, message) -> list[str]:
-        found = []
+        holders = []
         for live in [self.regions.own(), *self.regions.others()]:
             shards = directory.Shards(lambda live=live: live)
-            found.extend(shards.holders_of(message.key))
-        return found
+            holders.extend(shards.holders_of(message.key))
+        return holders
 
     async def _report(
         self, holder: str, message: messages.TargetCrashed
--- a/amaranthring/routers/target_reports.py
+++ b/amaranthring/routers/target_reports.py
@@ -1,8 +1,8 @@
 """Reports the ready targets of this data centre to the keepers.
 
 The keepers' leader plans model orders from the reports of all data centres.
-Only the relays of revisions report. Each report is complete, so that the
-next one makes up for a lost one.
+Only the routers that relay revisions report. Each report is complete, so that
+the next one makes up for a lost one.
 """
 
 import asyncio
@@ -71,7 +71,7 @@
             await asyncio.sleep(CHECK_SECONDS)
 
     async def report(self) -> None:
-        """Send a report if this router is a reporter and one is due."""
+        """Send a report if this router should report and one is due."""
         if not self.may_report():
             self.last_report = None
             return
--- a/amaranthring/routers/target_sync.py
+++ b/amaranthring/routers/target_sync.py
@@ -32,9 +32,9 @@
 
 BATCH_SECONDS = 1.0
 SLACK_SECONDS = 0.1
-AHEAD_SECONDS = 0.15
+RENEWAL_LEAD_SECONDS = 0.15
 FLUSH_SECONDS = 0.01
-TIMER_SECONDS = 0.002
+TIMER_TOLERANCE_SECONDS = 0.002
 MIN_BATCH_SECONDS = 0.5
 GATHER_SECONDS = 0.05
 REPEATS = 3
@@ -103,7 +103,7 @@
         handlers.add(messages.Digest, self._on_digest)
         handlers.add(messages.Pull, self._on_pull)
         table.on_change(self._on_change)
-        table.on_resume(self._on_wake)
+        table.on_resume(self._on_resume)
         table.on_move(self._on_move)
         table.renew_in = self.renew_in
         mesh.on_link(self._on_link)
@@ -121,7 +121,7 @@
     async def _run(self) -> None:
         while True:
             await asyncio.sleep(max(0.0, self.next_batch_at - self.clock()))
-            if self.clock() < self.next_batch_at - TIMER_SECONDS:
+            if self.clock() < self.next_batch_at - TIMER_TOLERANCE_SECONDS:
                 # An early batch went out meanwhile.
                 continue
             # A late tick delays the next ones; missed ticks are skipped.
@@ -138,7 +138,11 @@
         fresh when it reaches the other routers.
         """
         left = self.next_batch_at - self.clock()
-        return max(0.0, left) % BATCH_SECONDS + BATCH_SECONDS - AHEAD_SECONDS
+        return (
+            max(0.0, left) % BATCH_SECONDS
+            + BATCH_SECONDS
+            - RENEWAL_LEAD_SECONDS
+        )
 
     def tick(self) -> None:
         """Send the periodic batch and, from a relay, the digests."""
@@ -167,7 +171,7 @@
         self._repeats_left = {
             n: left - 1 for n, left in self._repeats_left.items() if left
         }
-        passed = [
+        relayed = [
             messages.RelayedDigest(
                 data_centre, int((now - heard_at) * 1000), *content
             )
@@ -178,13 +182,13 @@
         ]
         self._digests_to_relay.clear()
         return self._message(
-            now, [b for b in heartbeats if b], changed, passed
+            now, [b for b in heartbeats if b], changed, relayed
         )
 
-    def _message(self, now, heartbeats, changed, passed=()) -> messages.Batch:
+    def _message(self, now, heartbeats, changed, relayed=()) -> messages.Batch:
         mark = self.table.digests.get(self.mesh.data_centre, 0)
         return messages.Batch(
-            int(now * 1000), mark, heartbeats, changed, list(passed)
+            int(now * 1000), mark, heartbeats, changed, list(relayed)
         )
 
     def _records(self, names: t.Iterable[str], now: float):
@@ -215,13 +219,15 @@
     def _on_change(self, entry: entries.Entry) -> None:
         """Schedule a changed record for the routers that lack it."""
         name = entry.target.name
-        here = entry.target.data_centre == self.mesh.data_centre
-        source = self._source and self.mesh.data_centre_of(self._source)
-        if not source:
+        is_local = entry.target.data_centre == self.mesh.data_centre
+        source_data_centre = self._source and self.mesh.data_centre_of(
+            self._source
+        )
+        if not source_data_centre:
             self._repeats_left[name] = REPEATS
-        if source != self.mesh.data_centre:
+        if source_data_centre != self.mesh.data_centre:
             self._unsent_local.add(name)
-        if here:
+        if is_local:
             self._unsent_remote.add(name)
         self._flush_soon()
 
@@ -254,33 +260,33 @@
         self._unsent_remote.clear()
         self._renewed_here.clear()
         if local or heartbeats:
-            found = [heartbeat for heartbeat in heartbeats if heartbeat]
-            self.mesh.broadcast(self._message(now, found, local))
+            current = [heartbeat for heartbeat in heartbeats if heartbeat]
+            self.mesh.broadcast(self._message(now, current, local))
         if remote:
             for name in self.remote_links():
                 self.mesh.send(name, self._message(now, [], remote))
 
     def _remote_relays(self) -> set[str]:
         """Return remote relays that this router exchanges digests with."""
-        found = set()
+        relays = set()
         for data_centre in self.mesh.data_centres():
             if data_centre != self.mesh.data_centre and self.mesh.is_relay_to(
                 data_centre
             ):
-                found.update(self.mesh.relays(data_centre))
-        return found
+                relays.update(self.mesh.relays(data_centre))
+        return relays
 
     def remote_links(self) -> list[str]:
         """Return linked remote relays, chosen here or by their own list."""
         now = self.clock()
         known = self.mesh.peers
-        found = self._remote_relays()
-        found.update(
+        names = self._remote_relays()
+        names.update(
             name
             for name, at in self._remote_seen.items()
             if now - at < CUT_OFF_SECONDS
         )
-        return sorted(n for n in found if n in known and known[n].link)
+        return sorted(n for n in names if n in known and known[n].link)
 
     def _send_digest(self, data_centre: str, now: float) -> None:
         known = self.mesh.peers
@@ -434,7 +440,7 @@
         self._pulls[data_centre] = task
         task.add_done_callback(lambda _: self._pulls.pop(data_centre, None))
 
-    def _on_wake(self) -> None:
+    def _on_resume(self) -> None:
         here = self.mesh.data_centre
         for name in self.mesh.live(here):
             if name != self.mesh.identity.name:
@@ -442,8 +448,8 @@
 
     async def _pull(self, data_centre: str, name: str, force: bool) -> None:
         since = self.clock() - self._pulled_at.get(data_centre, 0.0)
-        first = 0.0 if force else PULL_AFTER_SECONDS
-        wait = max(first, PULL_EVERY_SECONDS - since)
+        delay = 0.0 if force else PULL_AFTER_SECONDS
+        wait = max(delay, PULL_EVERY_SECONDS - since)
         await asyncio.sleep(wait)
         if not force and self._in_sync(data_centre, name):
             return
@@ -478,7 +484,7 @@
     def _on_pull(self, link, pull: messages.Pull) -> messages.PullReply:
         now = self.clock()
         data_centre = pull.data_centre
-        known = {one.name: entries.Version(*one[1:]) for one in pull.known}
+        known = {item.name: entries.Version(*item[1:]) for item in pull.known}
         newer = []
         heartbeats = []
         for entry in self.table.entries_in(data_centre):
@@ -501,7 +507,7 @@
         )
 
     def _is_behind(self, known: dict[str, entries.Version]) -> bool:
-        """Return whether `known` has a record that is newer than here."""
+        """Return whether `known` has a version newer than this table's."""
         for name, version in known.items():
             entry = self.table.entries.get(name)
             if entry is None or entry.version < version:
