--- a/amaranthring/registry/backlogs.py
+++ b/amaranthring/registry/backlogs.py
@@ -1,4 +1,4 @@
-"""Queues of locations that a process has yet to be sent."""
+"""Queues of locations that are still to be sent to a process."""
 
 import typing as t
 
@@ -7,7 +7,7 @@
 
 
 class Backlog:
-    """Locations that one process has yet to be sent, the most urgent first.
+    """Locations that are still to be sent to one process, by priority.
 
     Locations of short and long prompt parts take the same bytes to send, but a
     long part costs more when a router does not know where it is cached and
@@ -17,7 +17,8 @@
     Parameters
     ----------
     priority : callable
-        Of a part; the highest goes first. There are few distinct values.
+        Returns the priority of a part; the highest goes first. There are few
+        distinct values.
     initial : list of list of str
         Locations known when the process linked, the lowest priority first.
         Backlogs that begin together share it, to save memory.
@@ -79,7 +80,7 @@
 
 
 def fair_shares(wanted: dict[t.Any, int], room: int) -> dict[t.Any, int]:
-    """Divide `room` evenly; what one does not want goes to the others."""
+    """Divide `room` evenly; what one does not need goes to the others."""
     shares = {}
     for receiver in sorted(wanted, key=wanted.get):
         shares[receiver] = min(
--- a/amaranthring/registry/fetching.py
+++ b/amaranthring/registry/fetching.py
@@ -33,9 +33,9 @@
     Parameters
     ----------
     name : str
-        Of this router; spreads routers over the keepers.
+        This router; its hash selects the preferred keeper.
     held_version : callable
-        Returns the version held.
+        Returns the version of the plan that this router holds.
     base_version : callable
         Returns the version to which a delta may apply; -1 for none.
     open_links : callable
@@ -82,7 +82,7 @@
                 task.cancel()
 
     async def _run(self) -> None:
-        if self.held_version() >= 0 and not self._preferred_offers():
+        if self.held_version() >= 0 and not self._preferred_keeper_has_newer():
             await asyncio.sleep(STAGGER_SECONDS)
         asked: dict[links.Link, int] = {}
         while (link := self._next(asked)) is not None:
@@ -100,7 +100,7 @@
     def _preference(self, link: links.Link) -> float:
         return hashing.weight(self.name, link.peer.name)
 
-    def _preferred_offers(self) -> bool:
+    def _preferred_keeper_has_newer(self) -> bool:
         preferred = max(self.open_links(), key=self._preference, default=None)
         return self.offers.get(preferred, -1) > self.held_version()
 
@@ -109,8 +109,8 @@
         for link in list(self.offers):
             if link.closed:
                 del self.offers[link]
-        # A keeper offers its plan again with every reply. Asked again before
-        # it has answered, it would send the plan twice.
+        # A keeper offers its plan again with every reply. If it were asked
+        # again before it has answered, it would send the plan twice.
         newer = [
             link
             for link, version in self.offers.items()
--- a/amaranthring/registry/hint_file.py
+++ b/amaranthring/registry/hint_file.py
@@ -1,10 +1,10 @@
 """Keeps a keeper's locations and targets in a file, across a power loss.
 
-After all processes lose power at once, the engines still hold their prefix
-caches and keep serving, but nobody knows where or which. Each keeper writes
-both to a file every few seconds. The file is only a hint: an old, missing or
-damaged one costs recomputed prompts and targets that are found one
-announcement later, so no failure here stops a keeper.
+After all routers and keepers lose power at once, the engines still hold their
+prefix caches and keep serving, but no process knows the locations or the
+targets. Each keeper writes both to a file every few seconds. The file is only
+a hint: an old, missing or damaged one costs recomputed prompts and targets
+that are found one announcement later, so no failure here stops a keeper.
 """
 
 import asyncio
--- a/amaranthring/registry/hub.py
+++ b/amaranthring/registry/hub.py
@@ -382,5 +382,7 @@
 def _require_keeper(link: links.Link) -> None:
     if link.peer.role != dispatch.KEEPER_ROLE:
         raise errors.ForbiddenError(
-            "target records", given=link.peer.role, expected="a keeper"
+            "only keepers may send target records",
+            given=link.peer.role,
+            expected="a keeper",
         )
--- a/amaranthring/registry/messages.py
+++ b/amaranthring/registry/messages.py
@@ -122,7 +122,9 @@
         body = wire.decode_value(zlib.decompress(message.packed))
     except zlib.error as error:
         raise errors.FrameError(
-            "all targets", given=str(error), expected="compressed records"
+            "target records cannot be decompressed",
+            given=str(error),
+            expected="compressed records",
         ) from error
     tag = wire.tag_of(Targets)
     return wire.decode_message(tag, body).records
--- a/amaranthring/registry/pressure.py
+++ b/amaranthring/registry/pressure.py
@@ -54,9 +54,9 @@
             handlers.received_bytes,
         )
         cpu_before = time.process_time()
-        began = time.monotonic()
+        started_at = time.monotonic()
         delay = await _worst_delay(WINDOW_SECONDS)
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started_at
         sent = handlers.sent - sent_before
         share = sent.total() / (link_rate * seconds) if link_rate else 0.0
         if delay < LATE_SECONDS and share < LINK_SHARE and group.leader():
--- a/amaranthring/registry/publisher.py
+++ b/amaranthring/registry/publisher.py
@@ -15,7 +15,7 @@
 
 
 class TargetPublisher:
-    """Latest record of each target that routers have yet to be sent.
+    """Sends the latest record of each changed target to the routers.
 
     Records wait while the link is busy and are then sent together: sent one
     by one, a whole table would take many times the bytes of its compressed
--- a/amaranthring/registry/sharing.py
+++ b/amaranthring/registry/sharing.py
@@ -96,8 +96,8 @@
     Attributes
     ----------
     unreached, failing : dict of str to int
-        Routers that could not reach each target, and for which it broke off
-        an answer.
+        By target, the number of routers that could not reach it, and of those
+        for which it broke off an answer.
     known : list of list of str
         Older locations, for a keeper that may have lost them.
     tokens : dict of str to int
@@ -259,7 +259,7 @@
             self._log_backlog(free)
 
     def _log_backlog(self, free: int) -> None:
-        """Log how many locations routers have yet to be sent."""
+        """Log how many locations are still to be sent to routers."""
         now = self.clock()
         if now - self.logged_at < LOG_SECONDS:
             return
@@ -295,7 +295,7 @@
         return totals
 
     def _forget(self, link: links.Link) -> None:
-        """Stop counting and informing a router."""
+        """Stop counting a router's report and sending to it."""
         if self.routers.pop(link, None) is not None:
             del self.reported_at[link]
             self.router_backlogs.pop(link, None)
@@ -394,16 +394,16 @@
         self._forward(report.places, sender=link)
 
     def _on_left(self, link: links.Link, _left: Left) -> None:
-        # Kept until its report is stale, the router would be sent locations by
-        # two keepers, which delays those for other routers.
+        # If the router were kept until its report is stale, two keepers would
+        # send it locations, which delays those for other routers.
         self._forget(link)
 
     def _missing_locations(self, report: Report) -> list[list[str]]:
         """Return the locations that a router new to this keeper may lack.
 
         Most such routers come from another keeper and lack only recent
-        locations. Sent all locations again, to every router behind a partition
-        at once, they would get new ones seconds late.
+        locations. If every router behind a partition were sent all locations
+        again at once, new ones would reach it seconds late.
         """
         if report.told_all_ago < 0:
             return self._ranked_recent_locations()
@@ -414,10 +414,10 @@
         self.sums[link.peer.name] = (self.clock(), sums)
         self.merge_tokens(sums.tokens)
         self._forward(sums.places, sender=link)
-        lost = [
+        unknown = [
             pair for pair in sums.known if tuple(pair) not in self.stored_at
         ]
-        self._forward(lost, sender=link)
+        self._forward(unknown, sender=link)
 
     def _forward(self, locations: list[list[str]], sender: links.Link) -> None:
         if not locations:
--- a/amaranthring/registry/subscriber.py
+++ b/amaranthring/registry/subscriber.py
@@ -44,7 +44,7 @@
     Parameters
     ----------
     identity, keys
-        For the links.
+        Identity of this router and fleet keys, for the links.
     apply_plan : callable
         Called with the document of each newer plan, before its version
         counts as held. It raises an ``AmaranthringError`` if the plan cannot
@@ -111,19 +111,19 @@
     def home_link(self) -> links.Link | None:
         """Return the link to the keeper that this router reports to.
 
-        A keeper in the router's own data centre is preferred, so that its
-        routers still hear of each other when it is partitioned. Among several,
-        rendezvous hashing spreads the routers evenly, and only those of a lost
-        keeper have to choose again.
+        A keeper in the router's own data centre is preferred, so that the
+        routers there still hear of each other when it is partitioned. Among
+        several, rendezvous hashing spreads the routers evenly, and only those
+        of a lost keeper have to choose again.
         """
         by_address = self._links_by_address()
         own_data_centre = self.identity.data_centre
-        near = [
+        local = [
             address
             for address, link in by_address.items()
             if link.peer.data_centre == own_data_centre
         ]
-        chosen = hashing.first(self.identity.name, near or by_address)
+        chosen = hashing.first(self.identity.name, local or by_address)
         return by_address[chosen] if chosen else None
 
     def open_links(self) -> list[links.Link]:
--- a/amaranthring/registry/targets.py
+++ b/amaranthring/registry/targets.py
@@ -14,9 +14,9 @@
 from amaranthring.core import logs
 from amaranthring.registry import messages
 
-# An unknown incarnation may take an address whose holder is still heard only
-# with one of its first announcements. A later one was delayed by a partition
-# and comes from a process that has ended.
+# While the holder of an address is still heard from, an unknown incarnation
+# may take the address only with one of its first announcements. A later one
+# was delayed by a partition and comes from a process that has ended.
 FIRST_SEQUENCES = 3
 
 
@@ -198,7 +198,7 @@
         ]
 
     def active(self) -> t.Iterator[messages.TargetRecord]:
-        """Return the records of all targets that hold an address."""
+        """Yield the records of all targets that hold an address."""
         for target_id in self.by_address.values():
             yield self.entries[target_id].record
 
