--- a/amaranthring/targets/announce.py
+++ b/amaranthring/targets/announce.py
@@ -1,4 +1,4 @@
-"""HTTP handlers on the internal listener through which targets announce.
+"""HTTP handlers of the internal listener for the messages of targets.
 
 ``POST /targets/announce``, ``renew``, ``report`` and ``leave``; see
 ``docs/targets-announcing.md``.
--- a/amaranthring/targets/claims.py
+++ b/amaranthring/targets/claims.py
@@ -59,10 +59,10 @@
         concurrency bound.
     """
     for other in live:
-        held = other.target
-        if held.address == target.address and held.name != target.name:
+        holder = other.target
+        if holder.address == target.address and holder.name != target.name:
             raise errors.AddressTakenError(
-                f"address is held by live target {held.name}",
+                f"address is held by live target {holder.name}",
                 given=target.address,
                 expected="an address of its own",
                 retry_after=1.0,
--- a/amaranthring/targets/entries.py
+++ b/amaranthring/targets/entries.py
@@ -8,6 +8,7 @@
 from amaranthring.core import wire
 from amaranthring.policy import flap_damping
 
+# Evidence of life within this time after a leave is not yet a renewal.
 RENEWED_SECONDS = 0.5
 
 
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass
 class Record:
-    """What routers tell each other about one target.
+    """State of one target, as routers send it to each other.
 
     Attributes
     ----------
@@ -121,7 +122,7 @@
         """Return how long this target may go unheard.
 
         One that announced its leave and no longer renews gets the time to
-        drain: given up at once, its requests would be cut off.
+        drain: if it were lost sooner, its requests would be cut off.
         """
         silent = self.heard_at <= self.left_at + RENEWED_SECONDS
         if self.version.leaving and silent:
--- a/amaranthring/targets/http_body.py
+++ b/amaranthring/targets/http_body.py
@@ -105,18 +105,18 @@
             elif self.remaining:
                 position = self._line_end(data, position)
             else:
-                found = data.find(b"\r\n", position)
-                if found < 0:
+                line_end = data.find(b"\r\n", position)
+                if line_end < 0:
                     self._keep(data[position:])
                     break
-                size = _parse_size(data[position:found])
+                size = _parse_size(data[position:line_end])
                 if size == 0:
                     self.ended = True
                     # Trailers are not told apart from foreign bytes; with
                     # either, the connection is not reused.
-                    self.clean = data[found + 2 :] == b"\r\n"
+                    self.clean = data[line_end + 2 :] == b"\r\n"
                     break
-                position = found + 2
+                position = line_end + 2
                 end = position + size
                 if data[end : end + 2] == b"\r\n":
                     # Fast path: the whole chunk has arrived.
@@ -157,7 +157,7 @@
 
 
 def decoder_for(headers, status: int, method: str) -> Decoder:
-    """Return the decoder for the head of a response.
+    """Return the decoder for the body that follows the head of a response.
 
     Raises
     ------
--- a/amaranthring/targets/pool.py
+++ b/amaranthring/targets/pool.py
@@ -1,7 +1,7 @@
 """Pool of idle connections to targets, for reuse.
 
-A new connection takes a target a millisecond, and one of its slots meanwhile.
-A kept one may be stale: just closed by the target, silent since a partition,
+A new connection costs a target a millisecond and occupies one of its slots.
+An idle one may be stale: just closed by the target, silent since a partition,
 or with bytes on it that belong to no request. Each idle connection is
 therefore watched, and closed if it ends or receives anything. The user of the
 pool decides how long an idle time it accepts.
--- a/amaranthring/targets/protocol.py
+++ b/amaranthring/targets/protocol.py
@@ -141,7 +141,7 @@
     """
     if len(body) > MAX_BODY_BYTES:
         raise errors.TooLargeError(
-            "announcement",
+            "the announcement is too large",
             given=f"{len(body)} bytes",
             expected=f"at most {MAX_BODY_BYTES} bytes",
         )
--- a/amaranthring/targets/table.py
+++ b/amaranthring/targets/table.py
@@ -203,7 +203,7 @@
         errors.TableFullError, errors.BadRequestError
             If the announcement contradicts what is known; nothing changes.
         """
-        heard = self.pauses.trusted_arrival()
+        heard_at = self.pauses.trusted_arrival()
         self._check_claims(target, sequence)
         entry = self.entries.get(target.name)
         revision = 1
@@ -211,8 +211,8 @@
             same = entry.target == target and not entry.lost
             revision = entry.version.revision + (0 if same else 1)
         record = entries.Record(target, revision, False, spoken=sequence)
-        self.merge_record(record, heard)
-        self._record_message(self.entries[target.name], heard)
+        self.merge_record(record, heard_at)
+        self._record_message(self.entries[target.name], heard_at)
 
     def renew(self, name: str, incarnation: int, sequence: int = 0) -> None:
         """Renew a target's lease.
@@ -265,37 +265,37 @@
         record = entries.Record(
             entry.target, revision, True, spoken=last_sequence
         )
-        heard = self.pauses.trusted_arrival()
-        self.merge_record(record, heard)
-        self._record_message(entry, heard)
+        heard_at = self.pauses.trusted_arrival()
+        self.merge_record(record, heard_at)
+        self._record_message(entry, heard_at)
 
     # -- messages from other routers -----------------------------------------
 
-    def merge_record(self, record: entries.Record, heard: float) -> bool:
-        """Merge `record` with evidence of life at `heard`; True if newer."""
+    def merge_record(self, record: entries.Record, heard_at: float) -> bool:
+        """Merge `record` and its evidence of life; True if it is newer."""
         name = record.target.name
         version = record.version
         entry = self.entries.get(name)
         if entry is not None and version <= entry.version:
             if version.incarnation == entry.version.incarnation:
                 entry.last_sequence = max(entry.last_sequence, record.spoken)
-                self._record_evidence(entry, heard)
+                self._record_evidence(entry, heard_at)
             return False
         now = self.clock()
-        if now - heard > TOMBSTONE_SECONDS or not self._has_room(name):
+        if now - heard_at > TOMBSTONE_SECONDS or not self._has_room(name):
             return False
         if entry is None or entry.version.incarnation < version.incarnation:
-            entry = self._replace(entry, record, heard)
+            entry = self._replace(entry, record, heard_at)
         else:
             self._toggle_digest(entry)
             entry.target = record.target
             entry.version = version
             self._toggle_digest(entry)
         if version.leaving:
-            entry.left_at = heard
+            entry.left_at = heard_at
             logs.event(log, "target.leaving", name=name)
         entry.last_sequence = max(entry.last_sequence, record.spoken)
-        self._record_evidence(entry, heard)
+        self._record_evidence(entry, heard_at)
         for callback in self.change_callbacks:
             callback(entry)
         self._notify(name)
@@ -305,7 +305,7 @@
         self,
         name: str,
         incarnation: int,
-        heard: float,
+        heard_at: float,
         spoken: int = 0,
         report: records.LoadReport | None = None,
     ) -> bool:
@@ -319,28 +319,28 @@
         last = entry.report
         if report and (last is None or report.sequence > last.sequence):
             entry.report = report
-        self._record_evidence(entry, heard)
+        self._record_evidence(entry, heard_at)
         return True
 
     def vouch(
-        self, data_centre: str, heard: float, stale: t.Collection[str]
+        self, data_centre: str, heard_at: float, stale: t.Collection[str]
     ) -> None:
         """Merge another data centre's evidence for all of its targets.
 
         Parameters
         ----------
-        heard : float
+        heard_at : float
             When its relay sent the evidence, on this router's clock.
         stale : collection of str
             Targets that the relay itself has not heard from for a while.
         """
-        vouched_at = max(heard, self.vouched.get(data_centre, 0.0))
+        vouched_at = max(heard_at, self.vouched.get(data_centre, 0.0))
         self.vouched[data_centre] = vouched_at
         for entry in self.entries_in(data_centre):
             # Inlined, as it runs for every target several times a second.
             if entry.lost or entry.target.name in stale:
                 continue
-            entry.heard_at = max(entry.heard_at, heard)
+            entry.heard_at = max(entry.heard_at, heard_at)
 
     def entries_in(self, data_centre: str) -> list[entries.Entry]:
         """Return the entries of `data_centre`, tombstones included."""
@@ -461,10 +461,10 @@
         self.metrics.count("targets.table_full")
         return False
 
-    def _replace(self, previous, record, heard) -> entries.Entry:
+    def _replace(self, previous, record, heard_at) -> entries.Entry:
         now = self.clock()
         name = record.target.name
-        entry = entries.Entry(record.target, record.version, heard)
+        entry = entries.Entry(record.target, record.version, heard_at)
         if previous is not None:
             self._remove(previous)
             self._toggle_digest(previous)
@@ -475,7 +475,7 @@
                 entry.history, now
             )
         if record.leaving:
-            entry.left_at = heard
+            entry.left_at = heard_at
         # A record with expired evidence describes a lost target that another
         # router remembers: it is kept only as a tombstone.
         entry.lost = self._is_expired(entry, now)
@@ -492,13 +492,13 @@
     def _renew_in(self) -> float:
         return self.config().preset.lease_seconds * RENEW_SHARE_OF_LEASE
 
-    def _record_message(self, entry: entries.Entry, heard: float) -> None:
+    def _record_message(self, entry: entries.Entry, heard_at: float) -> None:
         """Record a message from the target itself to this router."""
         name = entry.target.name
-        self._record_evidence(entry, heard)
+        self._record_evidence(entry, heard_at)
         self.heard_directly.add(name)
-        moved = heard - entry.heard_here_at > MOVED_SECONDS
-        entry.heard_here_at = max(entry.heard_here_at, heard)
+        moved = heard_at - entry.heard_here_at > MOVED_SECONDS
+        entry.heard_here_at = max(entry.heard_here_at, heard_at)
         if moved:
             for callback in self._move_callbacks:
                 callback(name)
@@ -509,10 +509,10 @@
         del self.by_data_centre[target.data_centre][target.name]
         del self.by_key[entries.target_key(target)]
 
-    def _record_evidence(self, entry: entries.Entry, heard: float) -> None:
+    def _record_evidence(self, entry: entries.Entry, heard_at: float) -> None:
         now = self.clock()
-        heard = min(heard, now)
-        entry.heard_at = max(entry.heard_at, heard)
+        heard_at = min(heard_at, now)
+        entry.heard_at = max(entry.heard_at, heard_at)
         if entry.lost and not self._is_expired(entry, now):
             entry.lost = False
             self._toggle_digest(entry)
--- a/amaranthring/targets/upstream.py
+++ b/amaranthring/targets/upstream.py
@@ -320,8 +320,8 @@
         Parameters
         ----------
         unframed : bool
-            Whether a close may end the body, because the target proves its
-            responses in another way.
+            Whether a close may end the body, because the caller can tell in
+            another way that the response is complete.
 
         Raises
         ------
