--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -55,8 +55,8 @@
         await self.until_eligible(["e1"])
         self.fleet.stop_renewing("e1")
         self.all[0].table.leave("e1", 1)
-        took = await self.until_eligible([])
-        self.assertLess(took, 1.0)
+        seconds = await self.until_eligible([])
+        self.assertLess(seconds, 1.0)
         self.assertEqual(self.all[2].table.state("e1"), "leaving")
 
     async def test_isolated_router_drops_a_leaving_engine_in_time(self):
@@ -194,10 +194,10 @@
     async def test_killed_router_is_removed_at_once(self):
         self.all[1].stop()
         others = [self.all[0], self.all[2]]
-        took = await mesh_members.wait_until(
+        seconds = await mesh_members.wait_until(
             lambda: all(m.mesh.live() == ["r0", "r2"] for m in others)
         )
-        self.assertLess(took, 2.0)
+        self.assertLess(seconds, 2.0)
 
     async def test_frozen_router_is_dropped_without_delaying_others(self):
         """A frozen peer keeps its connections open but reads nothing.
--- a/tests/test_owner_changes.py
+++ b/tests/test_owner_changes.py
@@ -56,13 +56,15 @@
         await self.fill(7, self.other().name)
         owner = self.fleet.owner()
         at = self.other()
-        waits = asyncio.ensure_future(self.fleet.admit(20, at.name, chat="w"))
+        pending = asyncio.ensure_future(
+            self.fleet.admit(20, at.name, chat="w")
+        )
         await asyncio.sleep(0.01)
         self.fleet.stop(owner.name)
         await asyncio.sleep(0.01)
         for _, grant in list(self.fleet.grants.values()):
             self.fleet.release(grant)
-        self.assertIsNotNone(await asyncio.wait_for(waits, 5))
+        self.assertIsNotNone(await asyncio.wait_for(pending, 5))
 
     async def test_lost_release_is_repaired(self):
         # A lost release must not keep an engine's capacity in use.
@@ -81,7 +83,7 @@
         await self.fill(1)
         at = self.other()
         await self.fill(7, at.name)
-        waits = asyncio.ensure_future(self.fleet.admit(9, at.name, chat="w"))
+        pending = asyncio.ensure_future(self.fleet.admit(9, at.name, chat="w"))
         await asyncio.sleep(0.01)
         _, grant = next(iter(self.fleet.grants.values()))
         self.fleet.network.is_dropped = lambda _from, to, _message: (
@@ -89,9 +91,9 @@
         )
         self.fleet.release(grant)
         self.fleet.network.is_dropped = lambda *_: False
-        self.assertFalse(waits.done())
+        self.assertFalse(pending.done())
         self.fleet.renew_leases()
-        self.assertIsNotNone(await asyncio.wait_for(waits, 5))
+        self.assertIsNotNone(await asyncio.wait_for(pending, 5))
 
     async def test_leases_of_a_dead_entry_router_expire(self):
         await self.fill(1)
@@ -114,9 +116,9 @@
 
     async def test_cancelled_caller_leaves_the_queue(self):
         await self.fill(8)
-        waits = asyncio.ensure_future(self.fleet.admit(9, chat="w"))
+        pending = asyncio.ensure_future(self.fleet.admit(9, chat="w"))
         await asyncio.sleep(0.01)
-        waits.cancel()
+        pending.cancel()
         await asyncio.sleep(0.01)
         cell = next(iter(self.fleet.owner().owners.cells.values()))
         self.assertEqual(len(cell.queue), 0)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -117,7 +117,8 @@
     def test_gone_holder_returns_the_address(self):
         """A router receives announcements of two targets in the wrong order.
 
-        Once the address refuses the wrong one, the displaced one gets it back.
+        Once the wrong holder is known to be gone, the other gets the address
+        back.
         """
         table = targets.TargetTable(lambda: self.now, 0.0)
         table.merge(record("new", sequence=9))
--- a/tests/test_revisions.py
+++ b/tests/test_revisions.py
@@ -20,47 +20,49 @@
         self.group.apply(fake_state.bootstrap())
         self.routers = {}
         self.names = names
-        self.made = {}
+        self.started = {}
         self.seen = {}
         self.cuts = set()
 
     def allowed(self, one, other):
         return not {one, other} & self.cuts
 
-    def start(self, name, **more):
+    def start(self, name, **options):
         neighbours = [n for n in self.names if n[0] == name[0]]
-        more.setdefault("neighbours", neighbours)
-        made, mesh = fake_state.make_revisions(
+        options.setdefault("neighbours", neighbours)
+        router, mesh = fake_state.make_revisions(
             name,
             name[0],
-            more.pop("group", self.group),
+            options.pop("group", self.group),
             self.routers,
             allowed=self.allowed,
-            **more,
+            **options,
         )
-        self.made[name] = made
+        self.started[name] = router
         seen = self.seen.setdefault(name, [])
-        made.subscribe(lambda c: seen.append((c.revision, c.in_force)))
-        made.start()
-        return made, mesh
+        router.subscribe(lambda c: seen.append((c.revision, c.in_force)))
+        router.start()
+        return router, mesh
 
     def change(self, number):
-        held = self.group.machine.book
-        name = "ordinary" if held.in_force == "peak" else "peak"
+        book = self.group.machine.book
+        name = "ordinary" if book.in_force == "peak" else "peak"
         command = commands.SwitchPreset(
             name,
             command_id=f"command-{number}",
             operator="ana",
-            if_match=held.parts.revision,
+            if_match=book.parts.revision,
         )
         return self.group.apply(command).revision
 
     def all_at(self, revision):
-        return all(m.current.revision == revision for m in self.made.values())
+        return all(
+            m.current.revision == revision for m in self.started.values()
+        )
 
     async def stop(self):
-        for made in self.made.values():
-            await made.stop()
+        for router in self.started.values():
+            await router.stop()
 
 
 def flip_bit(data, position=0.5):
@@ -103,7 +105,9 @@
     async def test_every_change_is_applied_everywhere_in_order(self):
         for name in self.fleet.names:
             self.fleet.start(name)
-        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(
+            lambda: all(m.ready for m in self.started())
+        )
         for number in range(30):
             revision = self.fleet.change(number)
             if number % 5 == 0:
@@ -118,19 +122,21 @@
                 expected = "peak" if revision % 2 == 0 else "ordinary"
                 self.assertEqual(in_force, expected)
 
-    def made(self):
-        return self.fleet.made.values()
+    def started(self):
+        return self.fleet.started.values()
 
     async def test_lost_broadcast_is_repaired(self):
         # A relay's broadcast is lost. Comparing revisions must repair it.
         meshes = [self.fleet.start(name)[1] for name in self.fleet.names]
-        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(
+            lambda: all(m.ready for m in self.started())
+        )
         for mesh in meshes:
             mesh.drop_next = 5
         revision = self.fleet.change(1)
         await fake_state.wait_until(lambda: self.fleet.all_at(revision))
         pulled = sum(
-            m.metrics.counters["revisions.pulled"] for m in self.made()
+            m.metrics.counters["revisions.pulled"] for m in self.started()
         )
         self.assertGreater(pulled, 0)
 
@@ -145,26 +151,28 @@
         group.cut = True
         self.fleet.cuts.add("a2")
         self.fleet.change(1)
-        made, _ = self.fleet.start("a3")
-        await fake_state.wait_until(lambda: made.ready)
+        router, _ = self.fleet.start("a3")
+        await fake_state.wait_until(lambda: router.ready)
         self.fleet.group.cut = True
         with mock.patch.object(revisions, "COMPARE_SECONDS", 60.0):
             self.fleet.cuts.clear()
-            made, _ = self.fleet.start("a1", path=self.path)
-            await fake_state.wait_until(lambda: made.ready)
-        self.assertEqual(made.current.revision, 2)
+            router, _ = self.fleet.start("a1", path=self.path)
+            await fake_state.wait_until(lambda: router.ready)
+        self.assertEqual(router.current.revision, 2)
 
     async def test_cut_off_start_without_any_revision_is_not_ready(self):
         self.fleet.group.cut = True
         self.fleet.start("a1")
         self.fleet.start("a2")
         await fake_state.wait_until(lambda: self.counted("a1") >= 4)
-        self.assertFalse(any(m.ready for m in self.made()))
+        self.assertFalse(any(m.ready for m in self.started()))
         self.fleet.group.cut = False
-        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(
+            lambda: all(m.ready for m in self.started())
+        )
 
     def counted(self, name):
-        metrics = self.fleet.made[name].metrics
+        metrics = self.fleet.started[name].metrics
         return metrics.counters["revisions.keepers-unreachable"]
 
     async def test_own_file_is_not_enough_with_neighbours(self):
@@ -172,24 +180,24 @@
         # cut off from them it must not serve from its own file.
         await self.write_file()
         self.fleet.group.cut = True
-        made, _ = self.fleet.start("a1", path=self.path)
+        router, _ = self.fleet.start("a1", path=self.path)
         await fake_state.wait_until(lambda: self.counted("a1") >= 4)
-        self.assertEqual(made.current.revision, 1)
-        self.assertFalse(made.ready)
+        self.assertEqual(router.current.revision, 1)
+        self.assertFalse(router.ready)
 
     async def test_file_makes_the_only_router_of_a_data_centre_ready(self):
         await self.write_file()
         self.fleet.group.cut = True
-        made, _ = self.fleet.start("a1", path=self.path, neighbours=[])
-        await fake_state.wait_until(lambda: made.ready)
-        self.assertEqual(made.current.revision, 1)
+        router, _ = self.fleet.start("a1", path=self.path, neighbours=[])
+        await fake_state.wait_until(lambda: router.ready)
+        self.assertEqual(router.current.revision, 1)
 
     async def write_file(self):
-        made, _ = self.fleet.start("a1", path=self.path)
-        await fake_state.wait_until(lambda: made.ready)
-        await made.stop()
+        router, _ = self.fleet.start("a1", path=self.path)
+        await fake_state.wait_until(lambda: router.ready)
+        await router.stop()
         self.fleet.routers.clear()
-        self.fleet.made.clear()
+        self.fleet.started.clear()
 
     async def test_cut_off_data_centre_restarts_with_its_newest_file(self):
         # Both routers restart without keepers, a2 with a newer file than
@@ -197,15 +205,17 @@
         await self.write_file()
         self.fleet.change(1)
         other = self.path + "-2"
-        made, _ = self.fleet.start("a2", path=other)
-        await fake_state.wait_until(lambda: made.ready)
+        router, _ = self.fleet.start("a2", path=other)
+        await fake_state.wait_until(lambda: router.ready)
         await self.fleet.stop()
         self.fleet.routers.clear()
-        self.fleet.made.clear()
+        self.fleet.started.clear()
         self.fleet.group.cut = True
         self.fleet.start("a1", path=self.path)
         self.fleet.start("a2", path=other)
-        await fake_state.wait_until(lambda: all(m.ready for m in self.made()))
+        await fake_state.wait_until(
+            lambda: all(m.ready for m in self.started())
+        )
         await fake_state.wait_until(lambda: self.fleet.all_at(2))
 
     async def test_damaged_file_is_ignored(self):
@@ -219,36 +229,38 @@
         ):
             write(self.path, damage(whole))
             self.fleet.group.cut = True
-            made, _ = self.fleet.start("a1", path=self.path, neighbours=[])
-            self.assertEqual(made.current.revision, 0)
-            counters = made.metrics.counters
+            router, _ = self.fleet.start("a1", path=self.path, neighbours=[])
+            self.assertEqual(router.current.revision, 0)
+            counters = router.metrics.counters
             self.assertEqual(counters["revisions.file-damaged"], 1)
-            await made.stop()
+            await router.stop()
 
     async def test_diverged_router_pulls_the_full_state(self):
         # The router's state diverged, so no delta applies; without pulling
         # the full state it would stay behind.
-        made, _ = self.fleet.start("a1")
-        await fake_state.wait_until(lambda: made.ready)
-        made.parts.items["drained/x"] = "never said"
-        made.parts.digest_sum += 1
+        router, _ = self.fleet.start("a1")
+        await fake_state.wait_until(lambda: router.ready)
+        router.parts.items["drained/x"] = "never said"
+        router.parts.digest_sum += 1
         revision = self.fleet.change(1)
-        await fake_state.wait_until(lambda: made.current.revision == revision)
-        self.assertEqual(made.current.drained, {})
-        self.assertEqual(made.metrics.counters["revisions.refused"], 1)
+        await fake_state.wait_until(
+            lambda: router.current.revision == revision
+        )
+        self.assertEqual(router.current.drained, {})
+        self.assertEqual(router.metrics.counters["revisions.refused"], 1)
 
     async def test_keepers_that_lost_their_state_roll_nobody_back(self):
-        made, _ = self.fleet.start("a1")
+        router, _ = self.fleet.start("a1")
         self.fleet.change(1)
-        await fake_state.wait_until(lambda: made.current.revision == 2)
+        await fake_state.wait_until(lambda: router.current.revision == 2)
         empty = fake_state.FakeGroup()
         empty.apply(fake_state.bootstrap())
-        made.query = empty.query
-        counters = made.metrics.counters
+        router.query = empty.query
+        counters = router.metrics.counters
         await fake_state.wait_until(
             lambda: counters["revisions.keepers-behind"] > 0
         )
-        self.assertEqual(made.current.revision, 2)
+        self.assertEqual(router.current.revision, 2)
 
     async def test_status_shows_every_router_at_the_keepers(self):
         for name in self.fleet.names:
@@ -271,8 +283,10 @@
         self.fleet.start("a1")
         cut = fake_state.FakeGroup()
         cut.cut = True
-        made, _ = self.fleet.start("b1", group=cut)
-        await fake_state.wait_until(lambda: made.current.revision == 1)
+        router, _ = self.fleet.start("b1", group=cut)
+        await fake_state.wait_until(lambda: router.current.revision == 1)
         revision = self.fleet.change(1)
-        await fake_state.wait_until(lambda: made.current.revision == revision)
-        self.assertIsInstance(made.current, fleet.FleetConfig)
+        await fake_state.wait_until(
+            lambda: router.current.revision == revision
+        )
+        self.assertIsInstance(router.current, fleet.FleetConfig)
--- a/tests/test_router_parts.py
+++ b/tests/test_router_parts.py
@@ -21,16 +21,16 @@
         self.addCleanup(folder.cleanup)
         path = pathlib.Path(folder.name)
         local_fleet.write_settings(path, routers=1, keepers=1)
-        made = settings.read(str(path / "router-1.ini"))
+        loaded = settings.read(str(path / "router-1.ini"))
         identity = links.Identity("router-1", "router", "porto", 1)
-        self.router = router_parts.Router(made, identity)
+        self.router = router_parts.Router(loaded, identity)
 
     def announce(self, count):
         for number in range(count):
-            made = fake_network.target(f"e{number}", "porto")
+            target = fake_network.target(f"e{number}", "porto")
             address = f"127.0.0.1:{number + 1}"
-            made = dataclasses.replace(made, address=address)
-            self.router.table.announce(made)
+            target = dataclasses.replace(target, address=address)
+            self.router.table.announce(target)
 
     async def test_simultaneous_deaths_reach_the_crash_tracker(self):
         """Requests of a lost rack must not become suspects."""
@@ -45,11 +45,11 @@
 
     async def test_drain_reaches_the_admission_owner_at_once(self):
         self.announce(2)
-        told = []
-        self.router.owners.config_changed = lambda: told.append(True)
+        calls = []
+        self.router.owners.config_changed = lambda: calls.append(True)
         for callback in self.router.revisions.callbacks:
             callback(fleet.FleetConfig(revision=2))
-        self.assertEqual(told, [True])
+        self.assertEqual(calls, [True])
 
     async def test_not_ready_without_a_revision_or_when_stopping(self):
         self.assertIn("revision", self.router.not_ready_reason())
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -315,7 +315,7 @@
 
 
 class TestPriority(unittest.TestCase):
-    """A link without room for all locations that routers have yet to be sent.
+    """A link without room for all locations that are still to be sent.
 
     The locations of long parts go first: a tenth of the parts holds half of
     all requested tokens, and engines recompute parts whose locations come
@@ -448,8 +448,10 @@
         self.add_routers()
         reported_at = {}
         for _ in range(40):
-            began = self.now
-            reported_at |= dict.fromkeys(self.step(self.report_count), began)
+            started_at = self.now
+            reported_at |= dict.fromkeys(
+                self.step(self.report_count), started_at
+            )
         for _ in range(2):
             self.step(0)
         for number, received in enumerate(self.received):
@@ -483,8 +485,8 @@
         self.keeper.store_locations(locations)
         self.add_routers()
         before = sum(self.sent.values())
-        began = self.now
-        while self.now < began + 1.5:
+        started_at = self.now
+        while self.now < started_at + 1.5:
             self.step(0)
         for number, received in enumerate(self.received):
             self.assertEqual(len(received), 1400, number)
@@ -542,7 +544,7 @@
         await self.write(before)
         after = self.open_file()
         after.load()
-        self.assertEqual(["a"], [one.id for one in after.table.active()])
+        self.assertEqual(["a"], [r.id for r in after.table.active()])
         # A restored target that is not heard from soon counts as silent.
         self.now += 2.3
         self.assertEqual(["a"], [r.id for r in after.table.mark_silent(4.2)])
@@ -555,7 +557,7 @@
         after = self.open_file()
         after.load()
         self.assertTrue(after.table.merge(record("b", 9)))
-        self.assertEqual(["b"], [one.id for one in after.table.active()])
+        self.assertEqual(["b"], [r.id for r in after.table.active()])
 
     async def test_targets_of_an_old_file_are_ignored(self):
         before = self.open_file()
--- a/tests/test_suspicion.py
+++ b/tests/test_suspicion.py
@@ -24,17 +24,17 @@
     async def crash(self, name):
         """Kill engine `name`; routers report the requests that ran there."""
         ran = [
-            (at, grant)
-            for at, grant in list(self.fleet.grants.values())
+            (router, grant)
+            for router, grant in list(self.fleet.grants.values())
             if grant.target.name == name
         ]
-        for at, grant in ran:
+        for router, grant in ran:
             serial = int(grant.grant_id.rpartition(":")[2])
-            request = at.placer.held.by_serial[serial].request
+            request = router.placer.held.by_serial[serial].request
             self.fleet.release(grant, records.AttemptEnd.TARGET_LOST)
-            at.suspicion.target_lost(name)
-            await at.suspicion.report_crash(request, grant.target)
-            await asyncio.gather(*at.suspicion.tasks)
+            router.suspicion.target_lost(name)
+            await router.suspicion.report_crash(request, grant.target)
+            await asyncio.gather(*router.suspicion.tasks)
         self.fleet.set_state(name, records.TargetState.LOST)
         self.fleet.clock.now += 10.0
 
@@ -56,8 +56,8 @@
         await self.crash(first.target.name)
         holder = self.fleet.routers[0].directory.shards.holders_of("bad")[0]
         self.fleet.stop(holder)
-        at = self.fleet.live()[0].name
-        second = await self.admit("bad", at)
+        router = self.fleet.live()[0].name
+        second = await self.admit("bad", router)
         await self.crash(second.target.name)
         self.assertIn("bad", self.fleet.quarantined)
 
@@ -81,18 +81,18 @@
         # Deaths of many targets at once must not make their requests
         # suspects.
         grants = [await self.admit(f"body-{n}", "r0") for n in range(8)]
-        at = self.fleet.by_name["r0"]
+        router = self.fleet.by_name["r0"]
         for grant in grants:
-            at.suspicion.target_lost(grant.target.name)
+            router.suspicion.target_lost(grant.target.name)
         for number, grant in enumerate(grants):
             serial = int(grant.grant_id.rpartition(":")[2])
-            request = at.placer.held.by_serial[serial].request
-            await at.suspicion.report_crash(request, grant.target)
-            held = [
+            request = router.placer.held.by_serial[serial].request
+            await router.suspicion.report_crash(request, grant.target)
+            entries = [
                 r.suspicion.suspect_of(f"body-{number}")
                 for r in self.fleet.live()
             ]
-            self.assertEqual(set(held), {None})
+            self.assertEqual(set(entries), {None})
 
     async def test_run_without_isolation_never_condemns(self):
         # Two concurrent copies of a body each run beside a culprit; neither
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Whether a target that broke off a request is still alive."""
+"""Detection of a dead target after it broke off a request."""
 
 import asyncio
 import unittest
@@ -44,15 +44,15 @@
         )
 
     async def test_kept_connection_is_reachable(self):
-        kept = []
+        writers = []
 
         async def living(_, writer):
-            kept.append(writer)
+            writers.append(writer)
 
         self.assertTrue(
             await upstream.is_reachable(await self.start_target(living))
         )
-        kept[0].close()
+        writers[0].close()
 
     async def test_closed_port_is_unreachable(self):
         target = await self.start_target(lambda _reader, _writer: None)
