--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -156,12 +156,12 @@
         A suspect request waits for a target that runs no other suspect. Load
         does not show which cells have one, so all siblings are returned.
         """
-        found = [
+        ranked = [
             (-sibling.room / max(sibling.targets, 1), name)
             for name, sibling in self._fresh_siblings(now).items()
             if sibling.room > 0 or request.suspect
         ]
-        return [name for _, name in sorted(found)]
+        return [name for _, name in sorted(ranked)]
 
     # -- decisions --
 
@@ -249,12 +249,12 @@
     def serve(self, now: float) -> None:
         """Grant queued requests while there is room; see `granted`."""
         while len(self.queue) and self.has_room(now):
-            found = self.queue.pop(
+            popped = self.queue.pop(
                 lambda w: self.choose_target(w.request, now), now
             )
-            if found is None:
+            if popped is None:
                 break
-            waiter, target = found
+            waiter, target = popped
             self._add_lease(waiter.request, target, now)
             waited = now - waiter.since
             self.granted.append(self._make_grant(waiter.key, target, waited))
@@ -352,8 +352,8 @@
         # Targets that are unreachable, or barred for this request, are left
         # out of the mean. Otherwise it would be too low, and requests would
         # queue while the other targets have room.
-        out = barred | self.breakers.by_target.keys()
-        usable = [name for name in loads if name not in out]
+        ignored = barred | self.breakers.by_target.keys()
+        usable = [name for name in loads if name not in ignored]
         usable = usable or list(loads)
         total = sum(loads[name] for name in usable)
         count = len(usable)
--- a/amaranthring/policy/affinity.py
+++ b/amaranthring/policy/affinity.py
@@ -94,23 +94,25 @@
     """
     if not candidates:
         return None
-    mean = sum(one.load for one in candidates) / len(candidates)
+    mean = sum(candidate.load for candidate in candidates) / len(candidates)
     bound = LOAD_BOUND * mean + LOAD_SLACK
-    below_bound = [one for one in candidates if one.load + 1 <= bound]
+    below_bound = [
+        candidate for candidate in candidates if candidate.load + 1 <= bound
+    ]
 
-    def cost(one: Candidate) -> tuple[float, int]:
+    def cost(candidate: Candidate) -> tuple[float, int]:
         prefill = (
-            (one.uncached_tokens - one.copied_tokens)
+            (candidate.uncached_tokens - candidate.copied_tokens)
             / 1000
             * REQUESTS_PER_1000_TOKENS
         )
-        prefill += one.copied_tokens / 1000 * REQUESTS_PER_1000_COPIED
-        extra = max(0.0, one.load - mean - EVEN_LOAD)
-        extra += one.pending_tokens / 1000 * REQUESTS_PER_1000_PENDING
-        return prefill + extra, -hashing.weight(key, one.id)
+        prefill += candidate.copied_tokens / 1000 * REQUESTS_PER_1000_COPIED
+        extra = max(0.0, candidate.load - mean - EVEN_LOAD)
+        extra += candidate.pending_tokens / 1000 * REQUESTS_PER_1000_PENDING
+        return prefill + extra, -hashing.weight(key, candidate.id)
 
     if not below_bound:
-        return min(candidates, key=lambda one: one.load)
+        return min(candidates, key=lambda candidate: candidate.load)
     best = min(below_bound, key=cost)
     if best.uncached_tokens == tokens:
         return best
@@ -119,11 +121,12 @@
     # choice among nearly equal ones prevents that.
     max_cost = cost(best)[0] + SPREAD_COST
     nearly_equal = [
-        one
-        for one in below_bound
-        if one.uncached_tokens <= best.uncached_tokens
-        and one.pending_tokens <= best.pending_tokens + SPREAD_PENDING_TOKENS
-        and cost(one)[0] <= max_cost
+        candidate
+        for candidate in below_bound
+        if candidate.uncached_tokens <= best.uncached_tokens
+        and candidate.pending_tokens
+        <= best.pending_tokens + SPREAD_PENDING_TOKENS
+        and cost(candidate)[0] <= max_cost
     ]
     return _draw_by_headroom(nearly_equal, bound, draw)
 
@@ -134,11 +137,11 @@
     draw: t.Callable[[], float],
 ) -> Candidate:
     """Return a random candidate, weighted by its room below `bound`."""
-    point = draw() * sum(bound - one.load for one in candidates)
-    for one in candidates:
-        point -= bound - one.load
+    point = draw() * sum(bound - candidate.load for candidate in candidates)
+    for candidate in candidates:
+        point -= bound - candidate.load
         if point < 0:
-            return one
+            return candidate
     return candidates[-1]
 
 
@@ -156,8 +159,8 @@
     if not candidates:
         return None
 
-    def load_per_slot(one: Candidate) -> tuple[float, float]:
-        penalty = 0.0 if one.local else REMOTE_LOAD_PENALTY
-        return one.load / max(1, one.slots) + penalty, draw()
+    def load_per_slot(candidate: Candidate) -> tuple[float, float]:
+        penalty = 0.0 if candidate.local else REMOTE_LOAD_PENALTY
+        return candidate.load / max(1, candidate.slots) + penalty, draw()
 
     return min(candidates, key=load_per_slot)
--- a/amaranthring/policy/breakers.py
+++ b/amaranthring/policy/breakers.py
@@ -97,7 +97,7 @@
         known = self.by_target.get(target)
         if known is not None and now < known.open_until:
             # Requests granted before the breaker opened fail one by one;
-            # they must not extend the time.
+            # they must not extend the open time.
             return False
         self._open(target, known, now)
         return True
@@ -115,12 +115,12 @@
         for seen in self.unreachable_at.values():
             seen.pop(target, None)
 
-    def limit(self, target: str, now: float, most: int) -> int:
+    def limit(self, target: str, now: float, capacity: int) -> int:
         """Return how many requests `target` may run, up to `most`."""
         breaker = self.by_target.get(target)
         if breaker is None:
-            return most
-        return 0 if now < breaker.open_until else min(1, most)
+            return capacity
+        return 0 if now < breaker.open_until else min(1, capacity)
 
     def _open(
         self, target: str, known: OpenBreaker | None, now: float
--- a/amaranthring/policy/cells.py
+++ b/amaranthring/policy/cells.py
@@ -174,6 +174,8 @@
     live : callable
         Returns the live routers of a data centre.
     """
-    centres = {target.data_centre for target in targets}
-    routers = {router for centre in centres for router in live(centre)}
+    data_centres = {target.data_centre for target in targets}
+    routers = {
+        router for data_centre in data_centres for router in live(data_centre)
+    }
     return hashing.order(name, routers)
--- a/amaranthring/policy/copies.py
+++ b/amaranthring/policy/copies.py
@@ -11,7 +11,7 @@
 
 # Tokens per second that an otherwise idle engine prefills.
 PREFILL_RATE = 48_000.0
-# Delay before the first token of a copy arrives.
+# Time until the first token of a copy arrives.
 SETUP_SECONDS = 0.0025
 # Copies share the links of both engines with other copies. One is made only
 # if it takes at most this share of the prefill time.
@@ -82,14 +82,14 @@
         As for :func:`is_worthwhile`.
     """
 
-    def preference(one: Holder) -> tuple:
-        local = one.data_centre == receiver.data_centre
-        return one.cached_tokens, local, one.stays, one.id
+    def preference(holder: Holder) -> tuple:
+        local = holder.data_centre == receiver.data_centre
+        return holder.cached_tokens, local, holder.stays, holder.id
 
-    others = [one for one in holders if one.id != receiver.id]
-    found = max(others, key=preference, default=None)
-    if found is None or not is_worthwhile(
-        found.cached_tokens - receiver.cached_tokens, rate
+    others = [holder for holder in holders if holder.id != receiver.id]
+    source = max(others, key=preference, default=None)
+    if source is None or not is_worthwhile(
+        source.cached_tokens - receiver.cached_tokens, rate
     ):
         return None
-    return Copy(found.id, found.cached_tokens - receiver.cached_tokens)
+    return Copy(source.id, source.cached_tokens - receiver.cached_tokens)
--- a/amaranthring/policy/leases.py
+++ b/amaranthring/policy/leases.py
@@ -2,9 +2,10 @@
 
 Each grant has a lease that its entry router renews. Only the owner's own
 grants are counted, not the targets' load reports. While two owners grant in
-one cell, each keeps its part below ``ceil(c * its mean)``, and the parts add
-up to less than ``c`` times the overall mean, apart from rounding. Adding
-lagging reports to either part would break this bound.
+one cell, each keeps its part of a target's load within ``ceil(c * m)``, where
+``c`` is the load bound and ``m`` the mean of its own parts. Both parts add up
+to less than ``c`` times the overall mean, apart from rounding. Adding lagging
+reports to either part would break this bound.
 """
 
 import collections
--- a/amaranthring/policy/queues.py
+++ b/amaranthring/policy/queues.py
@@ -52,7 +52,24 @@
 
 
 class PriorityLevel:
-    """Queued requests of one priority, with its virtual time."""
+    """Queued requests of one priority, with its virtual time.
+
+    Attributes
+    ----------
+    accounts : dict of str to deque of Waiter
+        Queued requests of each account, oldest first.
+    finish : dict of str to float
+        Finish tag of the last request of each account.
+    now : float
+        Virtual time.
+    credit : float
+        Turns accrued while lower priority numbers were served.
+    gained : float
+        Recent progress of virtual time, decayed to `gained_at`.
+    gained_at, started_at : float
+        Time of the last and of the first turn, on the owner's clock;
+        `started_at` is negative before the first.
+    """
 
     def __init__(self):
         self.accounts: dict[str, collections.deque[Waiter]] = {}
@@ -147,17 +164,18 @@
     def __len__(self) -> int:
         return len(self.waiters)
 
-    def push(self, waiter: Waiter, most: int) -> Waiter | None:
+    def push(self, waiter: Waiter, max_length: int) -> Waiter | None:
         """Queue `waiter`; return the request evicted for it, if any.
 
-        If more than `most` requests of this priority are queued, the last
-        one of the account with the most for its weight is evicted, possibly
-        `waiter` itself. A surging account thus cannot keep others out.
+        If more than `max_length` requests of this priority are queued, the
+        last one of the account with the longest queue for its weight is
+        evicted, possibly `waiter` itself. A surging account thus cannot keep
+        others out.
         """
         level = self.levels.setdefault(waiter.priority, PriorityLevel())
         level.push(waiter)
         self.waiters[waiter.key] = waiter
-        if level.length <= most:
+        if level.length <= max_length:
             return None
         longest = max(
             level.accounts.values(),
@@ -177,14 +195,14 @@
 
     def pop(
         self,
-        place: collections.abc.Callable[[Waiter], str | None],
+        find_target: collections.abc.Callable[[Waiter], str | None],
         now: float,
     ) -> tuple[Waiter, str] | None:
-        """Serve the next request that `place` finds a target for.
+        """Serve the next request for which `find_target` returns a target.
 
         Parameters
         ----------
-        place : callable
+        find_target : callable
             Returns the target for a request, or None if there is none yet.
         now : float
             Time on the owner's clock, in seconds.
@@ -192,7 +210,7 @@
         for priority in self._priority_order():
             level = self.levels[priority]
             for waiter in level.candidates():
-                target = place(waiter)
+                target = find_target(waiter)
                 if target is None:
                     continue
                 del self.waiters[waiter.key]
--- a/amaranthring/routing/table.py
+++ b/amaranthring/routing/table.py
@@ -23,7 +23,7 @@
 
     def __init__(self, plan: plans.Plan):
         self.plan = plan
-        self.services = {one.name: one for one in plan.services}
+        self.services = {service.name: service for service in plan.services}
         self.needs_key = bool(plan.accounts)
         self._routes = {
             (route.host.lower(), route.prefix): route for route in plan.routes
@@ -48,10 +48,10 @@
             Path without the query.
         """
         host = host.lower()
-        found = self._longest_match(host, path)
-        if found is None and ":" in host:
-            found = self._longest_match(host.rpartition(":")[0], path)
-        return found
+        route = self._longest_match(host, path)
+        if route is None and ":" in host:
+            route = self._longest_match(host.rpartition(":")[0], path)
+        return route
 
     def _longest_match(self, host: str, path: str) -> plans.Route | None:
         # Prefixes end with a slash, so only such substrings can match.
