--- a/amaranthring/forwarding/attempts.py
+++ b/amaranthring/forwarding/attempts.py
@@ -22,7 +22,8 @@
 IDEMPOTENT_IDLE_SECONDS = 5.0
 IDLE_SECONDS = 2.0
 KEEP_ALIVE = re.compile(r"timeout=(\d+)")
-# Duplicate responses to earlier calls that are skipped on a connection.
+# Maximum number of duplicate responses to earlier requests that are skipped
+# on a reused connection.
 MAX_EXTRA_RESPONSES = 2
 EVENT_STREAM = "text/event-stream"
 
@@ -83,7 +84,8 @@
         Raises
         ------
         errors.UpstreamError
-            If there is no valid head; its outcome tells whether it ran.
+            If there is no valid head; its `outcome` tells whether the request
+            may have run.
         """
         await self._connect()
         self.before_send()
@@ -129,8 +131,8 @@
             )
             if not exchange.reused or not self._is_for_another_request():
                 return
-            # The target responded twice to an earlier call, and the duplicate
-            # precedes the response to this one.
+            # The target responded twice to an earlier request, and the
+            # duplicate precedes the response to this one.
             await exchange.skip_body(MAX_BODY_BYTES)
 
     def _is_for_another_request(self) -> bool:
--- a/amaranthring/forwarding/events.py
+++ b/amaranthring/forwarding/events.py
@@ -66,10 +66,10 @@
             )
 
     def _is_new(self, block: bytes) -> bool:
-        found = EVENT_ID.search(block)
-        if found is None:
+        match = EVENT_ID.search(block)
+        if match is None:
             return True
-        event_id = int(found[1])
+        event_id = int(match[1])
         if self.last_id is not None:
             if event_id <= self.last_id:
                 return False
--- a/amaranthring/forwarding/frontend.py
+++ b/amaranthring/forwarding/frontend.py
@@ -51,7 +51,7 @@
     shutdown_at : float
         Monotonic seconds at which the process ends; requests that may take
         longer are refused.
-    idle : connections.Waiting
+    idle : connections.IdleConnections
         Connections without a request.
     listener : listeners.Listener, optional
         Listener for callers, once started.
--- a/amaranthring/forwarding/placement.py
+++ b/amaranthring/forwarding/placement.py
@@ -22,7 +22,7 @@
 # miss its announcements.
 RECENT_SUCCESS_SECONDS = 2.0
 # A target that this many other routers could not reach is avoided here too,
-# unless it responded here within the trusted time. A report counts slightly
+# unless it responded here within TRUSTED_SECONDS. A report counts slightly
 # longer than the interval between reports.
 MIN_REPORTING_ROUTERS = 2
 TRUSTED_SECONDS = 0.5
@@ -40,8 +40,8 @@
 # the next request probes the data centre again.
 PARTITION_SECONDS = 1.0
 # Time for which others may copy from a target that left without draining: it
-# serves for at least two seconds more. A copy from a stopped target waits in
-# vain, and the prompt has to be prefilled anyway.
+# serves for at least two seconds more. A copy from a stopped target only
+# delays the prefill.
 LINGER_SECONDS = 1.5
 
 
@@ -95,14 +95,14 @@
         # A failing or silent target is better than none. An unreachable one
         # is not: the caller is refused at once, and the first request after
         # the backoff tries again.
-        chosen = (
+        usable = (
             alive
             or healthy
             or [r for r in eligible if not self._is_unreachable(r)]
         )
         if not context.route.idempotent:
-            chosen = self._without_failing(chosen, now)
-        by_id = {record.id: record for record in chosen}
+            usable = self._without_failing(usable, now)
+        by_id = {record.id: record for record in usable}
         candidates = [
             affinity.Candidate(
                 record.id,
@@ -110,24 +110,26 @@
                 record.slots,
                 record.data_centre == self.data_centre,
             )
-            for record in chosen
+            for record in usable
         ]
         parts = context.incoming.parts
         if context.route.with_prompt and parts:
             holders = self._holders(context)
-            for one in candidates:
-                one.uncached_tokens = self.prefixes.uncached_tokens(
-                    parts, one.id
+            for candidate in candidates:
+                candidate.uncached_tokens = self.prefixes.uncached_tokens(
+                    parts, candidate.id
                 )
-                copy = self._copy(context, by_id[one.id], holders)
-                one.copied_tokens = copy.tokens if copy else 0
-                one.pending_tokens = self.views[one.id].pending_tokens
+                copy = self._copy(context, by_id[candidate.id], holders)
+                candidate.copied_tokens = copy.tokens if copy else 0
+                candidate.pending_tokens = self.views[
+                    candidate.id
+                ].pending_tokens
             shared = parts[-2] if len(parts) > 1 else parts[-1]
             tokens = sum(part.tokens for part in parts)
-            found = affinity.choose_by_prefix(candidates, shared.id, tokens)
+            choice = affinity.choose_by_prefix(candidates, shared.id, tokens)
         else:
-            found = affinity.least_loaded(candidates)
-        return by_id[found.id] if found else None
+            choice = affinity.least_loaded(candidates)
+        return by_id[choice.id] if choice else None
 
     def _without_failing(
         self, records: list[messages.TargetRecord], now: float
@@ -195,7 +197,7 @@
         if context.engine is None or not context.route.with_prompt:
             return []
         now = self.clock()
-        found = []
+        holders = []
         for entry in self.table.entries.values():
             record = entry.record
             if record.service != context.service:
@@ -206,10 +208,10 @@
             if not tokens or not self._may_copy_from(entry, now):
                 continue
             stays = record.state == messages.State.READY
-            found.append(
+            holders.append(
                 copies.Holder(record.id, record.data_centre, tokens, stays)
             )
-        return found
+        return holders
 
     def _may_copy_from(self, entry: tables.Entry, now: float) -> bool:
         record = entry.record
@@ -322,7 +324,7 @@
         ]
 
     def record_contact(self, target: messages.TargetRecord) -> None:
-        """Record data from `target`: its data centre is reachable."""
+        """Record that `target` sent data, so its data centre is reachable."""
         if target.data_centre in self.data_centres:
             del self.data_centres[target.data_centre]
 
--- a/amaranthring/forwarding/prompts.py
+++ b/amaranthring/forwarding/prompts.py
@@ -32,9 +32,10 @@
     Attributes
     ----------
     last_used : float
-        When a request with the part was last sent there.
+        Monotonic seconds at which a request with the part was last sent to
+        the target.
     cached_at : float
-        When the target has certainly cached it.
+        Monotonic seconds from which the target is assumed to have cached it.
     """
 
     last_used: float
--- a/amaranthring/forwarding/records.py
+++ b/amaranthring/forwarding/records.py
@@ -30,7 +30,7 @@
     Attributes
     ----------
     request_id : str
-        Set by the caller, different for each of its attempts.
+        Set by the caller, who sets a new one for each retry.
     uri, path : str
         With and without the query.
     headers : HTTPHeaders
@@ -40,7 +40,7 @@
     arrived : float
         Monotonic seconds at which its headers were read.
     timeout : float
-        Seconds that the caller waits; infinite if it did not say.
+        Seconds that the caller waits; infinite if it set no timeout.
     key : str
         Key of the client account; empty if none was sent.
     resume_after : str
--- a/amaranthring/forwarding/request_log.py
+++ b/amaranthring/forwarding/request_log.py
@@ -19,7 +19,7 @@
     incoming: records.Incoming,
     context: records.RequestContext | None,
     writer: responses.ResponseWriter,
-    fault: BaseException | None,
+    failure: BaseException | None,
 ) -> None:
     """Log and count the outcome of a request.
 
@@ -31,7 +31,7 @@
         Why the request has no response from a target.
     """
     seconds = time.monotonic() - incoming.arrived
-    outcome = _outcome(fault)
+    outcome = _outcome(failure)
     metrics.count(f"request.{outcome}")
     if context is not None:
         metrics.record(
@@ -49,11 +49,11 @@
     )
 
 
-def _outcome(fault: BaseException | None) -> str:
-    if fault is None:
+def _outcome(failure: BaseException | None) -> str:
+    if failure is None:
         return "answered"
-    if isinstance(fault, errors.AmaranthringError):
-        return fault.code
+    if isinstance(failure, errors.AmaranthringError):
+        return failure.code
     return "caller-gone"
 
 
--- a/amaranthring/forwarding/responses.py
+++ b/amaranthring/forwarding/responses.py
@@ -73,7 +73,7 @@
         try:
             await self.connection.write_headers(line, headers, data)
         except tornado.iostream.StreamClosedError as error:
-            raise _caller_gone() from error
+            raise _disconnected_error() from error
 
     async def write(self, data: bytes) -> None:
         """Write more bytes of a streamed response.
@@ -86,7 +86,7 @@
         try:
             await self.connection.write(data)
         except tornado.iostream.StreamClosedError as error:
-            raise _caller_gone() from error
+            raise _disconnected_error() from error
 
     def finish(self) -> None:
         """End the response."""
@@ -113,7 +113,7 @@
         await self.send(error.status, headers, body)
 
 
-def _caller_gone() -> errors.CallerDisconnectedError:
+def _disconnected_error() -> errors.CallerDisconnectedError:
     return errors.CallerDisconnectedError(
         "the caller has closed its connection"
     )
--- a/amaranthring/forwarding/startup.py
+++ b/amaranthring/forwarding/startup.py
@@ -23,12 +23,12 @@
 # when there is a plan.
 START_SHARE = 0.45
 MIN_WAIT_SECONDS = 0.6
-# ``Retry-After`` in seconds from a router that has just started,
+# ``Retry-After`` in seconds: from a router that has just started.
 RETRY_STARTING = 0.4
-# from one that is isolated from the keepers, so that callers switch to another
-# router at once,
+# From one that is isolated from the keepers, so that callers switch to another
+# router at once.
 RETRY_ELSEWHERE = 0.0
-# and while the keepers have no quorum.
+# While the keepers have no quorum.
 RETRY_NO_PLAN = 2.0
 
 
--- a/amaranthring/forwarding/views.py
+++ b/amaranthring/forwarding/views.py
@@ -1,7 +1,7 @@
 """State of targets and data centres as observed by one router."""
 
-# Age up to which a load reported by a target is used. After that only
-# requests counted by routers are.
+# Maximum age of a load reported by a target. An older one is ignored, and only
+# the requests counted by routers are used.
 REPORT_SECONDS = 0.3
 
 
@@ -27,14 +27,16 @@
     Attributes
     ----------
     running : int
-        Requests of this router in flight there.
+        Requests of this router in flight at the target.
     others : int
-        Requests of the other routers there, as last reported.
+        Requests of the other routers in flight at it, as last reported.
     prefill_tokens, others_prefill_tokens : int
-        Tokens that it has yet to prefill for this router and for the others.
+        Tokens that the target has yet to prefill for this router and for the
+        others.
     reported : float
         Requests of all routers there: the last load that the target
-        reported, and those that this router has sent since.
+        reported, adjusted for requests that this router has sent or ended
+        since.
     backoff_until : float
         Time until which it is avoided after failures.
     failed_at : float
@@ -59,11 +61,11 @@
 
     @property
     def pending_tokens(self) -> int:
-        """Return the tokens that it has yet to prefill."""
+        """Return the tokens that the target has yet to prefill."""
         return self.prefill_tokens + self.others_prefill_tokens
 
     def load(self, now: float) -> float:
-        """Return the estimated number of requests there."""
+        """Return the estimated number of requests at the target."""
         counted = self.running + self.others
         if now - self.reported_at > REPORT_SECONDS:
             return counted
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -45,11 +45,12 @@
 # limit that all routers together may keep idle.
 MAX_IDLE_CONNECTIONS = 8
 IDLE_SHARE = 0.5
-# Part of the grace period reserved for closing the listener and requests.
+# Part of the grace period reserved for closing the listener and for the last
+# requests.
 CLOSE_SECONDS = 0.5
 # Part of CLOSE_SECONDS reserved for the exit of the process.
 EXIT_SECONDS = 0.4
-FORGET_SECONDS = 5.0
+PRUNE_INTERVAL_SECONDS = 5.0
 
 
 @dataclasses.dataclass
@@ -63,10 +64,12 @@
     keepers : list of str
         Seed addresses of keepers.
     key_lease : float
-        Seconds within which a withdrawn key must stop working; 0 disables
+        Seconds within which a revoked key must stop working; 0 disables
         the lease.
     grace : float
         Seconds that a graceful stop may take.
+    retry_ratio, retry_allowance, retry_window : float
+        Parameters of :class:`budgets.WindowBudget`.
     """
 
     name: str
@@ -83,7 +86,7 @@
 
 
 class PlanRouter:
-    """Components of a router that forwards requests by a plan.
+    """Components of a router that forwards requests by a routing plan.
 
     Parameters
     ----------
@@ -123,7 +126,7 @@
         self.relay = relays.Relay(
             dialect,
             lambda: self.table,
-            self.may_admit,
+            self.may_trust_keys,
             self.placer,
             functools.partial(
                 budgets.WindowBudget,
@@ -157,7 +160,7 @@
         in use.
         """
         services = self.table.services.values() if self.table else ()
-        bounds = [one.connections_most for one in services]
+        bounds = [service.connections_most for service in services]
         limit = min([b for b in bounds if b], default=MAX_IDLE_CONNECTIONS)
         shared = int(limit * IDLE_SHARE / self.subscriber.routers)
         return max(1, min(MAX_IDLE_CONNECTIONS, shared))
@@ -166,7 +169,7 @@
         """Activate the plan in `document`."""
         self.table = routing.RouteTable(self.decode(document))
 
-    def may_admit(self) -> bool:
+    def may_trust_keys(self) -> bool:
         """Return whether the plan's keys are still valid under the lease."""
         lease = self.config.key_lease
         return not lease or self.subscriber.is_fresh(lease * LEASE_SHARE)
@@ -177,7 +180,7 @@
             return "stopping"
         if self.table is None:
             return "no plan yet"
-        if not self.may_admit():
+        if not self.may_trust_keys():
             return "no keeper confirms the plan"
         waited = time.monotonic() - self.started_at
         if not self.reporter.has_heard and waited < MAX_REPORT_WAIT_SECONDS:
@@ -193,7 +196,7 @@
         )
         self.subscriber.use_seeds(self.config.keepers)
         for work in (
-            self._forget_gone_targets(),
+            self._prune_regularly(),
             self.reporter.run(),
             self.relay.connections.run(),
         ):
@@ -208,9 +211,9 @@
         body = json.dumps({"ready": not reason, "reason": reason}).encode()
         return endpoints.Response(503 if reason else 200, body)
 
-    async def _forget_gone_targets(self) -> None:
+    async def _prune_regularly(self) -> None:
         while True:
-            await asyncio.sleep(FORGET_SECONDS)
+            await asyncio.sleep(PRUNE_INTERVAL_SECONDS)
             self.placer.prune()
 
     async def stop(self) -> None:
