--- a/tests/test_account_limits.py
+++ b/tests/test_account_limits.py
@@ -30,9 +30,9 @@
         live = routers or self.fleet.live()
         for number in range(int(per_second * seconds)):
             self.fleet.clock.now += 1 / per_second
-            at = live[number % len(live)]
+            router = live[number % len(live)]
             try:
-                await at.limits.check_limits(fakes.request(number))
+                await router.limits.check_limits(fakes.request(number))
                 admitted += 1
             except errors.RateLimitedError as error:
                 self.assertGreater(error.retry_after, 0)
@@ -76,19 +76,19 @@
 
     async def test_cancelled_caller_does_not_fail_others(self):
         gate = asyncio.Event()
-        at = self.fleet.live()[0]
-        if at.limits._owner("a") == at.name:
-            at = self.fleet.live()[1]
-        call = at.mesh.call
+        router = self.fleet.live()[0]
+        if router.limits._owner("a") == router.name:
+            router = self.fleet.live()[1]
+        call = router.mesh.call
 
         async def slow(*arguments):
             await gate.wait()
             return await call(*arguments)
 
-        at.mesh.call = slow
+        router.mesh.call = slow
         checks = [
             asyncio.ensure_future(
-                at.limits.check_limits(fakes.request(number))
+                router.limits.check_limits(fakes.request(number))
             )
             for number in range(2)
         ]
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -19,8 +19,8 @@
         self.serial = 0
 
     def set_targets(self, count, **fields):
-        found = [fakes.target(f"e{i}", **fields) for i in range(count)]
-        self.cell.set_targets(found)
+        targets = [fakes.target(f"e{i}", **fields) for i in range(count)]
+        self.cell.set_targets(targets)
 
     def admit(self, now=0.0, account="a", wait=100.0, router="r", **fields):
         self.serial += 1
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -43,7 +43,7 @@
 
 
 class TestLateness(unittest.TestCase):
-    """The clocks of two processes share only their rate."""
+    """Messages between processes whose clocks differ and drift."""
 
     def test_late_message_is_detected_despite_clock_drift(self):
         rng = random.Random(3)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -497,13 +497,13 @@
         await self.begin()
         for _ in range(10):
             self.router.relay.response_times.record("s", 0, 0.02)
-        late = mock.Mock()
-        late.open.side_effect = errors.UpstreamTimeoutError("too long")
+        attempt = mock.Mock()
+        attempt.open.side_effect = errors.UpstreamTimeoutError("too long")
         context = records.RequestContext(
             mock.Mock(), UNSAFE, "", "s", 1, time.monotonic()
         )
         with self.assertRaises(errors.UpstreamTimeoutError):
-            await self.router.relay._open(context, late)
+            await self.router.relay._open(context, attempt)
         learned = self.router.relay.response_times.timeout("s", 0, 0.5)
         self.assertLess(learned, 1.0)
 
@@ -656,9 +656,9 @@
         original = stream._read_to_buffer
 
         def read_then_close():
-            found = original()
+            result = original()
             asyncio.get_running_loop().call_soon(stream.close)
-            return found
+            return result
 
         stream._read_to_buffer = read_then_close
         self.assertEqual(b"", await reader.read())
--- a/tests/test_kept_connections.py
+++ b/tests/test_kept_connections.py
@@ -1,4 +1,4 @@
-"""Reuse of kept connections to targets."""
+"""Reuse of pooled connections to targets."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 class KeepAliveTestCase(test_forwarding.RouterCase):
-    """Base: a router before targets that keep their connections open."""
+    """Base class: a router and targets that keep their connections open."""
 
     async def begin(self, *scripts, allowance=10.0):
         await super().begin(*scripts, allowance=allowance)
@@ -20,9 +20,9 @@
 
 
 class TestReuse(KeepAliveTestCase):
-    """Intact connections carry several calls."""
+    """Connections that carry several requests."""
 
-    async def test_calls_share_a_connection(self):
+    async def test_requests_share_a_connection(self):
         await self.begin(scripted_target.respond(b"good"))
         for _ in range(5):
             got = await self.ask("/b/x", "POST", b"text")
@@ -58,7 +58,7 @@
 
 
 class TestUnusableConnections(KeepAliveTestCase):
-    """Connections that must not carry another call."""
+    """Connections that must not carry another request."""
 
     async def check_not_reused(self, script, path="/b/x"):
         await self.begin(script)
@@ -86,8 +86,8 @@
 
         await self.check_not_reused(script)
 
-    async def test_bytes_after_the_answer(self):
-        """Surplus bytes must not become part of the next caller's answer."""
+    async def test_bytes_after_the_response(self):
+        """Surplus bytes must not become part of the next response."""
 
         async def script(seen, writer):
             headers = {"Content_Length": "2"}
@@ -105,7 +105,7 @@
 
         await self.check_not_reused(script)
 
-    async def test_answer_ended_by_close(self):
+    async def test_response_ended_by_close(self):
         async def script(seen, writer):
             writer.write(scripted_target.response_head(seen) + b"all")
             writer.close()
@@ -119,8 +119,8 @@
 
         await self.check_not_reused(script)
 
-    async def test_second_answer_to_an_earlier_call(self):
-        """A repeated answer must not be passed on as that of the next call."""
+    async def test_second_response_to_an_earlier_request(self):
+        """A duplicate must not be forwarded for the next request."""
         repeated = []
 
         async def script(seen, writer):
@@ -141,7 +141,7 @@
             self.assertEqual((200, name.encode()), (got.status, got.body))
         self.assertEqual(3, self.ran())
 
-    async def test_broken_answer_closes_the_connection(self):
+    async def test_broken_response_closes_the_connection(self):
         calls = []
 
         async def script(seen, writer):
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -80,10 +80,13 @@
 
         Its reports must not make the cell refuse all other callers.
         """
-        circuits = breakers.CircuitBreakers()
+        circuit_breakers = breakers.CircuitBreakers()
         names = ("e1", "e2", "e3")
         opened = [
-            circuits.record_unreachable(n, "broken", names, 0.0) for n in names
+            circuit_breakers.record_unreachable(n, "broken", names, 0.0)
+            for n in names
         ]
         self.assertEqual(opened.count(True), 1)
-        self.assertTrue(circuits.record_unreachable("e2", "other", names, 0.1))
+        self.assertTrue(
+            circuit_breakers.record_unreachable("e2", "other", names, 0.1)
+        )
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -10,9 +10,9 @@
 
 from amaranthring.policy import response_times
 
-OBJECTIVE = 0.4
+OBJECTIVE_SECONDS = 0.4
 # Usual time of a second target to its first event.
-USUAL = 0.06
+USUAL_SECONDS = 0.06
 
 
 def first_event_seconds(rng):
@@ -20,7 +20,7 @@
 
 
 class TestResponseTimes(unittest.TestCase):
-    """Requests that are sent to a silent target."""
+    """Timeouts learned from 200 response times of healthy targets."""
 
     def setUp(self):
         self.random = random.Random(5)
@@ -28,16 +28,18 @@
         for _ in range(200):
             self.times.record("s", 0, first_event_seconds(self.random))
 
-    def timeout(self, prefill_tokens=0, left=OBJECTIVE):
+    def timeout(self, prefill_tokens=0, left=OBJECTIVE_SECONDS):
         return self.times.timeout("s", prefill_tokens, left)
 
     def test_second_target_can_still_meet_the_objective(self):
         """A data centre is partitioned off, and its targets do not respond.
 
-        Waiting until the kernel gives up the connection makes every caller
-        that hits one of them late.
+        If requests waited for the kernel to give up the connection, every
+        caller routed to one of them would miss its objective.
         """
-        self.assertLess(self.timeout() + USUAL + 0.03, OBJECTIVE)
+        self.assertLess(
+            self.timeout() + USUAL_SECONDS + 0.03, OBJECTIVE_SECONDS
+        )
 
     def test_healthy_targets_rarely_time_out(self):
         slow = sum(
--- a/tests/test_prompt_copies.py
+++ b/tests/test_prompt_copies.py
@@ -25,8 +25,8 @@
 SLOW_LINKS = routing.Engine(64, 423_882, 18_432.0, 0.3e9)
 REQUESTS_PER_SECOND = 23.0
 LONG_SHARE = 0.2
-# Interval between replacements, and time that an engine serves after it has
-# announced that it leaves.
+# Interval between replacements, and time that an engine still serves after it
+# has started to drain.
 REPLACE_SECONDS = 5.0
 DRAIN_SECONDS = 2.0
 
@@ -165,7 +165,7 @@
         return recomputed, copied
 
     def test_copying_halves_recomputed_tokens(self):
-        """Each engine that leaves takes a fifth of all cached prefixes along.
+        """A fifth of all cached prefixes is lost with each engine that leaves.
 
         Recomputing one takes 0.2 s for 10,000 tokens and delays all other
         requests at that engine.
@@ -177,7 +177,7 @@
         self.assertLess(recomputed, without_copies / 2)
 
 
-class TestWhenCopyPays(unittest.TestCase):
+class TestIsWorthwhile(unittest.TestCase):
     """Whether a copy is faster than prefill."""
 
     def test_many_tokens_over_fast_links(self):
@@ -264,7 +264,7 @@
     def test_draining_engine_is_a_source_until_it_is_gone(self):
         """An engine that has drained stops at once when it is gone.
 
-        Others that copy from it would wait in vain.
+        Copying from it would only delay the prefill.
         """
         self.now += 1.0
         self.old.state = messages.State.DRAINING
--- a/tests/test_prompt_placing.py
+++ b/tests/test_prompt_placing.py
@@ -459,7 +459,7 @@
             "r", "h", "/", routing.Kind.STREAM, 5.0, 0.5, 0, (),
             with_prompt=True,
         )  # fmt: skip
-        found = set()
+        chosen = set()
         for number in range(40):
             incoming = records.Incoming(
                 "r", "POST", "/", "/", "h", None, self.now,
@@ -468,8 +468,8 @@
             context = records.RequestContext(
                 incoming, route, "", "s", 1, 200.0
             )
-            found.add(self.placer.choose(context).data_centre)
-        return found
+            chosen.add(self.placer.choose(context).data_centre)
+        return chosen
 
     def test_data_centre_is_avoided_after_two_unreachable_targets(self):
         """All packets to a data centre with four engines are dropped.
@@ -483,7 +483,7 @@
         self.now += placement.PARTITION_SECONDS
         self.assertEqual({"here", "there"}, self.chosen_data_centres())
 
-    def test_contact_with_one_target_ends_it(self):
+    def test_contact_with_one_target_ends_the_partition(self):
         self.placer.record_failure(self.records["e0"], reached=False)
         self.placer.record_failure(self.records["e1"], reached=False)
         self.placer.record_contact(self.records["e2"])
--- a/tests/test_prompt_spread.py
+++ b/tests/test_prompt_spread.py
@@ -16,14 +16,15 @@
 
 ROUTERS = 84
 ENGINES = [f"e{number}" for number in range(34)]
-RATE = 154.0
+REQUESTS_PER_SECOND = 154.0
 SECONDS = 24.0
 REQUEST_SECONDS = 0.9
 LONG_SHARE = 0.23
 LONG_TOKENS, SHORT_TOKENS = 10_000, 1_000
-LONG, SHORT = 90, 500
-# Time during which one prefix is popular, and time until a prefix has been
-# prefilled and can be copied.
+# Number of different prefixes.
+LONG_PREFIXES, SHORT_PREFIXES = 90, 500
+# Start and end of the time during which one prefix is popular, in seconds, and
+# time until a prefix has been prefilled and can be copied.
 POPULAR_TIME = (10.0, 20.0)
 PREFILL_SECONDS = 0.25
 
@@ -70,7 +71,7 @@
     def run(self) -> None:
         """Place all requests."""
         while self.now < SECONDS:
-            self.now += self.random.expovariate(RATE)
+            self.now += self.random.expovariate(REQUESTS_PER_SECOND)
             self.running = [r for r in self.running if r.ends_at > self.now]
             self.place(*self.next_prefix())
 
@@ -80,9 +81,13 @@
         if popular and self.random.random() < self.popular_share:
             return "long0", LONG_TOKENS
         if self.random.random() < LONG_SHARE:
-            rank = self.random.choices(range(LONG), zipf(LONG))[0]
+            rank = self.random.choices(
+                range(LONG_PREFIXES), zipf(LONG_PREFIXES)
+            )[0]
             return f"long{rank}", LONG_TOKENS
-        rank = self.random.choices(range(SHORT), zipf(SHORT))[0]
+        rank = self.random.choices(
+            range(SHORT_PREFIXES), zipf(SHORT_PREFIXES)
+        )[0]
         return f"short{rank}", SHORT_TOKENS
 
     def place(self, prefix: str, tokens: int) -> None:
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,9 +9,9 @@
 
 
 def route(name="r", host="h", prefix="/a/", shares=(("s", 1),), **fields):
-    made = tuple(routing.Share(*share) for share in shares)
+    weighted = tuple(routing.Share(*share) for share in shares)
     return routing.Route(
-        name, host, prefix, routing.Kind.SAFE, 1.0, 0.1, 0, made, **fields
+        name, host, prefix, routing.Kind.SAFE, 1.0, 0.1, 0, weighted, **fields
     )
 
 
@@ -36,8 +36,8 @@
         )
 
     def route_name(self, host, path):
-        found = self.table.match(host, path)
-        return found.name if found else None
+        matched = self.table.match(host, path)
+        return matched.name if matched else None
 
     def test_longest_prefix_wins(self):
         self.assertEqual("short", self.route_name("h", "/a/x"))
@@ -72,9 +72,9 @@
 class TestCheck(unittest.TestCase):
     """Invalid plans are rejected."""
 
-    def check_invalid(self, found, expected):
+    def check_invalid(self, invalid_plan, expected):
         with self.assertRaises(errors.InvalidPlanError) as caught:
-            routing.check(found)
+            routing.check(invalid_plan)
         self.assertIn(expected, str(caught.exception))
 
     def test_valid_plan_passes(self):
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -24,8 +24,8 @@
 CLOSING_REQUEST = REQUEST.replace(
     b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"
 )
-# Event loop iterations that each open one connection; a listener without
-# grace closes within them.
+# Event loop iterations that each open one connection; a listener that does not
+# drain its backlog closes within them.
 ITERATIONS = 6
 
 
@@ -45,15 +45,15 @@
 
 async def send_each_step(address):
     """Send a request in each of several event loop iterations."""
-    asked = []
+    sockets = []
     for _ in range(ITERATIONS):
-        asked.append(open_and_send(address))
+        sockets.append(open_and_send(address))
         await asyncio.sleep(0)
-    return [sock for sock in asked if sock is not None]
+    return [sock for sock in sockets if sock is not None]
 
 
-def read_answer(sock):
-    """Return the start of an answer or the error, blocking the loop."""
+def read_response(sock):
+    """Return the start of a response or the error, blocking the loop."""
     sock.settimeout(0.5)
     try:
         return sock.recv(64)
@@ -90,32 +90,32 @@
         """
         running = await self.run_router()
         self.stop.set()
-        asked = await send_each_step(self.address)
+        sockets = await send_each_step(self.address)
         await running
-        self.assertTrue(asked)
-        for sock in asked:
-            self.assertIn(b"HTTP/1.1 ", read_answer(sock))
+        self.assertTrue(sockets)
+        for sock in sockets:
+            self.assertIn(b"HTTP/1.1 ", read_response(sock))
 
     async def test_kept_connections_are_told_to_close(self):
-        """Answers of a stopping router must ask to close the connection.
+        """Responses of a stopping router must ask to close the connection.
 
         Otherwise the next request is lost when the process exits.
         """
         running = await self.run_router()
         self.stop.set()
-        asked = await send_each_step(self.address)
+        sockets = await send_each_step(self.address)
         await running
-        for sock in asked:
+        for sock in sockets:
             self.assertIn(b"close", _read_all(sock).lower())
 
 
 def _read_all(sock):
     sock.settimeout(0.5)
-    found = b""
+    received = b""
     while data := sock.recv(4096):
-        found += data
+        received += data
     sock.close()
-    return found
+    return received
 
 
 class TestPlanRouterStops(unittest.IsolatedAsyncioTestCase):
@@ -143,11 +143,11 @@
     async def test_open_connections_are_answered(self):
         """Connections that the kernel has accepted must be answered."""
         stopping = asyncio.ensure_future(self.router.stop())
-        asked = await send_each_step(self.address)
+        sockets = await send_each_step(self.address)
         await stopping
-        self.assertTrue(asked)
-        for sock in asked:
-            self.assertIn(b"HTTP/1.1 ", read_answer(sock))
+        self.assertTrue(sockets)
+        for sock in sockets:
+            self.assertIn(b"HTTP/1.1 ", read_response(sock))
 
     @mock.patch.object(plan_router, "ROTATION_SECONDS", 0.0)
     async def test_new_connection_is_not_idle(self):
@@ -161,7 +161,7 @@
         await asyncio.sleep(0.3)
         sock.sendall(REQUEST)
         await stopping
-        self.assertIn(b"HTTP/1.1 ", read_answer(sock))
+        self.assertIn(b"HTTP/1.1 ", read_response(sock))
 
     @mock.patch.object(plan_router, "ROTATION_SECONDS", 0.0)
     async def test_arrived_request_is_not_idle(self):
@@ -171,20 +171,20 @@
         stopping = asyncio.ensure_future(self.router.stop())
         sock.sendall(REQUEST)
         await stopping
-        self.assertIn(b"HTTP/1.1 ", read_answer(sock))
+        self.assertIn(b"HTTP/1.1 ", read_response(sock))
 
 
 class TestSlowReader(unittest.IsolatedAsyncioTestCase):
-    """A router that sends a long answer."""
+    """A router that sends a long response."""
 
-    async def test_unsent_answer_delays_shutdown(self):
-        """A request counts as running until its answer is sent completely.
+    async def test_unsent_response_delays_shutdown(self):
+        """A request counts as in flight until its response is sent completely.
 
-        Otherwise shutdown cuts off an answer in the router's send buffer.
+        Otherwise shutdown cuts off a response in the router's send buffer.
         """
-        made = in_process_callers.Harness()
-        self.addAsyncCleanup(made.close)
-        router = made.add_router()
+        harness = in_process_callers.Harness()
+        self.addAsyncCleanup(harness.close)
+        router = harness.add_router()
         drain = router.fakes.needs.drain
         many = {f"model-{number:06}" for number in range(200_000)}
         router.fakes.needs.served_names = lambda kind: many
@@ -241,19 +241,21 @@
 
     async def stop_in_use(self, name):
         address = self.fleet.settings[name].listen.callers.rsplit(":", 1)
-        using = [
-            asyncio.ensure_future(self.use(address, keeps=number % 2 == 0))
+        tasks = [
+            asyncio.ensure_future(
+                self.use(address, keep_alive=number % 2 == 0)
+            )
             for number in range(self.callers)
         ]
         await asyncio.sleep(0.3)
         process = self.fleet.processes.pop(name)
         code = await asyncio.to_thread(process.stop)
-        await asyncio.gather(*using)
+        await asyncio.gather(*tasks)
         self.assertEqual(code, 0)
 
-    async def use(self, address, keeps):
+    async def use(self, address, keep_alive):
         """Send requests one by one until connections are refused."""
-        head = REQUEST if keeps else CLOSING_REQUEST
+        head = REQUEST if keep_alive else CLOSING_REQUEST
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*address)
@@ -261,35 +263,35 @@
                 return
             more = True
             while more:
-                more = await self.send(reader, writer, head) and keeps
+                more = await self.send(reader, writer, head) and keep_alive
             writer.close()
 
     async def send(self, reader, writer, head):
         """Send one request; return whether the connection can be reused."""
         try:
             writer.write(head)
-            found = await reader.readuntil(b"\r\n\r\n")
-            size = re.search(rb"(?i)content-length: (\d+)", found)
+            response_head = await reader.readuntil(b"\r\n\r\n")
+            size = re.search(rb"(?i)content-length: (\d+)", response_head)
             await reader.readexactly(int(size[1]))
         except (OSError, asyncio.IncompleteReadError) as error:
             self.lost.append(repr(error))
             return False
         self.answered += 1
-        return b"connection: close" not in found.lower()
+        return b"connection: close" not in response_head.lower()
 
 
 class TestSlowBalancer(fleet_case.FleetCase):
     """A balancer that is slow to remove a stopping router."""
 
     routers = 3
-    # Longer than the minimum time from the failing check to the end.
+    # Longer than the minimum time from the failing health check to the exit.
     late_seconds = 2.5
 
     async def test_late_callers_are_served(self):
         """A stopping router must serve callers of a slow balancer.
 
-        If it closed its listener a second after the check began to fail,
-        their requests would be lost or refused.
+        If it closed its listener a second after its health check began to
+        fail, their requests would be lost or refused.
         """
         chats = asyncio.ensure_future(self.chat_until_stopped(max_tokens=10))
         name = self.names[0]
