--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -21,7 +21,15 @@
 
 @dataclasses.dataclass
 class SiblingLoad:
-    """Last reported load of another cell that serves the same models."""
+    """Last reported load of another cell that serves the same models.
+
+    Attributes
+    ----------
+    room : int
+        Number of further requests that its targets may run.
+    waiting : int
+        Number of queued requests.
+    """
 
     in_flight: int
     targets: int
@@ -104,6 +112,15 @@
         Name of the cell.
     now : float
         Time at which this router became the owner.
+
+    Attributes
+    ----------
+    counts : leases.LeaseTable
+        Leases of the granted requests, with the load of each target.
+    recent_releases : float
+        Number of released leases, decayed exponentially to `released_at`.
+    granted, evicted : list
+        Results of calls that concern other requests; the caller clears them.
     """
 
     def __init__(self, name: str, now: float):
--- a/amaranthring/policy/affinity.py
+++ b/amaranthring/policy/affinity.py
@@ -25,7 +25,7 @@
 # Cost of prefilling 1,000 tokens, in requests at the target. An engine
 # prefills 48 tokens per millisecond, which delays its other requests too.
 REQUESTS_PER_1000_TOKENS = 5.0
-# Cost of copying 1,000 cached tokens from another target, likewise: a
+# Cost of copying 1,000 cached tokens from another target, in requests: a
 # seventh of the cost of prefill, in a hundredth of the time.
 REQUESTS_PER_1000_COPIED = 0.7
 # Loads up to this many requests above the mean count as equal. While no
@@ -37,8 +37,8 @@
 # Targets with the same cached prefix share its requests while their cost
 # exceeds that of the cheapest one by at most this many requests.
 SPREAD_COST = 3.0
-# ... and while they have at most this many more tokens queued for prefill
-# (50 ms), so that random choice delays no request.
+# Such targets have at most this many more tokens queued for prefill than the
+# cheapest one (50 ms), so that random choice delays no request.
 SPREAD_PENDING_TOKENS = 2_500
 # Extra load per slot at which a request without a prompt goes to another
 # data centre: the round trip takes a millisecond, and traffic is paid for.
--- a/amaranthring/policy/breakers.py
+++ b/amaranthring/policy/breakers.py
@@ -116,7 +116,7 @@
             seen.pop(target, None)
 
     def limit(self, target: str, now: float, capacity: int) -> int:
-        """Return how many requests `target` may run, up to `most`."""
+        """Return how many requests `target` may run, up to `capacity`."""
         breaker = self.by_target.get(target)
         if breaker is None:
             return capacity
--- a/amaranthring/policy/cells.py
+++ b/amaranthring/policy/cells.py
@@ -83,8 +83,8 @@
 def _part(name: str, parts: int) -> int:
     if parts == 1:
         return 0
-    found = hashing.first(name, [str(part) for part in range(parts)])
-    return int(found or 0)
+    chosen = hashing.first(name, [str(part) for part in range(parts)])
+    return int(chosen or 0)
 
 
 @functools.lru_cache(maxsize=1024)
--- a/amaranthring/policy/leases.py
+++ b/amaranthring/policy/leases.py
@@ -38,7 +38,17 @@
 
 
 class LeaseTable:
-    """Leases by key, with the load of each target."""
+    """Leases by key, with the load of each target.
+
+    Attributes
+    ----------
+    held : dict of Key to Lease
+        All leases.
+    serials : dict of str to set of int
+        Serial numbers of the leases of each entry router.
+    suspects : dict of str to Key
+        By target, the lease of the suspect that runs there.
+    """
 
     def __init__(self):
         self.held: dict[Key, Lease] = {}
--- a/amaranthring/policy/queues.py
+++ b/amaranthring/policy/queues.py
@@ -223,10 +223,10 @@
     def requests_ahead(self, account: str, priority: int) -> float:
         """Return how many requests go before a new one of `account`."""
         count = 0.0
-        for each, level in self.levels.items():
-            if each < priority:
+        for other, level in self.levels.items():
+            if other < priority:
                 count += level.length
-            elif each == priority:
+            elif other == priority:
                 count += self._ahead_in_level(level, account)
         return count
 
