--- a/amaranthring/forwarding/frontend.py
+++ b/amaranthring/forwarding/frontend.py
@@ -26,7 +26,7 @@
 MAX_HEADER_BYTES = 256 * 1024
 MAX_BODY_BYTES = 64 * 1024 * 1024
 # Longer than the idle time of any plan, so that a connection is not closed
-# while a caller that keeps to the plan sends a request.
+# while a caller that observes the idle time of the plan sends a request.
 IDLE_SECONDS = 120.0
 
 
--- a/amaranthring/forwarding/relay.py
+++ b/amaranthring/forwarding/relay.py
@@ -30,7 +30,7 @@
 # longest pause without an event; callers give up after eight times the pause.
 # Other streams wait, as only the same target can continue them.
 PAUSE_FACTOR = 4.0
-# Minimum of that timeout, in seconds.
+# Minimum timeout between two events, in seconds.
 MIN_EVENT_TIMEOUT = 1.2
 # Seconds before the caller's timeout at which the final response is sent.
 RESPONSE_MARGIN = 0.02
--- a/amaranthring/forwarding/request_log.py
+++ b/amaranthring/forwarding/request_log.py
@@ -27,7 +27,7 @@
     ----------
     context : RequestContext or None
         None if the request was refused before it was routed.
-    fault : exception or None
+    failure : exception or None
         Why the request has no response from a target.
     """
     seconds = time.monotonic() - incoming.arrived
--- a/amaranthring/plan_router.py
+++ b/amaranthring/plan_router.py
@@ -41,8 +41,8 @@
 # How long a starting router waits for the load and cache reports of the
 # others. Without them, prompts miss the targets' prefix caches.
 MAX_REPORT_WAIT_SECONDS = 3.0
-# Idle connections kept to one target, and the share of a target's connection
-# limit that all routers together may keep idle.
+# Maximum number of idle connections to one target, and the share of a target's
+# connection limit that all routers together may keep idle.
 MAX_IDLE_CONNECTIONS = 8
 IDLE_SHARE = 0.5
 # Part of the grace period reserved for closing the listener and for the last
