--- a/amaranthring/policy/admission.py
+++ b/amaranthring/policy/admission.py
@@ -21,7 +21,15 @@
 
 @dataclasses.dataclass
 class SiblingLoad:
-    """Last reported load of another cell that serves the same models."""
+    """Last reported load of another cell that serves the same models.
+
+    Attributes
+    ----------
+    room : int
+        Number of further requests that its targets may run.
+    waiting : int
+        Number of queued requests.
+    """
 
     in_flight: int
     targets: int
@@ -104,6 +112,15 @@
         Name of the cell.
     now : float
         Time at which this router became the owner.
+
+    Attributes
+    ----------
+    counts : leases.LeaseTable
+        Leases of the granted requests, with the load of each target.
+    recent_releases : float
+        Number of released leases, decayed exponentially to `released_at`.
+    granted, evicted : list
+        Results of calls that concern other requests; the caller clears them.
     """
 
     def __init__(self, name: str, now: float):
@@ -156,12 +173,12 @@
         A suspect request waits for a target that runs no other suspect. Load
         does not show which cells have one, so all siblings are returned.
         """
-        found = [
+        ranked = [
             (-sibling.room / max(sibling.targets, 1), name)
             for name, sibling in self._fresh_siblings(now).items()
             if sibling.room > 0 or request.suspect
         ]
-        return [name for _, name in sorted(found)]
+        return [name for _, name in sorted(ranked)]
 
     # -- decisions --
 
@@ -249,12 +266,12 @@
     def serve(self, now: float) -> None:
         """Grant queued requests while there is room; see `granted`."""
         while len(self.queue) and self.has_room(now):
-            found = self.queue.pop(
+            popped = self.queue.pop(
                 lambda w: self.choose_target(w.request, now), now
             )
-            if found is None:
+            if popped is None:
                 break
-            waiter, target = found
+            waiter, target = popped
             self._add_lease(waiter.request, target, now)
             waited = now - waiter.since
             self.granted.append(self._make_grant(waiter.key, target, waited))
@@ -352,8 +369,8 @@
         # Targets that are unreachable, or barred for this request, are left
         # out of the mean. Otherwise it would be too low, and requests would
         # queue while the other targets have room.
-        out = barred | self.breakers.by_target.keys()
-        usable = [name for name in loads if name not in out]
+        ignored = barred | self.breakers.by_target.keys()
+        usable = [name for name in loads if name not in ignored]
         usable = usable or list(loads)
         total = sum(loads[name] for name in usable)
         count = len(usable)
--- a/amaranthring/policy/cells.py
+++ b/amaranthring/policy/cells.py
@@ -83,8 +83,8 @@
 def _part(name: str, parts: int) -> int:
     if parts == 1:
         return 0
-    found = hashing.first(name, [str(part) for part in range(parts)])
-    return int(found or 0)
+    chosen = hashing.first(name, [str(part) for part in range(parts)])
+    return int(chosen or 0)
 
 
 @functools.lru_cache(maxsize=1024)
@@ -174,6 +174,8 @@
     live : callable
         Returns the live routers of a data centre.
     """
-    centres = {target.data_centre for target in targets}
-    routers = {router for centre in centres for router in live(centre)}
+    data_centres = {target.data_centre for target in targets}
+    routers = {
+        router for data_centre in data_centres for router in live(data_centre)
+    }
     return hashing.order(name, routers)
--- a/amaranthring/policy/leases.py
+++ b/amaranthring/policy/leases.py
@@ -2,9 +2,10 @@
 
 Each grant has a lease that its entry router renews. Only the owner's own
 grants are counted, not the targets' load reports. While two owners grant in
-one cell, each keeps its part below ``ceil(c * its mean)``, and the parts add
-up to less than ``c`` times the overall mean, apart from rounding. Adding
-lagging reports to either part would break this bound.
+one cell, each keeps its part of a target's load within ``ceil(c * m)``, where
+``c`` is the load bound and ``m`` the mean of its own parts. Both parts add up
+to less than ``c`` times the overall mean, apart from rounding. Adding lagging
+reports to either part would break this bound.
 """
 
 import collections
@@ -37,7 +38,17 @@
 
 
 class LeaseTable:
-    """Leases by key, with the load of each target."""
+    """Leases by key, with the load of each target.
+
+    Attributes
+    ----------
+    held : dict of Key to Lease
+        All leases.
+    serials : dict of str to set of int
+        Serial numbers of the leases of each entry router.
+    suspects : dict of str to Key
+        By target, the lease of the suspect that runs there.
+    """
 
     def __init__(self):
         self.held: dict[Key, Lease] = {}
