--- a/amaranthring/callers/chats.py
+++ b/amaranthring/callers/chats.py
@@ -59,9 +59,9 @@
         Whether the current engine accepted the request with a valid
         response head, so that its stream may be resumed.
     started, last_sent : float
-        Monotonic time of arrival, and of the last bytes sent on.
+        Monotonic seconds of arrival, and of the last bytes forwarded.
     first_token : float
-        Seconds from arrival to the first bytes sent on.
+        Seconds from arrival to the first bytes forwarded.
     worst_gap : float
         Longest time between two reads that brought tokens, in seconds.
     """
@@ -242,8 +242,8 @@
 def _check_continued(exchange, expected: int) -> None:
     """Reject an engine that started anew instead of continuing.
 
-    It would send other words under event numbers that the caller has not
-    seen; the numbers alone would not show it.
+    It would send different text under the expected event numbers, so the
+    numbers alone would not reveal it.
     """
     given = exchange.headers.get(CONTINUED_HEADER, "")
     if given != str(expected):
--- a/amaranthring/callers/codec.py
+++ b/amaranthring/callers/codec.py
@@ -166,9 +166,9 @@
         return Chat.model_validate_json(body)
     except pydantic.ValidationError as error:
         first = error.errors(include_url=False)[0]
-        where = ".".join(str(part) for part in first["loc"]) or "body"
+        location = ".".join(str(part) for part in first["loc"]) or "body"
         raise errors.BadRequestError(
-            f"{where} is invalid",
+            f"{location} is invalid",
             given=repr(first["input"])[:80],
             expected=first["msg"],
         ) from error
--- a/amaranthring/callers/execution.py
+++ b/amaranthring/callers/execution.py
@@ -15,7 +15,7 @@
 from amaranthring.core import drain as drains
 from amaranthring.core import fleet
 from amaranthring.core import links
-from amaranthring.core import metrics as figures
+from amaranthring.core import metrics as metrics_module
 from amaranthring.core import records
 from amaranthring.targets import upstream
 
@@ -47,7 +47,7 @@
     metrics : Metrics
         Counters and histograms of this process.
     drain : Drain
-        Requests in progress.
+        Requests in flight, and the shutdown state.
     may_run : callable
         Whether the holder of an attempt may still run it.
     running_attempts : set of str
@@ -77,8 +77,8 @@
     record_decision: t.Callable[..., None]
     get_target: t.Callable[[str], records.Target | None]
     served_names: t.Callable[[records.TargetKind], t.Collection[str]]
-    metrics: figures.Metrics = dataclasses.field(
-        default_factory=figures.Metrics
+    metrics: metrics_module.Metrics = dataclasses.field(
+        default_factory=metrics_module.Metrics
     )
     drain: drains.Drain = dataclasses.field(default_factory=drains.Drain)
     may_run: t.Callable[[str], t.Awaitable[bool]] = _may_run
@@ -312,11 +312,10 @@
 ) -> bool:
     """Return whether a retry is charged to the retry budget.
 
-    The budget limits repeated work on targets that live. A target that
-    crashed or could not be reached does no work, and its owner stops
-    admitting to it, so only the requests in flight there are retried.
-    Charged to the budget, they would exhaust that of a small account as
-    soon as one of three engines crashed.
+    The budget limits repeated work on live targets. A target that crashed
+    or could not be reached does no work, and its owner stops admitting to
+    it, so only the requests in flight there are retried. Charged to the
+    budget, they would exhaust that of a small account.
     """
     unreachable = (
         isinstance(last_error, errors.UpstreamError) and not attempt.sent
--- a/amaranthring/callers/services.py
+++ b/amaranthring/callers/services.py
@@ -159,7 +159,7 @@
 
     If a claim is granted but the reply is lost, the key would stay blocked
     although nothing was sent. The ledger recognises the attempt when asked
-    latest. If no reply comes at all, this attempt sends nothing, and a claim
+    again. If no reply comes at all, this attempt sends nothing, and a claim
     that was granted is released as soon as the ledger can be reached.
     """
     last_error: errors.AmaranthringError | None = None
@@ -303,8 +303,8 @@
             given=request.key,
             expected="a check with the service itself",
         )
-    kept = claim.answer
-    return execution.Response(kept.status, kept.content_type, kept.body)
+    answer = claim.answer
+    return execution.Response(answer.status, answer.content_type, answer.body)
 
 
 async def _resend_to_target(
--- a/amaranthring/callers/settlements.py
+++ b/amaranthring/callers/settlements.py
@@ -2,8 +2,8 @@
 
 A router that loses its connection while it requests a claim sends nothing to
 a target. But its command may still reach the keepers later: the claim is then
-held by an attempt that has ended, and every resend would get ``unknown`` for
-good, although nothing ran. So a router repeats what it knows about its own
+held by an attempt that has ended, and every resend would get ``unknown``
+permanently, although nothing ran. So a router resends the outcome of its own
 attempts until the ledger confirms it.
 """
 
@@ -12,7 +12,7 @@
 import typing as t
 
 from amaranthring import errors
-from amaranthring.core import metrics as figures
+from amaranthring.core import metrics as metrics_module
 from amaranthring.core import records
 
 MAX_PENDING = 10_000
@@ -42,7 +42,7 @@
         ``unknown``, which is safe.
     """
 
-    def __init__(self, settle: Settle, metrics: figures.Metrics):
+    def __init__(self, settle: Settle, metrics: metrics_module.Metrics):
         self.settle = settle
         self.metrics = metrics
         self.pending: collections.OrderedDict[str, tuple] = (
--- a/amaranthring/core/config_parts.py
+++ b/amaranthring/core/config_parts.py
@@ -245,8 +245,8 @@
             items = dict(self.items)
             return Delta(-1, self.revision, items, [], self.digest)
         changed_names: set[str] = set()
-        for at, names in reversed(self.change_log):
-            if at <= revision:
+        for changed_at, names in reversed(self.change_log):
+            if changed_at <= revision:
                 break
             changed_names.update(names)
         changed = {p: self.items[p] for p in changed_names if p in self.items}
@@ -265,7 +265,7 @@
         ------
         errors.FrameError
             If the digest of the result differs from that of `delta`, or
-            `delta` starts after the held revision. The map is unchanged.
+            `delta` starts after :attr:`revision`. The map is unchanged.
         """
         if delta.revision <= self.revision:
             return False
@@ -301,7 +301,9 @@
             "revision": self.revision,
             "items": self.items,
             "digest": self.digest,
-            "journal": [[at, names] for at, names in self.change_log],
+            "journal": [
+                [changed_at, names] for changed_at, names in self.change_log
+            ],
             "known_from": self.oldest_base,
         }
 
@@ -318,7 +320,7 @@
         loaded.change(values["revision"], values["items"], [])
         loaded.change_log.clear()
         loaded.change_log.extend(
-            (at, names) for at, names in values["journal"]
+            (changed_at, names) for changed_at, names in values["journal"]
         )
         loaded.oldest_base = values["known_from"]
         if loaded.digest != values["digest"]:
--- a/amaranthring/core/connections.py
+++ b/amaranthring/core/connections.py
@@ -5,8 +5,9 @@
 import time
 import typing as t
 
-# Gives a new caller on a slow line time to send its request, and a served
-# one time to read that the connection is to be closed.
+# Idle time after which a connection may be closed: a new caller on a slow line
+# needs time to send its request, and a served one to read that the connection
+# is to be closed.
 MIN_IDLE_SECONDS = 1.0
 POLL_SECONDS = 0.1
 
--- a/amaranthring/core/listeners.py
+++ b/amaranthring/core/listeners.py
@@ -15,8 +15,8 @@
 
 log = logbook.Logger(__name__)
 
-# One round trip, also across regions: lets TCP handshakes complete whose SYN
-# arrived before the filter was attached.
+# Covers one round trip, also across regions, so that TCP handshakes complete
+# whose SYN arrived before the filter was attached.
 SETTLE_SECONDS = 0.1
 
 # Socket option of Linux that the socket module does not define.
--- a/amaranthring/core/wire.py
+++ b/amaranthring/core/wire.py
@@ -80,8 +80,8 @@
     """
 
     def register(cls: C) -> C:
-        # Generates only __init__ for each class, which shortens the start of
-        # a process: it defines some sixty messages before it can listen.
+        # Generates only __init__ for each class: a process defines all its
+        # messages before it can listen, so this shortens its startup.
         message_class = dataclasses.dataclass(
             repr=False, eq=False, match_args=False
         )(cls)
--- a/amaranthring/operators/base.py
+++ b/amaranthring/operators/base.py
@@ -48,7 +48,7 @@
     change_keepers : callable
         Coroutine that takes whether to add, and a ``schemas.KeeperModel``.
     drain : drain.Drain
-        Counts requests in progress, so that a shutdown can wait for them.
+        Counts requests in flight, so that a shutdown can wait for them.
     """
 
     tokens: dict[str, str]
@@ -94,8 +94,8 @@
 
     def _operator_with_token(self, digest: str) -> str:
         operator = ""
-        for name, known in self.dependencies.tokens.items():
-            if hmac.compare_digest(known, digest):
+        for name, known_digest in self.dependencies.tokens.items():
+            if hmac.compare_digest(known_digest, digest):
                 operator = name
         return operator
 
--- a/amaranthring/platform/control.py
+++ b/amaranthring/platform/control.py
@@ -105,8 +105,8 @@
     hub: hubs.Hub, request: endpoints.Request
 ) -> endpoints.Response:
     plan = documents.decode(request.body)
-    held = await hub.put(plan.version, request.body)
-    return endpoints.Response(body=json.dumps({"version": held}).encode())
+    version = await hub.put(plan.version, request.body)
+    return endpoints.Response(body=json.dumps({"version": version}).encode())
 
 
 async def _fetch(hub: hubs.Hub) -> endpoints.Response:
--- a/amaranthring/platform/headers.py
+++ b/amaranthring/platform/headers.py
@@ -30,7 +30,7 @@
 PRIORITY = "Amaranthring-Request-Priority"
 # Required version of the weights; targets with another one reject.
 EXPECTED_WEIGHTS = "Amaranthring-Expect-Version"
-# KV memory of a run that targets pin, reserve or transfer.
+# Ask a target to pin, reserve or transfer KV memory.
 PIN = "Amaranthring-Kv-Pin-Ms"
 RESERVATION = "Amaranthring-Kv-Retain"
 BACKUP = "Amaranthring-Kv-Backup"
@@ -118,11 +118,11 @@
 def _without(headers, names: set[str]) -> tornado.httputil.HTTPHeaders:
     options = headers.get("Connection", "").lower().split(",")
     dropped = names | {name.strip() for name in options}
-    kept = tornado.httputil.HTTPHeaders()
+    remaining = tornado.httputil.HTTPHeaders()
     for name, value in headers.get_all():
         if name.lower() not in dropped:
-            kept.add(name, value)
-    return kept
+            remaining.add(name, value)
+    return remaining
 
 
 def _timeout(value: str | None) -> float:
--- a/amaranthring/settings/file_checks.py
+++ b/amaranthring/settings/file_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the files and folders that settings name, before a start."""
+"""Checks the files and folders that settings name, before startup."""
 
 import os
 import ssl
--- a/tests/test_attribution.py
+++ b/tests/test_attribution.py
@@ -9,13 +9,15 @@
 import attribution
 
 
-def request_line(at, router, target, prompt, copies="", outcome="answered"):
+def request_line(
+    arrived_at, router, target, prompt, copies="", outcome="answered"
+):
     event = {
         "event": "request", "outcome": outcome, "status": 200, "ms": 100.0,
         "route": "r", "trail": f"{target}:200", "copies": copies,
         "prompt": prompt,
     }  # fmt: skip
-    return f"  {at + 0.1:.4f} {router} {json.dumps(event)}"
+    return f"  {arrived_at + 0.1:.4f} {router} {json.dumps(event)}"
 
 
 def target_changed(target, data_centre):
--- a/tests/test_chats.py
+++ b/tests/test_chats.py
@@ -118,12 +118,12 @@
         self.engine.planned_fault = {"fault": "crash", "at": 3, "times": 1}
         response = await router.chat(in_process_callers.chat_body())
         self.assert_failed(response, "upstream", "unknown")
-        seen = in_process_callers.join_text(
+        received = in_process_callers.join_text(
             in_process_callers.parse_events(response.body)
         )
         self.assertTrue(
             engine.expected_text(in_process_callers.chat_body()).startswith(
-                seen
+                received
             )
         )
 
@@ -227,7 +227,7 @@
         self.assertEqual(choice["message"]["content"], expected)
 
     async def test_bad_response_is_retried_elsewhere(self):
-        """Broken off, another request's, or an error of the engine."""
+        """It is truncated, another request's, or an error of the engine."""
         self.local.add_engine("e2")
         router = self.local.add_router()
         for fault in ("drop", "truncate", "foreign-answer", "status"):
@@ -241,7 +241,7 @@
         self.assert_idle(router)
 
     async def test_outcome_stays_unknown_if_the_retry_is_not_sent(self):
-        """The first engine ran it and broke off; the second got nothing."""
+        """The first engine ran it and disconnected; the second got nothing."""
         self.local.add_engine("e2")
         router = self.local.add_router()
         await self.local.stop("e2")
@@ -363,9 +363,9 @@
         ) as stream:
             await stream.read_until(b"data: ")
             (run,) = self.engine.streams.values()
-            seen = -1
-            while seen != run.sent:
-                seen = run.sent
+            previous = -1
+            while previous != run.sent:
+                previous = run.sent
                 await asyncio.sleep(0.3)
             self.assertLess(run.sent, tokens)
             (served,) = router.server._connections
@@ -391,9 +391,7 @@
         )
         self.assert_idle(router)
 
-    async def test_stopping_router_finishes_running_requests_only(
-        self,
-    ):
+    async def test_stopping_router_finishes_running_requests_only(self):
         router = self.local.add_router()
         body = in_process_callers.chat_body(tokens=40)
         self.engine.token_seconds = 0.01
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -132,9 +132,9 @@
 
     async def assert_quarantined(self, url, body):
         callers = load.Callers([url], self.callers.token)
-        until = asyncio.get_running_loop().time() + 5.0
+        deadline = asyncio.get_running_loop().time() + 5.0
         while "quarantined" not in callers.tally.refused:
-            self.assertLess(asyncio.get_running_loop().time(), until)
+            self.assertLess(asyncio.get_running_loop().time(), deadline)
             await callers.ask(body)
 
 
@@ -204,14 +204,14 @@
         outcome, body = await callers.book("s", "cut-off")
         self.assertNotEqual(outcome, "ran")
         for number in itertools.count():
-            began = loop.time()
+            started_at = loop.time()
             outcome, body = await callers.book("s", f"never-sent-{number}")
             code = json.loads(body)["error"]["code"]
             if code == "no-quorum":
                 break
             self.assertEqual(outcome, "unknown")
         self.assertEqual(outcome, "not-run")
-        self.assertLess(loop.time() - began, 3.0)
+        self.assertLess(loop.time() - started_at, 3.0)
         self.assertGreater(json.loads(body)["error"]["retry_after"], 0)
 
     def callers_in(self, *data_centres):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -104,20 +104,20 @@
     """The settings file that the platform writes for each process."""
 
     def test_fields_are_decoded_and_unknown_ones_ignored(self):
-        found = node.decode(SETTINGS)
-        self.assertEqual("10.0.0.3:8080", found.control)
-        self.assertEqual("", found.callers)
+        settings = node.decode(SETTINGS)
+        self.assertEqual("10.0.0.3:8080", settings.control)
+        self.assertEqual("", settings.callers)
         self.assertEqual(
-            ["10.0.0.3:7000", "10.0.1.3:7000"], found.keeper_addresses()
+            ["10.0.0.3:7000", "10.0.1.3:7000"], settings.keeper_addresses()
         )
-        self.assertEqual(5.0, found.key_lease)
-        self.assertEqual(1.2, found.heartbeat_seconds)
-        self.assertTrue(found.first_start)
+        self.assertEqual(5.0, settings.key_lease)
+        self.assertEqual(1.2, settings.heartbeat_seconds)
+        self.assertTrue(settings.first_start)
 
     def test_no_key_lease_without_strict_revocation(self):
         bounds = SETTINGS["bounds"] | {"revoke_strict": False}
-        found = node.decode(SETTINGS | {"bounds": bounds})
-        self.assertEqual(0.0, found.key_lease)
+        settings = node.decode(SETTINGS | {"bounds": bounds})
+        self.assertEqual(0.0, settings.key_lease)
 
     def test_invalid_files_are_rejected(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -214,7 +214,7 @@
     """Heads of callers' requests, and headers sent to targets."""
 
     def test_head_is_decoded(self):
-        found = request(
+        incoming = request(
             Amaranthring_Request_Id="r1",
             Amaranthring_Deadline_Ms="1500",
             Amaranthring_Prefix_Hash="a1:800,b2:410,c3:5",
@@ -223,11 +223,13 @@
             Last_Event_Id="12",
         )
         self.assertEqual(("r1", 1.5, "key"), (
-            found.request_id, found.timeout, found.key))  # fmt: skip
-        self.assertEqual(records.PromptPart("b2", 410), found.parts[1])
-        self.assertEqual(("12", 80), (found.resume_after, found.output_tokens))
-        self.assertEqual("/a/x", found.path)
-        self.assertEqual("/a/x?q=1", found.uri)
+            incoming.request_id, incoming.timeout, incoming.key))  # fmt: skip
+        self.assertEqual(records.PromptPart("b2", 410), incoming.parts[1])
+        self.assertEqual(
+            ("12", 80), (incoming.resume_after, incoming.output_tokens)
+        )
+        self.assertEqual("/a/x", incoming.path)
+        self.assertEqual("/a/x?q=1", incoming.uri)
 
     def test_malformed_heads_are_rejected(self):
         for bad in (
@@ -239,7 +241,7 @@
                 request(**bad)
 
     def test_target_gets_the_callers_headers_but_no_forged_ones(self):
-        found = request(
+        incoming = request(
             Amaranthring_Request_Id="r1",
             Amaranthring_Tenant="forged",
             Amaranthring_Expect_Replica="forged",
@@ -253,7 +255,7 @@
         )
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
         sent = headers.request_headers(
-            found, records.AttemptInfo(target, "t1", 0.9994, "3")
+            incoming, records.AttemptInfo(target, "t1", 0.9994, "3")
         )
         self.assertEqual("i-1", sent["Amaranthring-Expect-Replica"])
         self.assertEqual("t1", sent["Amaranthring-Tenant"])
@@ -291,22 +293,22 @@
             "Amaranthring-Deadline-Ms",
         ):
             with self.subTest(name=name):
-                found = request(**{name.lower().replace("-", "_"): "9"})
-                sending = records.AttemptInfo(target, "", float("inf"))
-                sent = headers.request_headers(found, sending)
+                incoming = request(**{name.lower().replace("-", "_"): "9"})
+                attempt = records.AttemptInfo(target, "", float("inf"))
+                sent = headers.request_headers(incoming, attempt)
                 self.assertNotIn("9", sent.values())
 
     def test_target_gets_the_source_of_the_prompt_copy(self):
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
-        sending = records.AttemptInfo(target, "t1", 1.0, copy_from="v:2")
-        sent = headers.request_headers(request(), sending)
+        attempt = records.AttemptInfo(target, "t1", 1.0, copy_from="v:2")
+        sent = headers.request_headers(request(), attempt)
         self.assertEqual("v:2", sent["Kv-Fetch"])
 
     def test_account_is_not_forged_on_a_public_route(self):
-        found = request(Amaranthring_Tenant="forged")
+        incoming = request(Amaranthring_Tenant="forged")
         target = messages.TargetRecord("i-1", "s", "v:1", "here")
         sent = headers.request_headers(
-            found, records.AttemptInfo(target, "", 1.0)
+            incoming, records.AttemptInfo(target, "", 1.0)
         )
         self.assertNotIn("Amaranthring-Tenant", sent)
 
@@ -337,8 +339,8 @@
 
     def test_malformed_load_is_ignored(self):
         for value in ("", "1,2", "a,b,c", "-1,0,1"):
-            found = self.read(Amaranthring_Replica_Load=value)
-            self.assertIsNone(found.load)
+            head = self.read(Amaranthring_Replica_Load=value)
+            self.assertIsNone(head.load)
 
 
 class FakeHub:
@@ -386,10 +388,10 @@
 
     async def test_document_is_read_back_as_it_was_sent(self):
         document = json.dumps(DOCUMENT, indent=1).encode()
-        done = await self.call("POST", "/Configuration.Replace", document)
-        self.assertEqual(200, done.status)
-        found = await self.call("GET", "/Configuration.Fetch")
-        self.assertEqual(document, found.body)
+        replaced = await self.call("POST", "/Configuration.Replace", document)
+        self.assertEqual(200, replaced.status)
+        fetched = await self.call("GET", "/Configuration.Fetch")
+        self.assertEqual(document, fetched.body)
 
     async def test_invalid_document_changes_nothing(self):
         with self.assertRaises(errors.InvalidPlanError) as caught:
@@ -411,11 +413,11 @@
         }
         path = "/Replicas.Heartbeat/i-1"
         await self.call("POST", path, json.dumps(body).encode())
-        found = self.hub.announced[0]
+        record = self.hub.announced[0]
         self.assertEqual(("i-1", "b1", 64), (
-            found.id, found.service, found.slots))  # fmt: skip
-        self.assertEqual(messages.State.DRAINING, found.state)
-        self.assertEqual((1.5, 4), (found.cold_seconds, found.sequence))
+            record.id, record.service, record.slots))  # fmt: skip
+        self.assertEqual(messages.State.DRAINING, record.state)
+        self.assertEqual((1.5, 4), (record.cold_seconds, record.sequence))
         for bad in (b"", b"[]", b"{}", json.dumps(body | {"state": 3})):
             with self.assertRaises(errors.BadRequestError):
                 await self.call("POST", path, bad)
@@ -439,8 +441,8 @@
         first, second = self.hub.announced
         self.assertNotEqual(first.id, second.id)
         self.assertEqual(("i-1", "i-1"), (first.name, second.name))
-        sending = records.AttemptInfo(second, "", 1.0)
-        sent = headers.request_headers(request(), sending)
+        attempt = records.AttemptInfo(second, "", 1.0)
+        sent = headers.request_headers(request(), attempt)
         self.assertEqual("i-1", sent["Amaranthring-Expect-Replica"])
         await self.call(
             "POST", "/Replicas.Deregister/i-1", b'{"born": 1700000009000}'
@@ -483,8 +485,8 @@
         await self.call("POST", "/Configuration.Replace", document)
         path = "/Replicas.Heartbeat/i-1"
         odd = self.heartbeat(backend="b9")
-        done = await self.call("POST", path, odd)
-        self.assertEqual(200, done.status)
+        response = await self.call("POST", path, odd)
+        self.assertEqual(200, response.status)
         self.assertEqual([], self.hub.announced)
         self.assertEqual(1, len(self.hub.refused))
         await self.call("POST", path, self.heartbeat())
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -44,7 +44,9 @@
 
     def run_count(self):
         """Return how many calls ran at all replicas."""
-        return sum(len(one.runs) for one in self.local.bookings.values())
+        return sum(
+            len(replica.runs) for replica in self.local.bookings.values()
+        )
 
 
 class TestKeyedCall(ServiceCase):
@@ -171,19 +173,19 @@
         gate, reached = asyncio.Event(), asyncio.Event()
         step, when = name.split()
         needs = self.one.fakes.needs
-        real = getattr(needs, step)
+        original = getattr(needs, step)
 
-        async def held(*given):
+        async def gated(*args):
             if when == "before":
                 reached.set()
                 await gate.wait()
-            result = await real(*given)
+            result = await original(*args)
             if when == "after":
                 reached.set()
                 await gate.wait()
             return result
 
-        setattr(needs, step, held)
+        setattr(needs, step, gated)
         return gate, reached
 
     async def start_frozen(self, name, **more):
@@ -247,17 +249,17 @@
         since no router runs the call any more.
         """
         await self.start_frozen("claim after")
-        asked = []
+        checked = []
 
         async def gone(attempt):
-            asked.append(attempt)
+            checked.append(attempt)
             return False
 
         self.two.fakes.needs.may_run = gone
         again = await self.two.book("a", "k")
         self.assert_response(again, 409, UNKNOWN)
         self.assertEqual(error_code(again), "claim-unknown")
-        self.assertTrue(asked[0].startswith("r1."))
+        self.assertTrue(checked[0].startswith("r1."))
         self.assertEqual(self.run_count(), 0)
 
     async def test_settlement_during_the_holder_check_counts(self):
@@ -287,11 +289,11 @@
         self.assertEqual(self.run_count(), 1)
 
     async def test_lost_reply_of_a_granted_claim_is_retried(self):
-        real = self.one.fakes.needs.claim
+        original = self.one.fakes.needs.claim
         replies = [errors.CommitUnknownError("reply lost")]
 
-        async def lossy(*given):
-            claim = await real(*given)
+        async def lossy(*args):
+            claim = await original(*args)
             if replies:
                 raise replies.pop()
             return claim
@@ -305,10 +307,10 @@
 
         Nothing was sent, so the key must not stay blocked.
         """
-        real = self.one.fakes.needs.claim
+        original = self.one.fakes.needs.claim
 
-        async def silent(*given):
-            await real(*given)
+        async def silent(*args):
+            await original(*args)
             raise errors.CommitUnknownError("reply lost")
 
         self.one.fakes.needs.claim = silent
@@ -436,8 +438,8 @@
             )
         ran = [
             run["key"]
-            for one in self.local.bookings.values()
-            for run in one.runs
+            for replica in self.local.bookings.values()
+            for run in replica.runs
         ]
         self.assertEqual(len(ran), len(set(ran)), "a booking is doubled")
         for key, outcome in reported.items():
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -28,7 +28,7 @@
         folder = pathlib.Path(temporary.name)
         local_fleet.write_settings(folder, routers=3)
         for path in folder.glob("keeper-*.ini"):
-            # The section [keeper] is the last of these files.
+            # The section [keeper] is the last one in these files.
             path.write_text(path.read_text() + self.extra)
         self.fleet = local_fleet.LocalFleet(folder, folder / "logs")
         self.addCleanup(self.fleet.stop_all)
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -30,8 +30,8 @@
         self.assertEqual(caught.exception.outcome, errors.Outcome.NOT_RUN)
 
     def test_valid_token_gives_the_next_event(self):
-        found = tokens.read(self.token, "vanua", self.keys, 999)
-        self.assertEqual(found, (REFERENCE, 5))
+        result = tokens.read(self.token, "vanua", self.keys, 999)
+        self.assertEqual(result, (REFERENCE, 5))
 
     def test_expired_token_is_rejected(self):
         self.assert_rejected(self.token, "expired", now=1001)
@@ -62,11 +62,11 @@
                 other = "Z"
             changed = signed[:index] + other + signed[index + 1 :] + ".4"
             try:
-                found = tokens.read(changed, "vanua", self.keys, 999)
+                result = tokens.read(changed, "vanua", self.keys, 999)
             except errors.ResumeError:
                 continue
             # The last character of a part has unused bits.
-            self.assertEqual(found, (REFERENCE, 5), changed)
+            self.assertEqual(result, (REFERENCE, 5), changed)
 
     def test_malformed_tokens_are_rejected(self):
         for text in ("", "a.b", "..", "gA.AA.1", "é.AA.1", "x" * 2000):
--- a/tools/attribution.py
+++ b/tools/attribution.py
@@ -34,7 +34,7 @@
 
     Attributes
     ----------
-    at : float
+    arrived_at : float
         Time of arrival in seconds.
     seconds : float
         Duration.
@@ -66,7 +66,7 @@
 
 
 class Log:
-    """Requests by arrival, and the engines that the log names."""
+    """Requests in order of arrival, and the engines that the log names."""
 
     def __init__(self, lines: t.Iterable[str]):
         self.requests: list[Request] = []
@@ -156,8 +156,10 @@
 def _missing_parts(
     request, engine, last_requested_at
 ) -> list[tuple[str, int]]:
-    held = [name in engine.last_read_at for name, _ in request.parts]
-    first_missing = held.index(False) if False in held else len(held)
+    received = [name in engine.last_read_at for name, _ in request.parts]
+    first_missing = (
+        received.index(False) if False in received else len(received)
+    )
     return [
         (name, size)
         for name, size in request.parts[first_missing:]
