--- a/amaranthring/testing/announcements.py
+++ b/amaranthring/testing/announcements.py
@@ -30,11 +30,11 @@
     routers : list of str
         Base URLs of the routers' internal listeners.
     key_id, key
-        Targets' shared key, and its identifier.
+        Identifier of the targets' shared key, and the key.
     load : callable
         Returns ``(running, waiting, kv_used)``.
     report_seconds : float
-        Time between reports. Each report carries the load sampled at the
+        Seconds between reports. Each report carries the load sampled at the
         previous one, to simulate lag.
     serves : callable, optional
         Returns the names that it serves now; a change is announced.
@@ -112,7 +112,7 @@
         self.task = asyncio.ensure_future(self._run())
 
     def refresh_serves(self) -> bool:
-        """Update the names that the target serves; return whether they did."""
+        """Update the served names; return whether they changed."""
         serves = tuple(self.serves()) if self.serves else self.target.serves
         if serves == self.target.serves:
             return False
--- a/amaranthring/testing/booking.py
+++ b/amaranthring/testing/booking.py
@@ -44,7 +44,7 @@
         self.received = 0
 
     def load(self) -> tuple[int, int, float]:
-        """Return requests running and waiting, and the memory share."""
+        """Return requests running and waiting, and the share of KV memory."""
         return self.running, 0, 0.0
 
     def app(self) -> tornado.web.Application:
--- a/amaranthring/testing/demo.py
+++ b/amaranthring/testing/demo.py
@@ -59,7 +59,7 @@
 
     def start(self) -> None:
         """Start every process and wait until all targets are known."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         for name in [*self.fleet.names("keeper"), *self.routers]:
             self.fleet.start(name)
         self.fleet.wait_ready(self.routers)
@@ -72,7 +72,7 @@
         for number in range(REPLICAS):
             self._start_target("booking", number, data_centres[number])
         self.fleet.wait_targets(ENGINES + REPLICAS, self.routers)
-        seconds = time.monotonic() - began
+        seconds = time.monotonic() - started_at
         self.check("fleet ready", f"{seconds:.1f} s", True)
 
     def _start_target(self, kind, number, data_centre, *options) -> None:
@@ -127,12 +127,12 @@
 
     def addresses(self, kind: str) -> list[str]:
         """Return the addresses of running stand-ins."""
-        found = []
+        addresses = []
         for name, process in self.fleet.processes.items():
             if name.startswith(kind):
                 first = process.log.read_text().splitlines()[0]
-                found.append(first.split()[1])
-        return found
+                addresses.append(first.split()[1])
+        return addresses
 
     async def engine_killed(self) -> None:
         """Kill an engine under load."""
@@ -180,22 +180,22 @@
         )
 
     async def _changed_under_load(self, title, path, body) -> None:
-        seen: list[float] = []
+        durations: list[float] = []
 
         def change():
-            began = time.monotonic()
+            started_at = time.monotonic()
             revision = self.send_change("POST", path, body)
-            while time.monotonic() < began + CHANGE_TIMEOUT_SECONDS:
+            while time.monotonic() < started_at + CHANGE_TIMEOUT_SECONDS:
                 if all(
                     self.has_applied(name, revision) for name in self.routers
                 ):
-                    seen.append(time.monotonic() - began)
+                    durations.append(time.monotonic() - started_at)
                     return
                 time.sleep(POLL_SECONDS)
 
         await self._under_load(title, change)
-        value = f"{seen[0] * 1e3:.0f} ms" if seen else "not in time"
-        self.check("  in force on all routers", value, bool(seen))
+        value = f"{durations[0] * 1e3:.0f} ms" if durations else "not in time"
+        self.check("  in force on all routers", value, bool(durations))
 
     def has_applied(self, router: str, revision: int) -> bool:
         """Return whether `router` has applied at least `revision`."""
@@ -220,22 +220,22 @@
             raise errors.InternalError(f"{path} returned {code}: {answer!r}")
         return json.loads(answer)["revision"]
 
-    async def _under_load(self, title, act, connections_lost=False) -> None:
+    async def _under_load(self, title, action, connections_lost=False) -> None:
         tally = self.callers.tally
         before = tally.complete
         chats = [self.callers.chat() for _ in range(20)]
         running = asyncio.ensure_future(load.run_all(*chats))
         await asyncio.sleep(0.15)
-        await asyncio.get_running_loop().run_in_executor(None, act)
+        await asyncio.get_running_loop().run_in_executor(None, action)
         await running
         complete = tally.complete - before
-        bad = tally.mismatched + tally.truncated
+        incorrect = tally.mismatched + tally.truncated
         refused = dict(tally.refused)
         # Callers of a killed router lose their connections, as expected.
         if connections_lost:
             refused.pop("connection-lost", None)
-        value = f"{complete} whole, {bad} bad, refused {refused}"
-        self.check(title, value, not bad and not refused)
+        value = f"{complete} whole, {incorrect} bad, refused {refused}"
+        self.check(title, value, not incorrect and not refused)
         tally.refused.clear()
         tally.mismatched = 0
         tally.truncated = 0
@@ -243,8 +243,8 @@
     def finish(self) -> None:
         """Stop every process and check the exit codes."""
         codes = self.fleet.stop_all()
-        bad = {name: code for name, code in codes.items() if code}
-        self.check("processes ended with 0", bad or len(codes), not bad)
+        failed = {name: code for name, code in codes.items() if code}
+        self.check("processes ended with 0", failed or len(codes), not failed)
 
     def table(self) -> str:
         """Return the result table."""
--- a/amaranthring/testing/engine.py
+++ b/amaranthring/testing/engine.py
@@ -177,7 +177,7 @@
         self.cancelled = 0
 
     def load(self) -> tuple[int, int, float]:
-        """Return requests running and waiting, and the KV memory share."""
+        """Return requests running and waiting, and the share of KV memory."""
         used = len(self.cache) / max(1, self.cache_chats)
         return self.slots.running, len(self.slots.waiting), used
 
@@ -520,8 +520,8 @@
     def get(self):
         """Return the events after a sequence number."""
         after = int(self.get_query_argument("after", "0"))
-        found = [e for e in self.engine.cache_events if e["sequence"] > after]
-        self.write({"events": found})
+        newer = [e for e in self.engine.cache_events if e["sequence"] > after]
+        self.write({"events": newer})
 
 
 class OrdersHandler(Handler):
--- a/amaranthring/testing/fake_dependencies.py
+++ b/amaranthring/testing/fake_dependencies.py
@@ -40,14 +40,16 @@
         if self.fail:
             raise self.fail
         name = (request.account, request.key)
-        digest, held = self.claims.get(name, ("", None))
-        if held and digest != request.body_digest:
-            return records.Claim(records.ClaimState.KEY_REUSED, held.attempt)
+        digest, current = self.claims.get(name, ("", None))
+        if current and digest != request.body_digest:
+            return records.Claim(
+                records.ClaimState.KEY_REUSED, current.attempt
+            )
         state = records.ClaimState
-        if held and held.outcome is not errors.Outcome.NOT_RUN:
-            if held.attempt == attempt and held.outcome is None:
+        if current and current.outcome is not errors.Outcome.NOT_RUN:
+            if current.attempt == attempt and current.outcome is None:
                 return records.Claim(state.GRANTED, attempt, target)
-            return held
+            return current
         claim = records.Claim(state.IN_PROGRESS, attempt, target)
         self.claims[name] = (request.body_digest, claim)
         return records.Claim(state.GRANTED, attempt, target)
@@ -58,25 +60,25 @@
         if self.fail or self.fail_settle:
             raise self.fail or self.fail_settle
         name = (request.account, request.key)
-        _, held = self.claims.get(name, ("", None))
-        if held is None:
+        _, current = self.claims.get(name, ("", None))
+        if current is None:
             raise errors.NotFoundError("no such claim")
-        if held.attempt != attempt:
+        if current.attempt != attempt:
             raise errors.ForbiddenError("another attempt holds the claim")
         is_unknown = outcome is errors.Outcome.UNKNOWN
         state = records.ClaimState
-        held.state = state.UNKNOWN if is_unknown else state.SETTLED
-        held.outcome = outcome
+        current.state = state.UNKNOWN if is_unknown else state.SETTLED
+        current.outcome = outcome
         if answer and len(answer.body) > self.max_answer_bytes:
             answer = records.StoredAnswer(
                 answer.status, answer.content_type, b"", False
             )
-        held.answer = answer
+        current.answer = answer
 
     def mark_unknown(self, account: str, key: str) -> None:
         """Mark a claim as unknown, as keepers do if its holder is lost."""
-        _, held = self.claims[account, key]
-        held.state = records.ClaimState.UNKNOWN
+        _, current = self.claims[account, key]
+        current.state = records.ClaimState.UNKNOWN
 
 
 class Fakes:
--- a/amaranthring/testing/fake_network.py
+++ b/amaranthring/testing/fake_network.py
@@ -1,7 +1,7 @@
 """Fakes of the target table and the mesh, for tests and benchmarks.
 
 A :class:`Network` connects fake meshes in one process. Messages are encoded
-and decoded with ``wire``, so that one that cannot be encoded fails.
+and decoded with ``wire``, so that a message that cannot be encoded fails.
 """
 
 import asyncio
@@ -99,7 +99,7 @@
         return self.states.get(name, records.TargetState.LOST)
 
     def subscribe(self, callback):
-        """Call `callback` with the name of target changed target."""
+        """Call `callback` with the name of each changed target."""
         self.callbacks.append(callback)
 
 
@@ -129,7 +129,7 @@
     plain : bool
         Whether messages are passed without encoding, for speed.
     pause : callable
-        Coroutine function; waits out the timeout of an unanswered call.
+        Coroutine function; waits for the timeout of an unanswered call.
     """
 
     def __init__(self, data_centres, plain=False):
@@ -234,7 +234,7 @@
         return True
 
     async def call(self, name, message, timeout):
-        """Call `name`; a call of a frozen router times out."""
+        """Call `name`; a call to a frozen router times out."""
         if name == self.name:
             return await self._result(self.name, message)
         if not self.network.can_reach(self.name, name):
--- a/amaranthring/testing/fake_state.py
+++ b/amaranthring/testing/fake_state.py
@@ -93,7 +93,7 @@
         self.name = name
         self.data_centre = data_centre
         self.routers = routers
-        self.allowed = allowed or (lambda _one, _other: True)
+        self.allowed = allowed or (lambda _sender, _receiver: True)
         self.handlers = links.Handlers()
         self.drop_next = 0
         self.sent_bytes = 0
@@ -151,7 +151,7 @@
     neighbours = more.pop("neighbours", [])
     path = more.pop("path", "")
     mesh = FakeMesh(name, data_centre, routers, **more)
-    made = revisions.Revisions(
+    router_revisions = revisions.Revisions(
         name,
         data_centre,
         group.query,
@@ -161,7 +161,7 @@
         [other for other in neighbours if other != name],
         path,
     )
-    return made, mesh
+    return router_revisions, mesh
 
 
 def bootstrap(accounts: int = 3, policies: bool = False) -> t.Any:
--- a/amaranthring/testing/faults.py
+++ b/amaranthring/testing/faults.py
@@ -46,9 +46,9 @@
         if any(dump != dumps[0] for dump in dumps):
             problems.append("keepers hold different states")
         for command_id, number in self.added.items():
-            held = dumps[0].seen.get(command_id)
-            if held != number:
-                problems.append(f"{command_id}: told {number}, held {held}")
+            stored = dumps[0].seen.get(command_id)
+            if stored != number:
+                problems.append(f"{command_id}: told {number}, held {stored}")
         for register, calls in self.calls.items():
             if not linearizable.is_linearizable(calls):
                 problems.append(f"register {register}: no order explains it")
@@ -76,7 +76,7 @@
 
     async def _client(self) -> None:
         client = self.fleet.new_client()
-        held = ""
+        last_read = ""
         while not self.stopping:
             await asyncio.sleep(self.random.uniform(0, PAUSE_SECONDS))
             self.number += 1
@@ -86,9 +86,9 @@
             if kind == "add":
                 await self._add(client, f"add-{number}")
             elif kind == "read":
-                held = await self._read(client, register) or held
+                last_read = await self._read(client, register) or last_read
             else:
-                expected = held if kind == "swap" else None
+                expected = last_read if kind == "swap" else None
                 await self._write(client, register, f"v{number}", expected)
 
     async def _add(self, client, command_id: str) -> None:
@@ -100,36 +100,36 @@
         self.history.added[command_id] = int(reply.value)
 
     async def _read(self, client, register: str) -> str | None:
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             reply = await client.query(keeper.Get(register), CALL_SECONDS)
         except errors.AmaranthringError:
             return None
-        self._record(register, began, "read", reply.value)
+        self._record(register, started_at, "read", reply.value)
         return reply.value
 
     async def _write(self, client, register, value, expected) -> None:
         kind = "write" if expected is None else "swap"
         command = keeper.Set(register, value, expected)
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             await client.propose(command, CALL_SECONDS)
         except errors.RevisionConflictError as error:
-            self._record(register, began, "held", error.expected or "")
+            self._record(register, started_at, "held", error.expected or "")
         except errors.AmaranthringError as error:
             if error.outcome == errors.Outcome.NOT_RUN:
                 self.history.not_run.add(value)
                 return
             call = linearizable.Call(
-                began, math.inf, kind, value, expected or ""
+                started_at, math.inf, kind, value, expected or ""
             )
             self.history.calls[register].append(call)
         else:
-            self._record(register, began, kind, value, expected or "")
+            self._record(register, started_at, kind, value, expected or "")
 
-    def _record(self, register, began, kind, value, expected="") -> None:
+    def _record(self, register, started_at, kind, value, expected="") -> None:
         call = linearizable.Call(
-            began, time.monotonic(), kind, value, expected
+            started_at, time.monotonic(), kind, value, expected
         )
         self.history.calls[register].append(call)
 
@@ -164,7 +164,7 @@
 
     Parameters
     ----------
-    fleet : processes.KeeperFleet
+    fleet : keeper_processes.KeeperFleet
         Started fleet.
     seed : int
         Seed of faults and load.
--- a/amaranthring/testing/in_process_callers.py
+++ b/amaranthring/testing/in_process_callers.py
@@ -39,12 +39,12 @@
 
 def parse_events(body: bytes) -> list[Event]:
     """Return the complete events in `body`."""
-    found = []
+    events = []
     for block in body.decode().split("\n\n")[:-1]:
         fields = dict(line.split(": ", 1) for line in block.split("\n"))
         kind = fields.get("event", "message")
-        found.append(Event(fields.get("id", ""), kind, fields["data"]))
-    return found
+        events.append(Event(fields.get("id", ""), kind, fields["data"]))
+    return events
 
 
 def join_text(events: list[Event]) -> str:
@@ -96,31 +96,31 @@
 
     def add_engine(self, name: str = "e1", **options: t.Any) -> engine.Engine:
         """Start an engine."""
-        made = engine.Engine(name, ["m1"], **options)
-        self.engines[name] = made
+        new_engine = engine.Engine(name, ["m1"], **options)
+        self.engines[name] = new_engine
         kind = records.TargetKind.ENGINE
-        self._listen(name, made.app(), kind, ("m1",))
-        made.on_crash = self.servers[name].stop
-        return made
+        self._listen(name, new_engine.app(), kind, ("m1",))
+        new_engine.on_crash = self.servers[name].stop
+        return new_engine
 
     def add_booking(
         self, name: str = "b1", **options: t.Any
     ) -> booking.Booking:
         """Start a replica of the booking service."""
-        made = booking.Booking(name, **options)
-        self.bookings[name] = made
+        replica = booking.Booking(name, **options)
+        self.bookings[name] = replica
         kind = records.TargetKind.SERVICE
-        fields = {"honours_keys": made.honours_keys}
-        self._listen(name, made.app(), kind, ("booking",), **fields)
-        return made
+        fields = {"honours_keys": replica.honours_keys}
+        self._listen(name, replica.app(), kind, ("booking",), **fields)
+        return replica
 
     def _listen(self, name, app, kind, serves, **fields) -> None:
         self.servers[name], port = standin.listen(app)
         address = f"127.0.0.1:{port}"
-        made = records.Target(
+        target = records.Target(
             name, 1, kind, address, "dc1", "r", serves, **fields
         )
-        self.targets.append(made)
+        self.targets.append(target)
 
     def add_router(self) -> "Router":
         """Start a router that knows the stand-ins added so far."""
--- a/amaranthring/testing/in_process_routers.py
+++ b/amaranthring/testing/in_process_routers.py
@@ -151,17 +151,19 @@
     async def admit(self, number, router=None, excluded=(), **fields):
         """Admit request `number` at `router`, or at the next in turn."""
         live = self.accepting()
-        at = self.by_name[router] if router else live[number % len(live)]
+        admitting_router = (
+            self.by_name[router] if router else live[number % len(live)]
+        )
         request = fakes.request(number, **fields)
-        grant = await at.placer.admit(request, set(excluded))
-        self.grants[grant.grant_id] = (at, grant)
-        at.directory.flush()
+        grant = await admitting_router.placer.admit(request, set(excluded))
+        self.grants[grant.grant_id] = (admitting_router, grant)
+        admitting_router.directory.flush()
         return grant
 
     def release(self, grant, end=records.AttemptEnd.DONE):
         """Release `grant`."""
-        at, _ = self.grants.pop(grant.grant_id)
-        at.placer.release(grant, end)
+        admitting_router, _ = self.grants.pop(grant.grant_id)
+        admitting_router.placer.release(grant, end)
 
     def in_flight(self):
         """Return the actual number of requests in flight by target."""
@@ -189,7 +191,11 @@
 
     def stop(self, name):
         """Kill router `name`; return the grants that it held."""
-        lost = [grant for at, grant in self.grants.values() if at.name == name]
+        lost = [
+            grant
+            for router, grant in self.grants.values()
+            if router.name == name
+        ]
         for grant in lost:
             del self.grants[grant.grant_id]
         self.network.frozen.discard(name)
--- a/amaranthring/testing/keeper.py
+++ b/amaranthring/testing/keeper.py
@@ -1,4 +1,4 @@
-"""A keeper process with a small machine, for failure tests and benchmarks.
+"""A keeper process with a small state machine, for tests and benchmarks.
 
 Run as ``python -m amaranthring.testing.keeper SETTINGS CONTROL``. It writes
 its port to ``CONTROL/port``. The file ``CONTROL/clock`` holds the offset of
@@ -105,10 +105,10 @@
         if isinstance(command, Add):
             number = self.seen.setdefault(command.command_id, len(self.seen))
             return Value(str(number), index, stamp)
-        held = self.registers.get(command.key, "")
-        if command.expected is not None and command.expected != held:
+        current = self.registers.get(command.key, "")
+        if command.expected is not None and command.expected != current:
             raise errors.RevisionConflictError(
-                "register", given=command.expected, expected=held
+                "register", given=command.expected, expected=current
             )
         self.registers[command.key] = command.value
         return Value(command.value, index, stamp)
--- a/amaranthring/testing/keeper_processes.py
+++ b/amaranthring/testing/keeper_processes.py
@@ -239,19 +239,19 @@
             for name in self.names
         ]
         identity = links.Identity("r1", "router", "dc1")
-        made = client.KeeperClient("fleet", peers, identity, KEYS)
-        made.start()
-        self.clients.append(made)
-        return made
+        new_client = client.KeeperClient("fleet", peers, identity, KEYS)
+        new_client.start()
+        self.clients.append(new_client)
+        return new_client
 
     def isolate(self, name: str, inwards=True, outwards=True) -> None:
         """Block the links of keeper `name` with the other keepers."""
-        for (one, other), relay in self.relays.items():
-            if one == "client":
+        for (source, destination), relay in self.relays.items():
+            if source == "client":
                 continue
-            if other == name:
+            if destination == name:
                 relay.block(to_target=inwards, to_client=outwards)
-            if one == name:
+            if source == name:
                 relay.block(to_target=outwards, to_client=inwards)
 
     def heal(self) -> None:
@@ -268,12 +268,12 @@
 
     async def leader(self, but: str = "") -> str:
         """Return the leader of the highest term, or an empty string."""
-        found = []
+        leaders = []
         for name in self.names:
             status = await self.status(name) if name != but else None
             if status and status.role == "leader":
-                found.append((status.term, name))
-        return max(found)[1] if found else ""
+                leaders.append((status.term, name))
+        return max(leaders)[1] if leaders else ""
 
     async def wait_leader(self, but: str = "") -> str:
         """Return the leader once there is one other than `but`."""
@@ -285,8 +285,8 @@
 
     async def stop(self) -> None:
         """Kill every process and stop the relays."""
-        for made in self.clients:
-            made.stop()
+        for each in self.clients:
+            each.stop()
         for keeper in self.keepers.values():
             keeper.resume()
             keeper.kill()
--- a/amaranthring/testing/linearizable.py
+++ b/amaranthring/testing/linearizable.py
@@ -15,8 +15,8 @@
 
     Attributes
     ----------
-    began, ended : float
-        Seconds; `ended` is infinite if the outcome is unknown.
+    started_at, ended_at : float
+        Seconds; `ended_at` is infinite if the outcome is unknown.
     kind : str
         ``read``, ``write``, ``swap`` (successful compare-and-set) or
         ``held`` (failed compare-and-set).
@@ -26,8 +26,8 @@
         Value that a successful compare-and-set expected.
     """
 
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     kind: str
     value: str
     expected: str = ""
@@ -35,7 +35,7 @@
     @property
     def completed(self) -> bool:
         """Return whether the outcome is known."""
-        return self.ended < math.inf
+        return self.ended_at < math.inf
 
 
 def _after(call: Call, state: str) -> str | None:
@@ -51,9 +51,9 @@
     """Return whether some linearization of `calls` explains every reply.
 
     A call with unknown outcome may have taken effect at any time after it
-    began, or never.
+    started, or never.
     """
-    calls = sorted(calls, key=lambda call: call.began)
+    calls = sorted(calls, key=lambda call: call.started_at)
     completed = frozenset(i for i, c in enumerate(calls) if c.completed)
     seen = set()
     stack = [(frozenset(), first)]
@@ -65,9 +65,9 @@
             continue
         seen.add((applied, state))
         pending = [i for i in range(len(calls)) if i not in applied]
-        first_end = min(calls[i].ended for i in pending)
+        first_end = min(calls[i].ended_at for i in pending)
         for i in pending:
-            if calls[i].began > first_end:
+            if calls[i].started_at > first_end:
                 break
             after = _after(calls[i], state)
             if after is not None:
--- a/amaranthring/testing/load.py
+++ b/amaranthring/testing/load.py
@@ -80,14 +80,16 @@
 
     async def run_health_checks(self) -> None:
         """Poll the health checks, as the balancer does, until cancelled."""
-        known = list(self.urls)
+        all_urls = list(self.urls)
         while True:
-            checks = [self._healthy(url) for url in known]
+            checks = [self._healthy(url) for url in all_urls]
             healthy = await asyncio.gather(*checks)
-            pairs = zip(known, healthy, strict=True)
+            pairs = zip(all_urls, healthy, strict=True)
             # If none is healthy, the balancer sends to all: on a busy
             # machine every check of a round may time out.
-            self.urls = [url for url, good in pairs if good] or known
+            self.urls = [
+                url for url, is_healthy in pairs if is_healthy
+            ] or all_urls
             await asyncio.sleep(HEALTH_SECONDS)
 
     async def _healthy(self, url: str) -> bool:
@@ -186,8 +188,8 @@
     ) -> tuple[str, bytes]:
         """Book, and resend under the same key until the outcome is final.
 
-        Final are the outcome ``ran`` and the error that the claim is
-        unknown. After any other result, such as a lost connection, it
+        The outcome ``ran`` and the error ``claim-unknown`` are final. After
+        any other result, such as a lost connection, it
         resends until `seconds` have passed.
         """
         deadline = time.monotonic() + seconds
--- a/amaranthring/testing/local_fleet.py
+++ b/amaranthring/testing/local_fleet.py
@@ -101,20 +101,20 @@
     one before it is bound. A locked file holds the last port given out, so
     that fleets that start concurrently do not choose the same one.
     """
-    found: list[int] = []
+    ports: list[int] = []
     path = pathlib.Path(tempfile.gettempdir()) / PORTS_FILE
     with open(path, "a+", encoding="ascii") as file:
         fcntl.flock(file, fcntl.LOCK_EX)
         file.seek(0)
         text = file.read().strip()
         port = int(text) if text.isdigit() else FIRST_PORT
-        while len(found) < count:
+        while len(ports) < count:
             port = port + 1 if FIRST_PORT <= port < LAST_PORT else FIRST_PORT
             if _is_free(port):
-                found.append(port)
+                ports.append(port)
         file.truncate(0)
         file.write(str(port))
-    return found
+    return ports
 
 
 def _is_free(port: int) -> bool:
@@ -261,8 +261,8 @@
         self.logs.mkdir(parents=True, exist_ok=True)
         self.settings = {}
         for path in sorted(folder.glob("*-*.ini")):
-            made = settings_module.read(str(path))
-            self.settings[made.process.name] = made
+            process_settings = settings_module.read(str(path))
+            self.settings[process_settings.process.name] = process_settings
         self.processes: dict[str, Process] = {}
 
     def names(self, role: str) -> list[str]:
@@ -341,14 +341,14 @@
         for name in routers:
             url = self.internal_url(name) + "/metrics"
 
-            def known(url=url):
+            def has_targets(url=url):
                 status, body = http_get(url)
                 if status != 200:
                     return False
                 gauges = json.loads(body)["gauges"]
                 return gauges.get("targets.ready", 0) >= count
 
-            self.wait(known, f"{count} targets at {name}")
+            self.wait(has_targets, f"{count} targets at {name}")
 
     def stop_all(self) -> dict[str, int]:
         """Stop all processes; return their exit codes."""
--- a/amaranthring/testing/mesh_members.py
+++ b/amaranthring/testing/mesh_members.py
@@ -29,7 +29,7 @@
 
 def target(name: str, data_centre: str, **fields: t.Any) -> records.Target:
     """Return the record of an engine with an address of its own."""
-    made = {
+    defaults = {
         "name": name,
         "incarnation": 1,
         "kind": records.TargetKind.ENGINE,
@@ -38,7 +38,7 @@
         "region": "default",
         "serves": ("m",),
     }
-    return records.Target(**(made | fields))
+    return records.Target(**(defaults | fields))
 
 
 class Member:
@@ -55,7 +55,7 @@
     """
 
     def __init__(self, name, peers, sockets, config=fleet.FleetConfig):
-        peer = next(one for one in peers if one.name == name)
+        peer = next(candidate for candidate in peers if candidate.name == name)
         self.name = name
         self.metrics = metrics.Metrics()
         self.handlers = links.Handlers()
@@ -93,8 +93,8 @@
 
     def eligible(self) -> list[str]:
         """Return the names of the eligible engines."""
-        found = self.table.eligible(records.TargetKind.ENGINE, "m")
-        return [one.name for one in found]
+        targets = self.table.eligible(records.TargetKind.ENGINE, "m")
+        return [engine.name for engine in targets]
 
 
 class Fleet:
@@ -122,21 +122,21 @@
 
     def peers_of(self, data_centre: str) -> list[settings.PeerAddress]:
         """Return every router, with its address as seen from `data_centre`."""
-        made = []
+        peers = []
         for number, other in enumerate(self.data_centres):
             relay = (
                 self.local_relays
                 if other == data_centre
                 else self.remote_relays
             )[number]
-            made.append(
+            peers.append(
                 settings.PeerAddress(
                     name=f"r{number}",
                     data_centre=other,
                     address=relay.address,
                 )
             )
-        return made
+        return peers
 
     async def start(self) -> None:
         """Start every member."""
@@ -149,8 +149,10 @@
                 await side[-1].start()
         for number, data_centre in enumerate(self.data_centres):
             peers = self.peers_of(data_centre)
-            made = Member(f"r{number}", peers, [sockets[number]], self.config)
-            self.members.append(made)
+            new_member = Member(
+                f"r{number}", peers, [sockets[number]], self.config
+            )
+            self.members.append(new_member)
         for member in self.members:
             member.start()
 
@@ -169,10 +171,10 @@
         host, port = self.local_relays[number].upstream.rsplit(":", 1)
         sockets = tornado.netutil.bind_sockets(int(port), host)
         peers = self.peers_of(self.data_centres[number])
-        made = Member(f"r{number}", peers, sockets, self.config)
-        self.members[number] = made
-        made.start()
-        return made
+        member = Member(f"r{number}", peers, sockets, self.config)
+        self.members[number] = member
+        member.start()
+        return member
 
     def isolate(self, data_centre: str) -> None:
         """Isolate data centre `data_centre` from all others."""
@@ -191,26 +193,28 @@
         for relay in self.local_relays + self.remote_relays:
             relay.heal()
 
-    def renew(self, one: records.Target, numbers: list[int]) -> None:
+    def renew(self, announced: records.Target, numbers: list[int]) -> None:
         """Announce a target and renew it at member `numbers[0]`."""
-        self.renewals[one.name] = asyncio.ensure_future(
-            self._renew(one, numbers)
+        self.renewals[announced.name] = asyncio.ensure_future(
+            self._renew(announced, numbers)
         )
 
     def stop_renewing(self, name: str) -> None:
         """Stop renewing a target, as if it had died."""
         self.renewals.pop(name).cancel()
 
-    async def _renew(self, one: records.Target, numbers: list[int]) -> None:
+    async def _renew(
+        self, announced: records.Target, numbers: list[int]
+    ) -> None:
         sequence = 0
         while True:
             sequence += 1
             report = records.LoadReport(
-                one.name, one.incarnation, sequence, 1, 0
+                announced.name, announced.incarnation, sequence, 1, 0
             )
             target_table = self.members[numbers[0]].table
-            if target_table.get(one.name) != one:
-                target_table.announce(one)
+            if target_table.get(announced.name) != announced:
+                target_table.announce(announced)
             target_table.update_report(report)
             await asyncio.sleep(0.5)
 
@@ -225,9 +229,9 @@
     AssertionError
         If it does not hold within `seconds`.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
     while not condition():
-        if time.monotonic() - began > seconds:
+        if time.monotonic() - started_at > seconds:
             raise AssertionError(f"condition not met within {seconds} s")
         await asyncio.sleep(0.01)
-    return time.monotonic() - began
+    return time.monotonic() - started_at
--- a/amaranthring/testing/plan_keepers.py
+++ b/amaranthring/testing/plan_keepers.py
@@ -51,16 +51,16 @@
 
     def new_address(self) -> str:
         """Bind a free port; return its address."""
-        made = tornado.netutil.bind_sockets(
+        sockets = tornado.netutil.bind_sockets(
             0, "127.0.0.1", family=socket.AF_INET
         )
-        host, port = made[0].getsockname()
+        host, port = sockets[0].getsockname()
         address = f"{host}:{port}"
-        self.sockets[address] = made
+        self.sockets[address] = sockets
         return address
 
     def start(self, address: str, first: bool = False) -> keepers.PlanKeeper:
-        """Start the keeper at `address`; its folder may hold a state."""
+        """Start the keeper at `address`; its folder may hold state."""
         config = keepers.Config(
             address,
             "here",
@@ -79,12 +79,12 @@
             replace_seconds=0.5,
         )
         files = disk.FileOps(write=functools.partial(self._write, address))
-        made = keepers.PlanKeeper(
+        keeper = keepers.PlanKeeper(
             config, KEYS, metrics.Metrics(), timing, files
         )
-        made.start(self.sockets.pop(address, None) or _bind(address))
-        self.running[address] = made
-        return made
+        keeper.start(self.sockets.pop(address, None) or _bind(address))
+        self.running[address] = keeper
+        return keeper
 
     def _write(self, address: str, fd: int, data: bytes) -> int:
         if address in self.full_disks:
@@ -111,9 +111,9 @@
 
     def leader(self) -> keepers.PlanKeeper | None:
         """Return the leader, if there is one."""
-        for one in self.running.values():
-            if one.group.has_lease() and one.group.leadership_announced:
-                return one
+        for keeper in self.running.values():
+            if keeper.group.has_lease() and keeper.group.leadership_announced:
+                return keeper
         return None
 
     def voters(self) -> set[str]:
@@ -144,9 +144,9 @@
 ) -> subscriber.Subscriber:
     """Return a router's subscriber that adds each plan to `plans`."""
     identity = links.Identity(name, messages.ROUTER_ROLE, "here", 1)
-    made = subscriber.Subscriber(identity, KEYS, plans.append)
-    made.use_seeds(seeds)
-    return made
+    new_subscriber = subscriber.Subscriber(identity, KEYS, plans.append)
+    new_subscriber.use_seeds(seeds)
+    return new_subscriber
 
 
 async def retry(call: t.Callable, seconds: float = 10.0) -> t.Any:
@@ -164,6 +164,6 @@
 async def wait_until(condition: t.Callable[[], t.Any], seconds: float = 10.0):
     """Return what `condition` returns once that is true."""
     async with asyncio.timeout(seconds):
-        while not (found := condition()):  # noqa: ASYNC110
+        while not (result := condition()):  # noqa: ASYNC110
             await asyncio.sleep(POLL_SECONDS)
-        return found
+        return result
--- a/amaranthring/testing/scripted_target.py
+++ b/amaranthring/testing/scripted_target.py
@@ -72,17 +72,17 @@
     )
 
 
-def request_headers(incoming, sending) -> dict[str, str]:
+def request_headers(incoming, attempt) -> dict[str, str]:
     """Return the request headers that a target gets."""
     headers = dict(incoming.headers.items())
-    headers[TIMEOUT] = f"{sending.seconds_left:.3f}"
-    headers[EXPECTED] = sending.target.id
-    if sending.account:
-        headers[ACCOUNT] = sending.account
-    if sending.resume_after:
-        headers[LAST_EVENT_ID] = sending.resume_after
-    if sending.copy_from:
-        headers[COPY] = sending.copy_from
+    headers[TIMEOUT] = f"{attempt.seconds_left:.3f}"
+    headers[EXPECTED] = attempt.target.id
+    if attempt.account:
+        headers[ACCOUNT] = attempt.account
+    if attempt.resume_after:
+        headers[LAST_EVENT_ID] = attempt.resume_after
+    if attempt.copy_from:
+        headers[COPY] = attempt.copy_from
     return headers
 
 
@@ -391,25 +391,27 @@
     **headers: str,
 ) -> Response:
     """Send one request on a connection of its own."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     reader, writer = await asyncio.open_connection(*address)
     lines = [f"{method} {path} HTTP/1.1", "Host: h"]
-    given = {ID: "r1", "Content-Length": str(len(body))}
-    given |= {k.replace("_", "-"): v for k, v in headers.items()}
-    lines += [f"{name}: {value}" for name, value in given.items()]
+    sent_headers = {ID: "r1", "Content-Length": str(len(body))}
+    sent_headers |= {k.replace("_", "-"): v for k, v in headers.items()}
+    lines += [f"{name}: {value}" for name, value in sent_headers.items()]
     writer.write("\r\n".join([*lines, "", ""]).encode() + body)
     try:
-        return await _read_response(reader, method, began)
+        return await _read_response(reader, method, started_at)
     finally:
         writer.close()
 
 
-async def _read_response(reader, method: str, began: float) -> Response:
+async def _read_response(reader, method: str, started_at: float) -> Response:
     no_headers = tornado.httputil.HTTPHeaders()
     try:
         data = (await reader.readuntil(b"\r\n\r\n")).decode("latin1")
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Response(0, no_headers, b"", False, time.monotonic() - began)
+        return Response(
+            0, no_headers, b"", False, time.monotonic() - started_at
+        )
     line, _, rest = data.partition("\r\n")
     status = tornado.httputil.parse_response_start_line(line).code
     headers = tornado.httputil.HTTPHeaders.parse(rest)
@@ -420,5 +422,5 @@
             parts.append(decoder.take(more))
     except (ConnectionError, errors.UpstreamError):
         pass
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started_at
     return Response(status, headers, b"".join(parts), decoder.ended, seconds)
--- a/tests/test_linearizable.py
+++ b/tests/test_linearizable.py
@@ -6,8 +6,8 @@
 from amaranthring.testing import linearizable
 
 
-def call(began, ended, kind, value, expected=""):
-    return linearizable.Call(began, ended, kind, value, expected)
+def call(started_at, ended_at, kind, value, expected=""):
+    return linearizable.Call(started_at, ended_at, kind, value, expected)
 
 
 class TestIsLinearizable(unittest.TestCase):
@@ -20,7 +20,7 @@
             call(4, 5, "read", "a"),
         ]
         self.assertFalse(linearizable.is_linearizable(calls))
-        calls[2].began = 2.5
+        calls[2].started_at = 2.5
         self.assertTrue(linearizable.is_linearizable(calls))
 
     def test_lost_write_is_rejected(self):
