--- a/amaranthring/callers/services.py
+++ b/amaranthring/callers/services.py
@@ -16,9 +16,9 @@
 
 SETTLE_TRIES = 3
 CLAIM_TRIES = 2
-SETTLE_SECONDS = 2.0
-SETTLE_PAUSE_SECONDS = 0.2
-IN_PROGRESS_SECONDS = 1.0
+SETTLE_TIMEOUT_SECONDS = 2.0
+RETRY_PAUSE_SECONDS = 0.2
+RETRY_AFTER_SECONDS = 1.0
 FORWARDED_HEADERS = ("Content-Type", "Accept", "Accept-Language")
 
 
@@ -174,9 +174,9 @@
             raise
         if time.monotonic() >= request.deadline:
             break
-        await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+        await asyncio.sleep(RETRY_PAUSE_SECONDS)
     _release_later(deps, request, name)
-    last_error.retry_after = last_error.retry_after or IN_PROGRESS_SECONDS
+    last_error.retry_after = last_error.retry_after or RETRY_AFTER_SECONDS
     raise last_error
 
 
@@ -222,7 +222,7 @@
             "the deadline passed before anything was sent",
             given=f"{overdue:.1f} s late",
             expected="a claim before the deadline",
-            retry_after=IN_PROGRESS_SECONDS,
+            retry_after=RETRY_AFTER_SECONDS,
         )
 
 
@@ -236,11 +236,12 @@
     for _ in range(SETTLE_TRIES):
         try:
             await asyncio.wait_for(
-                deps.settle(request, name, outcome, stored), SETTLE_SECONDS
+                deps.settle(request, name, outcome, stored),
+                SETTLE_TIMEOUT_SECONDS,
             )
             return True
         except (errors.AmaranthringError, TimeoutError):
-            await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
     deps.metrics.count("way.unsettled")
     deps.settlements.add(request, name, outcome, stored)
     return False
@@ -284,7 +285,7 @@
             "the first call under this key is still running",
             given=request.key,
             expected="a resend after it has ended",
-            retry_after=IN_PROGRESS_SECONDS,
+            retry_after=RETRY_AFTER_SECONDS,
         )
     if state is records.ClaimState.SETTLED:
         return _stored_response(request, claim)
--- a/amaranthring/core/log_writer.py
+++ b/amaranthring/core/log_writer.py
@@ -71,7 +71,7 @@
             except BlockingIOError:
                 return False
             except OSError:
-                # The output is closed or broken for good.
+                # The output is closed or permanently broken.
                 self._unsent = b""
                 self.lines.clear()
                 self.dropped = 0
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -456,7 +456,7 @@
         accepted as a known target, it would take a healthy one out.
         """
         path = "/Replicas.Heartbeat/i-1"
-        for odd in (
+        for invalid in (
             {"state": "resting"},
             {"state": ["ready"]},
             {"state": None},
@@ -471,12 +471,15 @@
             {"batch_slots": "many"},
             {"zone": 3},
         ):
-            with self.subTest(odd), self.assertRaises(errors.BadRequestError):
-                await self.call("POST", path, self.heartbeat(**odd))
-        for odd in (b"\xff\x00", b"[" * 9, b'"text"', b"17"):
+            with (
+                self.subTest(invalid),
+                self.assertRaises(errors.BadRequestError),
+            ):
+                await self.call("POST", path, self.heartbeat(**invalid))
+        for invalid in (b"\xff\x00", b"[" * 9, b'"text"', b"17"):
             for call_path in (path, "/Replicas.Deregister/i-1"):
                 with self.assertRaises(errors.BadRequestError):
-                    await self.call("POST", call_path, odd)
+                    await self.call("POST", call_path, invalid)
         self.assertEqual(([], []), (self.hub.announced, self.hub.left))
         self.assertEqual(21, len(self.hub.refused))
 
@@ -484,8 +487,8 @@
         document = json.dumps(DOCUMENT).encode()
         await self.call("POST", "/Configuration.Replace", document)
         path = "/Replicas.Heartbeat/i-1"
-        odd = self.heartbeat(backend="b9")
-        response = await self.call("POST", path, odd)
+        unknown = self.heartbeat(backend="b9")
+        response = await self.call("POST", path, unknown)
         self.assertEqual(200, response.status)
         self.assertEqual([], self.hub.announced)
         self.assertEqual(1, len(self.hub.refused))
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -112,18 +112,19 @@
         last = max(accepted)
         self.fleet.wait(
             lambda: all(
-                last in dict(self.seen(name)) for name in self.routers
+                last in dict(self.logged_revisions(name))
+                for name in self.routers
             ),
             "last revision on every router",
         )
         for name in self.routers:
-            seen = self.seen(name)
-            self.assertEqual(seen, sorted(set(seen)), name)
-            for revision, preset in seen:
+            logged = self.logged_revisions(name)
+            self.assertEqual(logged, sorted(set(logged)), name)
+            for revision, preset in logged:
                 if revision in accepted:
                     self.assertEqual(preset, accepted[revision], name)
 
-    def seen(self, router):
+    def logged_revisions(self, router):
         text = (self.fleet.logs / f"{router}.log").read_text()
         return [(int(r), preset) for r, preset in IN_FORCE.findall(text)]
 
