--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -28,7 +28,7 @@
         folder = pathlib.Path(temporary.name)
         local_fleet.write_settings(folder, routers=3)
         for path in folder.glob("keeper-*.ini"):
-            # The section [keeper] is the last of these files.
+            # The section [keeper] is the last one in these files.
             path.write_text(path.read_text() + self.extra)
         self.fleet = local_fleet.LocalFleet(folder, folder / "logs")
         self.addCleanup(self.fleet.stop_all)
@@ -112,18 +112,19 @@
         last = max(accepted)
         self.fleet.wait(
             lambda: all(
-                last in dict(self.seen(name)) for name in self.routers
+                last in dict(self.logged_revisions(name))
+                for name in self.routers
             ),
             "last revision on every router",
         )
         for name in self.routers:
-            seen = self.seen(name)
-            self.assertEqual(seen, sorted(set(seen)), name)
-            for revision, preset in seen:
+            logged = self.logged_revisions(name)
+            self.assertEqual(logged, sorted(set(logged)), name)
+            for revision, preset in logged:
                 if revision in accepted:
                     self.assertEqual(preset, accepted[revision], name)
 
-    def seen(self, router):
+    def logged_revisions(self, router):
         text = (self.fleet.logs / f"{router}.log").read_text()
         return [(int(r), preset) for r, preset in IN_FORCE.findall(text)]
 
