--- a/amaranthring/keepers/presets.py
+++ b/amaranthring/keepers/presets.py
@@ -287,7 +287,7 @@
         self._append_preset(stamp, operator, action, preset)
 
     def _changed_only(self, changed: dict[str, t.Any]) -> dict[str, t.Any]:
-        """Return the parts whose value changes; only these are sent."""
+        """Return the parts whose value changes, to keep deltas small."""
         current = self.parts.items
         return {p: v for p, v in changed.items() if current.get(p) != v}
 
--- a/amaranthring/keepers/reconciler.py
+++ b/amaranthring/keepers/reconciler.py
@@ -171,7 +171,7 @@
         for order in list(self.machine.orders.open.values()):
             if order.fencing in self.in_flight:
                 continue
-            if not self._has_ended(order):
+            if not self._can_resolve(order):
                 continue
             target = self._find_target(order.target)
             if target is None or target.incarnation != order.incarnation:
@@ -189,12 +189,13 @@
                 result = target_orders.Result(False, "no longer wanted")
                 await self._end_order(order.fencing, result)
 
-    def _has_ended(self, order: orders.Order) -> bool:
-        """Return whether an order of a previous leader has certainly ended.
+    def _can_resolve(self, order: orders.Order) -> bool:
+        """Return whether an order of a previous leader can be resolved now.
 
-        A target that ignores fencing numbers could otherwise execute a late
-        order of the previous leader after a new one. The previous leader
-        sends nothing after its lease, and no order exceeds its timeout.
+        A target that checks fencing numbers rejects late orders. Another one
+        could execute a late order after a new one, so wait until the order
+        has certainly ended: the previous leader sends nothing after its
+        lease, and no order exceeds its timeout.
         """
         leading_seconds = self.clock() - self.leader_since
         if leading_seconds < self.options.discovery_seconds:
--- a/amaranthring/targets/entries.py
+++ b/amaranthring/targets/entries.py
@@ -90,7 +90,7 @@
     ready_at : float
         When flap damping allows it new work again.
     last_sequence : int
-        Highest sequence of its own messages.
+        Highest sequence of its own messages, to refuse replays.
     heard_here_at : float
         When it last sent a message to this router itself.
     """
--- a/amaranthring/testing/load.py
+++ b/amaranthring/testing/load.py
@@ -200,6 +200,7 @@
         return outcome, data
 
     async def _post(self, url, body, headers, received, header=None) -> int:
+        """Return the status, or 0 without a complete response."""
         request = tornado.httpclient.HTTPRequest(
             url,
             method="POST",
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -325,7 +325,7 @@
         old = self.group.apply(begin).fencing
         leader = self.lead([target.record("e1")], order_seconds=0.5)
         self.assertFalse(
-            leader._has_ended(self.group.machine.orders.open["e1"])
+            leader._can_resolve(self.group.machine.orders.open["e1"])
         )
         await fake_state.wait_until(lambda: (old + 1, "done") in self.states())
         self.assertGreaterEqual(leader.clock() - leader.leader_since, 0.6)
