--- a/amaranthring/core/pacing.py
+++ b/amaranthring/core/pacing.py
@@ -20,7 +20,7 @@
 MAX_DEBT_SECONDS = 1.0
 # Exceeds the heartbeat interval (0.1 s), at which the caller retries.
 RESERVE_SECONDS = 0.15
-# Bytes a second if no rate is known: 6 Mbit/s, the slowest known link.
+# Bytes a second if the rate is not given: 6 Mbit/s.
 DEFAULT_LINK_RATE = 0.75e6
 
 
--- a/amaranthring/registry/hint_file.py
+++ b/amaranthring/registry/hint_file.py
@@ -31,9 +31,9 @@
 WRITE_SECONDS = 2.0
 # Interval at which an unchanged file is rewritten to refresh its age.
 REWRITE_SECONDS = 10.0
-# Targets in an older file have mostly been replaced. The age is measured by
-# wall-clock time, which may have been adjusted; a wrong age costs no more than
-# a missing file.
+# Targets in an older file have mostly been replaced. The age is wall-clock
+# time, which may have been adjusted; a wrong age costs no more than a missing
+# file.
 MAX_TARGETS_AGE_SECONDS = 30.0
 
 
--- a/amaranthring/targets/http_body.py
+++ b/amaranthring/targets/http_body.py
@@ -112,7 +112,7 @@
                 size = _parse_size(data[position:line_end])
                 if size == 0:
                     self.ended = True
-                    # Trailers are not told apart from foreign bytes; with
+                    # Trailers are not distinguished from foreign bytes; with
                     # either, the connection is not reused.
                     self.clean = data[line_end + 2 :] == b"\r\n"
                     break
